--- a/state/load/eject.go
+++ b/state/load/eject.go
@@ -2,52 +2,55 @@
 
 import "spanrill"
 
-// Ejection takes an upstream that fails out of the choice for a while.
+// A failing upstream is ejected: it gets no requests for a time that doubles with each ejection in a
+// row. Afterwards its load is raised gradually.
 const (
 	firstEjection = 1 * spanrill.Second
 	maxEjection   = 30 * spanrill.Second
-	returnRamp    = 3 * spanrill.Second // an upstream taken back gets its full share after this
+	rampTime      = 3 * spanrill.Second // time after an ejection until an upstream gets its normal load
 )
 
-// Ejected reports whether the upstream is out of the choice.
+// Ejected reports whether the upstream is currently ejected.
 func (u *Upstream) Ejected(now spanrill.Millis) bool {
 	return spanrill.Millis(u.ejectedUntil.Load()) > now
 }
 
-// Fail notes a failure that ejects the upstream. It reports whether the
-// upstream was in the choice before.
+// RecordFailure records a failure, which ejects the upstream unless it is already ejected. It
+// reports whether the upstream was ejected by this call.
 func (u *Upstream) Fail(now spanrill.Millis) bool {
-	was := u.ejectedUntil.Load()
-	if spanrill.Millis(was) > now {
+	until := u.ejectedUntil.Load()
+	if spanrill.Millis(until) > now {
 		return false
 	}
 	n := u.failures.Add(1)
 	d := min(firstEjection<<min(n-1, 8), maxEjection)
-	if !u.ejectedUntil.CompareAndSwap(was, int64(now+d)) {
+	if !u.ejectedUntil.CompareAndSwap(until, int64(now+d)) {
 		return false
 	}
-	u.returnedAt.Store(int64(now + d))
+	u.ejectionEnd.Store(int64(now + d))
 	return true
 }
 
-// Succeed notes that a request crossed the upstream whole.
+// RecordSuccess records that a request was completed on the upstream. After the ramp time it resets
+// the number of failures.
 func (u *Upstream) Succeed(now spanrill.Millis) {
 	if u.failures.Load() == 0 {
 		return
 	}
-	if now > spanrill.Millis(u.returnedAt.Load())+returnRamp {
+	if now > spanrill.Millis(u.ejectionEnd.Load())+rampTime {
 		u.failures.Store(0)
 	}
 }
 
-// Ramp returns the share of its normal load that an upstream may get: less
-// than 1 for some time after it was taken back.
+// RampShare returns the share of its normal load that an upstream may get: less than 1 for rampTime
+// after an ejection.
 func (u *Upstream) Ramp(now spanrill.Millis) float64 {
-	back := spanrill.Millis(u.returnedAt.Load())
-	if back == 0 || now >= back+returnRamp {
+	ejectionEnd := spanrill.Millis(u.ejectionEnd.Load())
+	if ejectionEnd == 0 || now >= ejectionEnd+rampTime {
 		return 1
 	}
-	return max(minRamp, float64(now-back)/float64(returnRamp))
+	return max(minRampShare, float64(now-ejectionEnd)/float64(rampTime))
 }
 
-const minRamp = 0.1
+// minRampShare is the share directly after an ejection.
+const minRampShare = 0.1
--- a/state/load/table.go
+++ b/state/load/table.go
@@ -1,9 +1,9 @@
-// Package load holds what a daemon knows of its upstreams.
+// Package load tracks the upstreams of a daemon and their load.
 //
-// A Table is fed by the box list, by reports of upstreams and by requests. Its
-// View is an immutable index that the request path reads without a lock; only
-// a change of membership or of what an engine holds makes a new one. Figures
-// that change with each request are atomics inside an Upstream.
+// A Table is updated from the box list, from reports of upstreams and by requests. Its View is an
+// immutable index that the request path reads without a lock. A new view is made only when the
+// membership changes, or a reported property that routing depends on. Values that change with each
+// request are atomics of an Upstream.
 //
 // # Usage
 //
@@ -24,7 +24,7 @@
 	"spanrill/events"
 )
 
-// Table is what a daemon knows of its upstreams.
+// Table holds the upstreams of a daemon. It is safe for concurrent use.
 type Table struct {
 	clock spanrill.Clock
 	log   logrus.FieldLogger
@@ -33,14 +33,14 @@
 	mu        sync.Mutex
 	upstreams map[string]*Upstream
 	boxes     map[string]spanrill.Box
-	list      []spanrill.Box // the last box list
+	lastList  []spanrill.Box // the last box list, to detect changes
 	siteOf    func(zone string) string
 }
 
 // Option changes a default of NewTable.
 type Option func(*Table)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(t *Table) { t.log = log }
 }
@@ -59,7 +59,7 @@
 	return t
 }
 
-// View returns the index of the upstreams that may get new work.
+// View returns the current index of the upstreams that may get new work.
 func (t *Table) View() *View { return t.view.Load() }
 
 // SetSites sets which site each availability zone belongs to.
@@ -67,35 +67,36 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.siteOf = siteOf
-	t.rebuild()
+	t.rebuildView()
 }
 
-// SetBoxes takes a box list. Upstreams that it lacks are forgotten.
+// SetBoxes applies a box list. Upstreams that are not in it are removed.
 func (t *Table) SetBoxes(boxes []spanrill.Box) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.list != nil && slices.Equal(boxes, t.list) {
+	if t.lastList != nil && slices.Equal(boxes, t.lastList) {
 		return
 	}
-	t.list = slices.Clone(boxes)
-	listed := make(map[string]spanrill.Box, len(boxes))
+	t.lastList = slices.Clone(boxes)
+	byName := make(map[string]spanrill.Box, len(boxes))
 	for _, b := range boxes {
 		if b.Role == spanrill.RoleEntry {
 			continue
 		}
-		listed[b.Name] = b
+		byName[b.Name] = b
 		t.setBox(b)
 	}
 	for name := range t.upstreams {
-		if _, ok := listed[name]; !ok {
+		if _, ok := byName[name]; !ok {
 			events.UpstreamGone.Log(t.log, logrus.Fields{"upstream": name})
 			delete(t.upstreams, name)
 		}
 	}
-	t.boxes = listed
-	t.rebuild()
+	t.boxes = byName
+	t.rebuildView()
 }
 
+// setBox adds or updates the upstream of a box. The caller holds the lock.
 func (t *Table) setBox(b spanrill.Box) {
 	u := t.upstreams[b.Name]
 	if u == nil || u.addr != b.Addr {
@@ -108,7 +109,7 @@
 	}
 }
 
-// Upstreams returns all upstreams, also those that get no new work.
+// Upstreams returns all upstreams, including those that get no new work.
 func (t *Table) Upstreams() []*Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,68 +120,69 @@
 	return all
 }
 
-// Leaving reports whether an upstream gets no new work because it is leaving,
-// by its own word or by the box list.
+// Leaving reports whether an upstream gets no new work because it is leaving, according to its
+// reports, a refusal or the box list.
 func (t *Table) Leaving(u *Upstream) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.isLeaving(u)
 }
 
+// isLeaving is Leaving for a caller that holds the lock.
 func (t *Table) isLeaving(u *Upstream) bool {
 	return u.leaving.Load() || t.boxes[u.name].State == spanrill.BoxLeaving
 }
 
-// Upstream returns the upstream of that name, or nil.
+// Upstream returns the upstream with a name, or nil.
 func (t *Table) Upstream(name string) *Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.upstreams[name]
 }
 
-// Report is the report of one upstream.
+// Report is a status report of one upstream.
 type Report struct {
 	Name   string
 	Status spanrill.UpstreamStatus
-	Age    spanrill.Millis // since it was made
+	Age    spanrill.Millis // time since the report was made
 }
 
-// Report takes an upstream's report, which was made age ago.
+// Report applies an upstream's report, which was made age ago.
 func (t *Table) Report(name string, s spanrill.UpstreamStatus, age spanrill.Millis) {
 	t.ReportAll([]Report{{Name: name, Status: s, Age: age}})
 }
 
-// ReportAll takes several reports and makes at most one new view.
+// ReportAll applies several reports and makes at most one new view.
 func (t *Table) ReportAll(reports []Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
 	for i := range reports {
-		changed = t.take(&reports[i]) || changed
+		changed = t.applyReport(&reports[i]) || changed
 	}
 	if changed {
-		t.rebuild()
+		t.rebuildView()
 	}
 }
 
-// take takes one report and tells whether the view has to change. The caller
-// holds the lock.
-func (t *Table) take(r *Report) (changed bool) {
+// applyReport applies one report unless it is older than the last one, and reports whether the view
+// has to change. The caller holds the lock.
+func (t *Table) applyReport(r *Report) (changed bool) {
 	u, s, age := t.upstreams[r.Name], r.Status, r.Age
 	now := t.clock.Now()
 	if u == nil || now-age < spanrill.Millis(u.reportedAt.Load()) {
 		return false
 	}
-	old := u.reported.Load()
-	u.others.Store(max(0, int64(s.Running)-u.inFlight.Load()))
+	old := u.report.Load()
+	u.peerRequests.Store(max(0, int64(s.Running)-u.inFlight.Load()))
 	u.reportedAt.Store(int64(now - age))
-	u.reported.Store(&s)
+	u.report.Store(&s)
 	t.setLeaving(u, s.Leaving, "report")
-	return old == nil || structure(old) != structure(&s)
+	return old == nil || viewInputs(old) != viewInputs(&s)
 }
 
-// structure is the part of a report that the view depends on.
-func structure(s *spanrill.UpstreamStatus) spanrill.UpstreamStatus {
+// viewInputs returns the part of a report that requires a new view when it changes.
+func viewInputs(s *spanrill.UpstreamStatus) spanrill.UpstreamStatus {
 	return spanrill.UpstreamStatus{
 		Leaving: s.Leaving, Model: s.Model, Version: s.Version, Layers: s.Layers,
 		Generation: s.Generation, Loading: s.Loading, Slots: s.Slots,
@@ -188,17 +190,18 @@
 	}
 }
 
-// Refused notes that an upstream refused work because it is leaving.
+// MarkLeaving records that an upstream refused work because it is leaving.
 func (t *Table) Refused(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if u := t.upstreams[name]; u != nil && !u.leaving.Load() {
 		t.setLeaving(u, true, "refusal")
-		t.rebuild()
+		t.rebuildView()
 	}
 }
 
-// setLeaving notes an upstream's own word. The caller holds the lock.
+// setLeaving records whether an upstream is leaving according to its report or refusal. The caller
+// holds the lock.
 func (t *Table) setLeaving(u *Upstream, leaving bool, source string) {
 	if u.leaving.Swap(leaving) == leaving || !leaving {
 		return
@@ -206,13 +209,13 @@
 	events.UpstreamLeaving.Log(t.log, logrus.Fields{"upstream": u.name, "source": source})
 }
 
-// rebuild makes a new view. The caller holds the lock.
-func (t *Table) rebuild() {
-	t.view.Store(newView(t.usable(), t.siteOf))
+// rebuildView makes a new view. The caller holds the lock.
+func (t *Table) rebuildView() {
+	t.view.Store(newView(t.acceptingUpstreams(), t.siteOf))
 }
 
-// usable returns the upstreams that may get new work. The caller holds the lock.
-func (t *Table) usable() []*Upstream {
+// acceptingUpstreams returns the upstreams that may get new work. The caller holds the lock.
+func (t *Table) acceptingUpstreams() []*Upstream {
 	var usable []*Upstream
 	for _, u := range t.upstreams {
 		if !t.isLeaving(u) {
--- a/state/load/table_test.go
+++ b/state/load/table_test.go
@@ -7,17 +7,18 @@
 	"spanrill/clock"
 )
 
-// A report can be older than the daemon that reads it.
-func TestReportOlderThanDaemonCounts(t *testing.T) {
+// Guards against dropping a report that was made before the daemon started.
+func TestReportOlderThanDaemonIsUsed(t *testing.T) {
 	table := NewTable(clock.NewManual())
 	table.SetBoxes([]spanrill.Box{{Name: "e1", Role: spanrill.RoleEngine, Addr: "127.0.0.1:1"}})
 	status := spanrill.UpstreamStatus{Model: "m", Version: "1", Layers: spanrill.LayerRange{To: 4}, Slots: 1}
 	table.Report("e1", status, 200)
 	if table.View().Model(ModelKey{Model: "m", Version: "1"}) == nil {
-		t.Fatal("the engine is not in the view")
+		t.Fatal("the engine of the report is not in the view")
 	}
 }
 
+// Guards against an older report that replaces a newer one.
 func TestOlderReportIsDropped(t *testing.T) {
 	c := clock.NewManual()
 	c.Advance(spanrill.Minute)
@@ -26,6 +27,6 @@
 	table.Report("e1", spanrill.UpstreamStatus{Running: 2}, 100)
 	table.Report("e1", spanrill.UpstreamStatus{Running: 9}, 200)
 	if got := table.Upstream("e1").Report().Running; got != 2 {
-		t.Fatalf("running is %d, want that of the newer report, 2", got)
+		t.Fatalf("%d running requests, want 2 as in the newer report", got)
 	}
 }
--- a/state/load/upstream.go
+++ b/state/load/upstream.go
@@ -7,30 +7,30 @@
 	"spanrill"
 )
 
-// Upstream is what this daemon knows of one upstream. The request path reads
-// and writes it through atomics alone.
+// Upstream holds the address, the reported status and the load of one upstream. All values that
+// change are atomics, so that the request path takes no lock.
 type Upstream struct {
 	name    string
 	addr    string
 	zone    string
 	service string
 
-	inFlight   atomic.Int64 // requests of this daemon that cross the upstream
-	others     atomic.Int64 // requests of other daemons, by the last report
-	reportedAt atomic.Int64 // spanrill.Millis at which the last report was made
-	reported   atomic.Pointer[spanrill.UpstreamStatus]
-	leaving    atomic.Bool // by its own word or by a refusal
+	inFlight     atomic.Int64 // running requests of this daemon
+	peerRequests atomic.Int64 // running requests of other daemons, according to the last report
+	reportedAt   atomic.Int64 // when the last report was made, in spanrill.Millis
+	report       atomic.Pointer[spanrill.UpstreamStatus]
+	leaving      atomic.Bool // according to its report or a refusal
 
 	ejectedUntil atomic.Int64  // spanrill.Millis
-	failures     atomic.Int64  // in a row
-	returnedAt   atomic.Int64  // spanrill.Millis of the last return from ejection
-	slow         atomic.Uint64 // float64 bits: observed over expected step time
-	slowAt       atomic.Int64  // spanrill.Millis of the last observation
-	linkMicros   atomic.Int64  // smoothed time on the link into the upstream
+	failures     atomic.Int64  // consecutive ejections
+	ejectionEnd  atomic.Int64  // spanrill.Millis; end of the last ejection, or 0
+	slowdown     atomic.Uint64 // float64 bits: smoothed ratio of observed to expected step time
+	slowdownAt   atomic.Int64  // spanrill.Millis of the last observation
+	linkMicros   atomic.Int64  // smoothed time on the link to the upstream
 }
 
-// neverReported lies before every time that a report can be made at. Reports
-// can be older than this process, so that zero would not do.
+// neverReported is earlier than any report. Zero is not suitable, since reports can be older than
+// this process.
 const neverReported = math.MinInt64
 
 func newUpstream(b spanrill.Box) *Upstream {
@@ -39,77 +39,78 @@
 	return u
 }
 
-// Name returns the box's name.
+// Name returns the name of the upstream's box.
 func (u *Upstream) Name() string { return u.name }
 
-// Addr returns host:port.
+// Addr returns the address as host:port.
 func (u *Upstream) Addr() string { return u.addr }
 
 // Zone returns the availability zone.
 func (u *Upstream) Zone() string { return u.zone }
 
-// Service returns the service's name, or "" for an engine.
+// Service returns the name of the service, or "" for an engine.
 func (u *Upstream) Service() string { return u.service }
 
 // Report returns the last report, or nil before the first one.
-func (u *Upstream) Report() *spanrill.UpstreamStatus { return u.reported.Load() }
+func (u *Upstream) Report() *spanrill.UpstreamStatus { return u.report.Load() }
 
-// ReportAge returns how old the last report is.
+// ReportAge returns the age of the last report, or math.MaxInt64 before the first one.
 func (u *Upstream) ReportAge(now spanrill.Millis) spanrill.Millis {
-	if u.reported.Load() == nil {
+	if u.report.Load() == nil {
 		return math.MaxInt64
 	}
 	return now - spanrill.Millis(u.reportedAt.Load())
 }
 
-// Layers returns the layers that the upstream reported to hold.
-func (u *Upstream) Layers() spanrill.LayerRange { return u.reported.Load().Layers }
+// Layers returns the layers that the upstream holds according to its report. It must not be called
+// before the first report.
+func (u *Upstream) Layers() spanrill.LayerRange { return u.report.Load().Layers }
 
-// Stage returns the upstream as a stage of a chain.
+// Stage returns the upstream as a stage of a chain. It must not be called before the first report.
 func (u *Upstream) Stage() spanrill.StageRef {
-	r := u.reported.Load()
+	r := u.report.Load()
 	return spanrill.StageRef{Engine: u.name, Addr: u.addr, Layers: r.Layers, Generation: r.Generation}
 }
 
-// Begin counts a request of this daemon.
+// Begin counts a running request of this daemon until End is called.
 func (u *Upstream) Begin() { u.inFlight.Add(1) }
 
-// End takes a request of this daemon off the count.
+// End removes a request from the count that Begin added it to.
 func (u *Upstream) End() { u.inFlight.Add(-1) }
 
-// InFlight returns the requests of this daemon.
+// InFlight returns the number of running requests of this daemon.
 func (u *Upstream) InFlight() int64 { return u.inFlight.Load() }
 
-// othersHalfLife is the age at which a report's word on the requests of other
-// daemons counts half.
-const othersHalfLife = 2 * spanrill.Second
+// peerRequestsHalfLife is the age of a report at which its number of requests of other daemons counts
+// half.
+const peerRequestsHalfLife = 2 * spanrill.Second
 
-// othersWeight is the weight of other daemons' requests in the expected load.
-// Reports are about as old as a request lives, so that a larger weight draws all
-// daemons to the engine that was idle a while ago.
-const othersWeight = 0.1
+// peerRequestsWeight is the weight of other daemons' requests in the expected load. Reports are about
+// as old as the duration of a request, so a larger weight would make all daemons choose the engine
+// that was idle a while ago.
+const peerRequestsWeight = 0.1
 
-// Others returns the requests of other daemons by the last report, which counts
-// less the older it is.
+// PeerRequests returns the number of running requests of other daemons according to the last
+// report, weighted less the older the report is.
 func (u *Upstream) Others(now spanrill.Millis) float64 {
-	others := float64(u.others.Load())
-	if others <= 0 {
+	requests := float64(u.peerRequests.Load())
+	if requests <= 0 {
 		return 0
 	}
 	age := float64(now) - float64(u.reportedAt.Load())
-	return others * math.Exp2(-age/float64(othersHalfLife))
+	return requests * math.Exp2(-age/float64(peerRequestsHalfLife))
 }
 
-// Load returns the requests that are expected on the upstream, for comparing
-// upstreams with one another: those of this daemon, and part of those of others.
+// Load returns the expected number of requests for comparing upstreams: those of this daemon, and a
+// part of those of other daemons.
 func (u *Upstream) Load(now spanrill.Millis) float64 {
-	return float64(u.inFlight.Load()) + othersWeight*u.Others(now)
+	return float64(u.inFlight.Load()) + peerRequestsWeight*u.Others(now)
 }
 
-// StepMicros returns how long the upstream's report says that one step of one
-// request takes with that many requests on it.
+// StepMicros returns the time that one step of one request takes with the given number of requests
+// on the upstream, according to its report, or 1 without a report.
 func (u *Upstream) StepMicros(load float64) float64 {
-	r := u.reported.Load()
+	r := u.report.Load()
 	if r == nil || r.Slots == 0 {
 		return 1
 	}
@@ -120,50 +121,50 @@
 
 const nanosPerMicro = 1000
 
-// MicrosPerToken returns the time that the upstream needs for one token of one
-// request when its batch is full: the inverse of its rate.
+// MicrosPerToken returns the inverse of the upstream's token rate with a full batch, or 1 without a
+// report.
 func (u *Upstream) MicrosPerToken() float64 {
-	r := u.reported.Load()
+	r := u.report.Load()
 	if r == nil || r.Slots == 0 {
 		return 1
 	}
 	return u.StepMicros(float64(r.Slots)) / float64(r.Slots)
 }
 
-// slowHalfLife is the time without an observation after which an upstream's
-// slowness counts half.
-const slowHalfLife = 5 * spanrill.Second
+// slowdownHalfLife is the time without a recorded step in which the excess of the slowdown over 1 is
+// halved.
+const slowdownHalfLife = 5 * spanrill.Second
 
-// slowWeight is the weight of one observation in the smoothed slowness.
-const slowWeight = 0.1
+// slowdownWeight is the weight of one step in the smoothed slowdown.
+const slowdownWeight = 0.1
 
-// maxSlow bounds the slowness.
-const maxSlow = 100
+// maxSlowdown limits the slowdown of a single step.
+const maxSlowdown = 100
 
-// Observe notes how long a step of one request took on the upstream.
+// RecordStep records how long a step of one request took on the upstream.
 func (u *Upstream) Observe(now spanrill.Millis, micros int64) {
 	ratio := float64(micros) / u.StepMicros(u.Load(now))
-	ratio = math.Max(1, math.Min(ratio, maxSlow))
+	ratio = math.Max(1, math.Min(ratio, maxSlowdown))
 	old := u.Slow(now)
-	u.slow.Store(math.Float64bits(old + slowWeight*(ratio-old)))
-	u.slowAt.Store(int64(now))
+	u.slowdown.Store(math.Float64bits(old + slowdownWeight*(ratio-old)))
+	u.slowdownAt.Store(int64(now))
 }
 
-// Slow returns how many times slower than reported the upstream was lately.
+// Slowdown returns how many times slower than reported the upstream was recently, at least 1.
 func (u *Upstream) Slow(now spanrill.Millis) float64 {
-	s := math.Float64frombits(u.slow.Load())
+	s := math.Float64frombits(u.slowdown.Load())
 	if s <= 1 {
 		return 1
 	}
-	age := float64(now) - float64(u.slowAt.Load())
-	return 1 + (s-1)*math.Exp2(-age/float64(slowHalfLife))
+	age := float64(now) - float64(u.slowdownAt.Load())
+	return 1 + (s-1)*math.Exp2(-age/float64(slowdownHalfLife))
 }
 
-// ObserveLink notes how long the link into the upstream took.
+// RecordLink records how long a transfer over the link to the upstream took.
 func (u *Upstream) ObserveLink(micros int64) {
 	old := u.linkMicros.Load()
 	u.linkMicros.Store(old + (micros-old)/8)
 }
 
-// LinkMicros returns the smoothed time on the link into the upstream.
+// LinkMicros returns the smoothed time on the link to the upstream.
 func (u *Upstream) LinkMicros() int64 { return u.linkMicros.Load() }
--- a/state/load/view.go
+++ b/state/load/view.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 )
 
-// ModelKey names a model at a site.
+// ModelKey identifies a version of a model at a site.
 type ModelKey struct {
 	Model   string
 	Version string
 	Site    string
 }
 
-// ServiceKey names a plain service at a site.
+// ServiceKey identifies a plain service at a site.
 type ServiceKey struct {
 	Service string
 	Site    string
@@ -24,15 +24,16 @@
 	services map[ServiceKey][]*Upstream
 }
 
-// Model returns the engines of a model, or nil.
+// Model returns the index of a model's engines, or nil.
 func (v *View) Model(k ModelKey) *ModelIndex { return v.models[k] }
 
-// Services returns the upstreams of a service. The slice must not be changed.
+// Services returns the upstreams of a service, sorted by name. Callers must not modify the slice.
 func (v *View) Services(k ServiceKey) []*Upstream { return v.services[k] }
 
-// Models returns the index of each model. The map must not be changed.
+// Models returns the index of each model. Callers must not modify the map.
 func (v *View) Models() map[ModelKey]*ModelIndex { return v.models }
 
+// newView indexes upstreams by model and by service.
 func newView(usable []*Upstream, siteOf func(string) string) *View {
 	v := &View{models: map[ModelKey]*ModelIndex{}, services: map[ServiceKey][]*Upstream{}}
 	sort.Slice(usable, func(i, k int) bool { return usable[i].name < usable[k].name })
@@ -48,8 +49,9 @@
 	return v
 }
 
+// addEngine adds an engine to the index of its model unless it is loading or holds no layers.
 func (v *View) addEngine(u *Upstream, site string) {
-	r := u.reported.Load()
+	r := u.report.Load()
 	if r == nil || r.Loading || r.Model == "" || r.Layers.Len() <= 0 || r.Layers.From < 0 {
 		return
 	}
@@ -62,73 +64,73 @@
 	index.add(u, r.Layers.From)
 }
 
-// ModelIndex holds the engines of one model by the first layer they hold.
+// ModelIndex holds the engines of one model by the first layer that they hold.
 type ModelIndex struct {
-	engines []*Upstream
-	from    [][]*Upstream
-	ways    atomic.Pointer[Ways]
+	engines      []*Upstream
+	byFirstLayer [][]*Upstream
+	reachability atomic.Pointer[Ways]
 }
 
 func (x *ModelIndex) add(u *Upstream, from int) {
-	for len(x.from) <= from {
-		x.from = append(x.from, nil)
+	for len(x.byFirstLayer) <= from {
+		x.byFirstLayer = append(x.byFirstLayer, nil)
 	}
-	x.from[from] = append(x.from[from], u)
+	x.byFirstLayer[from] = append(x.byFirstLayer[from], u)
 	x.engines = append(x.engines, u)
 }
 
-// Engines returns all engines of the model. The slice must not be changed.
+// Engines returns all engines of the model. Callers must not modify the slice.
 func (x *ModelIndex) Engines() []*Upstream { return x.engines }
 
-// From returns the engines whose first layer is given. The slice must not be
-// changed.
+// StartingAt returns the engines whose first layer is the given one. Callers must not modify the
+// slice.
 func (x *ModelIndex) From(layer int) []*Upstream {
-	if layer >= len(x.from) {
+	if layer >= len(x.byFirstLayer) {
 		return nil
 	}
-	return x.from[layer]
+	return x.byFirstLayer[layer]
 }
 
-// Reaches returns, for each layer, whether chains of engines lead from it to
-// the model's end.
+// Reaches returns for each layer whether a chain of engines leads from it to the model's end.
 func (x *ModelIndex) Reaches(layers int) []bool {
-	reaches := make([]bool, layers+1)
-	reaches[layers] = true
+	reachesEnd := make([]bool, layers+1)
+	reachesEnd[layers] = true
 	for from := layers - 1; from >= 0; from-- {
 		for _, u := range x.From(from) {
 			to := u.Layers().To
-			if to <= layers && to > from && reaches[to] {
-				reaches[from] = true
+			if to <= layers && to > from && reachesEnd[to] {
+				reachesEnd[from] = true
 				break
 			}
 		}
 	}
-	return reaches
+	return reachesEnd
 }
 
-// Ways says from which layers chains lead to the end of a model.
+// Reachability records from which layers a chain of engines leads to the end of a model.
 type Ways struct {
-	layers  int
-	reaches []bool
+	layers     int
+	reachesEnd []bool
 }
 
-// Open reports whether chains lead from the layer to the model's end.
+// ReachesEnd reports whether a chain of engines leads from a layer to the model's end.
 func (w *Ways) Open(layer int) bool {
-	return layer <= w.layers && w.reaches[layer]
+	return layer <= w.layers && w.reachesEnd[layer]
 }
 
-// Ways returns from which layers chains lead to the end of a model with that
-// many layers. It is computed once for each index.
+// Reachability returns from which layers a chain of engines leads to the end of a model with the
+// given number of layers. The result is cached for each index.
 func (x *ModelIndex) Ways(layers int) *Ways {
-	if w := x.ways.Load(); w != nil && w.layers == layers {
+	if w := x.reachability.Load(); w != nil && w.layers == layers {
 		return w
 	}
-	w := &Ways{layers: layers, reaches: x.Reaches(layers)}
-	x.ways.Store(w)
+	w := &Ways{layers: layers, reachesEnd: x.Reaches(layers)}
+	x.reachability.Store(w)
 	return w
 }
 
-// Stages returns how many stages a chain of the model has at least.
+// MinStages returns the minimum number of stages of a chain for a model with the given number of
+// layers. If the engines don't cover all layers, it counts the stages up to the gap, at least 1.
 func (x *ModelIndex) Stages(layers int) int {
 	n := 0
 	for layer := 0; layer < layers; n++ {
