--- a/state/record/record.go
+++ b/state/record/record.go
@@ -1,8 +1,9 @@
-// Package record holds the records of calls that may run at most once.
+// Package record stores claims of idempotency keys, so that a call with such a key runs at most
+// once.
 //
-// A record belongs to one idempotency key of one client account. It says which
-// attempt may run the call, and later how the call ended. Records are gathered
-// in slots; a slot is one object of the platform.
+// A record belongs to one idempotency key of one client account. It contains the attempt that may
+// run the call and, once the call has ended, its result. Records are grouped into slots, and each
+// slot is stored as one object of the platform's store.
 //
 // # Usage
 //
@@ -19,32 +20,32 @@
 	"spanrill"
 )
 
-// Slots is the number of objects over which keys are spread. Each is written
-// at most a few times a second, which bounds the writes of the whole fleet.
+// SlotCount is the number of objects over which keys are distributed. Each object is written at most
+// a few times a second, which limits the writes of all daemons together.
 const Slots = 16
 
-// Lifetime is how long a record is kept. A repeat that comes later may run.
+// Lifetime is how long a record is kept. A call that is repeated later may run again.
 const Lifetime = 10 * spanrill.Minute
 
-// MaxBody bounds the answer kept in a record, in bytes. A longer answer is
-// kept without its body.
+// MaxBodyBytes is the maximum size of the body that a record keeps. A longer answer is kept without
+// its body.
 const MaxBody = 256
 
-// Record is the claim of one key.
+// Record is the claim of one idempotency key and the result of its call.
 type Record struct {
 	Key     string           `json:"k"`
-	Attempt string           `json:"a"` // the one attempt that may run the call
+	Attempt string           `json:"a"` // id of the only attempt that may run the call
 	Digest  uint64           `json:"d"` // hash of the request
-	At      spanrill.Millis  `json:"t"` // wall clock of the claim
+	At      spanrill.Millis  `json:"t"` // wall-clock time of the claim
 	Ended   bool             `json:"e,omitempty"`
 	Outcome spanrill.Outcome `json:"o,omitempty"`
 	Status  int              `json:"s,omitempty"`
-	Type    string           `json:"c,omitempty"` // content type
+	Type    string           `json:"c,omitempty"` // content type of the answer
 	Body    []byte           `json:"b,omitempty"`
-	Cut     bool             `json:"x,omitempty"` // whether the body was too long to keep
+	Cut     bool             `json:"x,omitempty"` // the body exceeded MaxBodyBytes and was not kept
 }
 
-// End writes down how the call ended.
+// End records the outcome of the call and its answer, which may be nil.
 func (r *Record) End(answer *spanrill.ServiceAnswer, outcome spanrill.Outcome) {
 	r.Ended, r.Outcome = true, outcome
 	if answer == nil {
@@ -63,7 +64,8 @@
 	r.Body = answer.Body
 }
 
-// Answer returns the recorded answer, or nil if there is none.
+// Answer returns the recorded answer, or nil if there is none. It has no body if the body was too
+// long to keep.
 func (r *Record) Answer() *spanrill.ServiceAnswer {
 	if !r.Ended || r.Status == 0 {
 		return nil
@@ -75,21 +77,21 @@
 	return a
 }
 
-// SlotOf returns the slot of a key.
+// SlotOf returns the number of the slot that holds a key's record.
 func SlotOf(key string) int { return int(xxhash.Sum64String(key) % Slots) }
 
-// ObjectKey returns the object that holds a slot.
+// ObjectKey returns the key of the object in which a slot is stored.
 func ObjectKey(slot int) string { return fmt.Sprintf("claims/%02d", slot) }
 
-// Slot is the records of one object, by key.
+// Slot holds the records of one object by idempotency key. It is not safe for concurrent use.
 type Slot struct {
 	records map[string]Record
 }
 
-// NewSlot returns a slot without records.
+// NewSlot returns an empty slot.
 func NewSlot() *Slot { return &Slot{records: map[string]Record{}} }
 
-// Decode reads a slot. An empty value is a slot without records.
+// Decode decodes a stored slot. An empty value is an empty slot.
 func Decode(value []byte) (*Slot, error) {
 	s := NewSlot()
 	if len(value) == 0 {
@@ -101,7 +103,7 @@
 	return s, nil
 }
 
-// Encode returns the slot as it is stored.
+// Encode returns the stored form of the slot.
 func (s *Slot) Encode() ([]byte, error) {
 	value, err := json.Marshal(s.records)
 	if err != nil {
@@ -110,22 +112,22 @@
 	return value, nil
 }
 
-// Find returns the record of a key.
+// Find returns the record of a key, and whether there is one.
 func (s *Slot) Find(key string) (Record, bool) {
 	r, ok := s.records[key]
 	return r, ok
 }
 
-// Put writes a record.
+// Put adds a record or replaces the one with the same key.
 func (s *Slot) Put(r Record) { s.records[r.Key] = r }
 
-// Remove forgets a key.
+// Remove removes the record of a key, if there is one.
 func (s *Slot) Remove(key string) { delete(s.records, key) }
 
 // Len returns the number of records.
 func (s *Slot) Len() int { return len(s.records) }
 
-// Expire forgets the records that are older than Lifetime.
+// Expire removes the records that are older than Lifetime.
 func (s *Slot) Expire(now spanrill.Millis) {
 	for k, r := range s.records {
 		if now-r.At > Lifetime {
@@ -134,7 +136,7 @@
 	}
 }
 
-// Clone returns a copy.
+// Clone returns a copy that can be changed independently. The bodies of answers are shared.
 func (s *Slot) Clone() *Slot {
 	c := &Slot{records: make(map[string]Record, len(s.records))}
 	for k, r := range s.records {
