--- a/state/fleet/claim_test.go
+++ b/state/fleet/claim_test.go
@@ -9,37 +9,37 @@
 // Guards against replacing an upstream because of an entry with its address before the process at
 // the address has confirmed that entry's name or the upstream is known to be gone.
 func TestAddressConflict(t *testing.T) {
-	type happens func(t *testing.T, table *Table, now spanrill.Millis)
-	answers := func(name string) happens {
+	type step func(t *testing.T, table *Table, now spanrill.Millis)
+	answers := func(name string) step {
 		return func(_ *testing.T, table *Table, _ spanrill.Millis) { table.Identified("1:1", name) }
 	}
-	changes := func(c func(*testing.T) spanrill.Change) happens {
+	changes := func(c func(*testing.T) spanrill.Change) step {
 		return func(t *testing.T, table *Table, now spanrill.Millis) { table.Changed([]spanrill.Change{c(t)}, 4, now) }
 	}
 	for _, c := range []struct {
 		name       string
-		happens    []happens
+		steps      []step
 		want       string // name of the upstream at the address
 		unresolved int    // unresolved conflicts
 	}{
 		{"no answer yet", nil, "a", 1},
-		{"the address answers with the new name", []happens{answers("c")}, "c", 0},
-		{"the address answers with the old name", []happens{answers("a")}, "a", 0},
-		{"the address answers with a third name", []happens{answers("x")}, "a", 0},
-		{"the address answers with the old name, and the old entry changes later", []happens{answers("a"), changes(func(t *testing.T) spanrill.Change { return change(item(t, "a", "1:1", 4, false)) })}, "a", 0},
-		{"the old upstream is dead", []happens{func(_ *testing.T, table *Table, _ spanrill.Millis) {
+		{"the address answers with the new name", []step{answers("c")}, "c", 0},
+		{"the address answers with the old name", []step{answers("a")}, "a", 0},
+		{"the address answers with a third name", []step{answers("x")}, "a", 0},
+		{"the address answers with the old name, and the old entry changes later", []step{answers("a"), changes(func(t *testing.T) spanrill.Change { return change(item(t, "a", "1:1", 4, false)) })}, "a", 0},
+		{"the old upstream is dead", []step{func(_ *testing.T, table *Table, _ spanrill.Millis) {
 			table.View().ByID("a").SetDead(true)
 			table.Tend()
 		}}, "c", 0},
-		{"the old entry is removed", []happens{changes(func(*testing.T) spanrill.Change { return removal("a") })}, "c", 0},
-		{"the conflicting entry is removed", []happens{changes(func(*testing.T) spanrill.Change { return removal("c") })}, "a", 0},
-		{"the conflicting entry gets another address", []happens{changes(func(t *testing.T) spanrill.Change { return change(item(t, "c", "1:3", 4, false)) })}, "a", 0},
+		{"the old entry is removed", []step{changes(func(*testing.T) spanrill.Change { return removal("a") })}, "c", 0},
+		{"the conflicting entry is removed", []step{changes(func(*testing.T) spanrill.Change { return removal("c") })}, "a", 0},
+		{"the conflicting entry gets another address", []step{changes(func(t *testing.T) spanrill.Change { return change(item(t, "c", "1:3", 4, false)) })}, "a", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, manual := newTable(t)
 			table.Changed([]spanrill.Change{change(item(t, "c", "1:1", 3, false))}, 3, manual.Now())
-			for _, happens := range c.happens {
-				happens(t, table, manual.Now())
+			for _, run := range c.steps {
+				run(t, table, manual.Now())
 			}
 			if u := table.View().ByAddr("1:1"); u == nil || u.Name() != c.want || !u.Takes() {
 				t.Errorf("upstream %v at the address, want %s, accepting requests", u, c.want)
--- a/state/fleet/ends_test.go
+++ b/state/fleet/ends_test.go
@@ -29,8 +29,8 @@
 	s.at++
 	name := fmt.Sprint("e", s.random.Intn(12))
 	item := spanrill.Item{Name: name, Revision: s.at}
-	switch _, there := s.items[name]; {
-	case there && s.random.Intn(3) == 0:
+	switch _, exists := s.items[name]; {
+	case exists && s.random.Intn(3) == 0:
 		delete(s.items, name)
 		s.changes = append(s.changes, spanrill.Change{Item: item, Gone: true})
 		return
--- a/state/fleet/fleet_test.go
+++ b/state/fleet/fleet_test.go
@@ -44,11 +44,11 @@
 
 func TestRemovedEntry(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		outage spanrill.Millis // time from the last failed call to the store to the removal, or -1 for none
-		proof  spanrill.Millis // age of the last confirmation of the entry at the removal
-		after  spanrill.Millis // time from the removal to the check
-		want   bool            // whether the upstream still accepts requests
+		name         string
+		outage       spanrill.Millis // time from the last failed call to the store to the removal, or -1 for none
+		confirmedAge spanrill.Millis // age of the last confirmation of the entry at the removal
+		after        spanrill.Millis // time from the removal to the check
+		want         bool            // whether the upstream still accepts requests
 	}{
 		{"no outage: it has left", -1, 400, 0, false},
 		{"an outage long ago: it has left", storeFailureMemory + 1, storeFailureMemory + 1, 0, false},
@@ -61,7 +61,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, manual := newTable(t)
-			manual.Advance(c.proof - max(0, c.outage))
+			manual.Advance(c.confirmedAge - max(0, c.outage))
 			if c.outage >= 0 {
 				table.NoteOutage()
 				manual.Advance(c.outage)
--- a/state/fleet/gone.go
+++ b/state/fleet/gone.go
@@ -69,12 +69,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var removed []*Upstream
-	for id, d := range t.recentlyRemoved {
-		if t.clock.Now()-d.removedAt >= serveAfterRemoval {
+	for id, r := range t.recentlyRemoved {
+		if t.clock.Now()-r.removedAt >= serveAfterRemoval {
 			delete(t.recentlyRemoved, id)
 			continue
 		}
-		removed = append(removed, d.upstream)
+		removed = append(removed, r.upstream)
 	}
 	return removed
 }
@@ -91,7 +91,7 @@
 	t.noteRemoval(id)
 	t.clearAddr(u)
 	delete(t.held, id)
-	t.logLimits.gone.Log(events.UpstreamGone, t.log, func() logrus.Fields {
+	t.logLimits.removed.Log(events.UpstreamGone, t.log, func() logrus.Fields {
 		return logrus.Fields{"upstream": u.ID(), "why": reason}
 	})
 }
--- a/state/fleet/incarnation_test.go
+++ b/state/fleet/incarnation_test.go
@@ -73,13 +73,13 @@
 }
 
 // apply passes the observation to a table. Its entry has the revision 10+next unless it sets one.
-func (h observation) apply(t *testing.T, table *Table, next uint64, now spanrill.Millis) {
+func (o observation) apply(t *testing.T, table *Table, next uint64, now spanrill.Millis) {
 	t.Helper()
-	entry := startItem(t, "a", 10+next, h.born, h.count, h.layers)
-	if h.revision > 0 {
-		entry.Revision = h.revision
+	entry := startItem(t, "a", 10+next, o.born, o.count, o.layers)
+	if o.revision > 0 {
+		entry.Revision = o.revision
 	}
-	switch h.source {
+	switch o.source {
 	case "change":
 		table.Changed([]spanrill.Change{change(entry)}, entry.Revision, now)
 	case "list":
@@ -93,7 +93,7 @@
 	case "outage":
 		table.NoteOutage()
 	case "report":
-		table.HandleReport("1:1", &spanrill.EngineReport{Born: h.born, Sequence: h.count}, now+h.at)
+		table.HandleReport("1:1", &spanrill.EngineReport{Born: o.born, Sequence: o.count}, now+o.at)
 	}
 }
 
@@ -101,11 +101,11 @@
 // restart becomes known, and against taking late or reordered news for a restart.
 func TestRestartDetection(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		born  int64 // of the first incarnation, 0 without a start time
-		heard []observation
-		held  int // number of layers held at the end
-		again bool
+		name         string
+		born         int64 // of the first incarnation, 0 without a start time
+		observations []observation
+		wantLayers   int // number of layers held at the end
+		wantRestart  bool
 	}{
 		{"between two heartbeats", 1000, []observation{{source: "change", born: 2000, count: 1}}, 0, true},
 		{"and it already holds layers again", 1000, []observation{{source: "change", born: 2000, count: 9, layers: 4}}, 4, true},
@@ -130,14 +130,14 @@
 			table, manual, before := restartTable(t, c.born, 5)
 			var restarted []string
 			table.onRestart = func(addr string) { restarted = append(restarted, addr) }
-			for i, h := range c.heard {
+			for i, h := range c.observations {
 				h.apply(t, table, uint64(i+1), manual.Now())
 			}
-			if c.again {
-				requireNewIncarnation(t, table, before, manual.Now(), c.held)
+			if c.wantRestart {
+				requireNewIncarnation(t, table, before, manual.Now(), c.wantLayers)
 				return
 			}
-			if u := table.View().ByAddr("1:1"); u != before || len(restarted) > 0 || u.Layers().Len() != c.held {
+			if u := table.View().ByAddr("1:1"); u != before || len(restarted) > 0 || u.Layers().Len() != c.wantLayers {
 				t.Fatalf("a restart was detected, or the layers have changed")
 			}
 		})
--- a/state/fleet/knowledge.go
+++ b/state/fleet/knowledge.go
@@ -109,11 +109,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := t.fullUpdate()
-	gone, ok := t.removals.since(after)
+	removed, ok := t.removals.since(after)
 	if !ok || after == 0 || after > t.revision {
 		return k
 	}
-	k.After, k.Gone = after, gone
+	k.After, k.Gone = after, removed
 	k.Entries = slices.DeleteFunc(k.Entries, func(e spanrill.EngineEntry) bool { return e.Revision <= after })
 	return k
 }
--- a/state/fleet/lines.go
+++ b/state/fleet/lines.go
@@ -9,7 +9,7 @@
 // sees all upstreams, and thousands may appear at once. A line states how many were left out before
 // it.
 type logLimits struct {
-	found, leaving, gone *events.Limiter
+	found, leaving, removed *events.Limiter
 }
 
 // maxLinesPerSecond is the limit for each event.
@@ -19,6 +19,6 @@
 	return logLimits{
 		found:   events.NewLimiter(clock, maxLinesPerSecond),
 		leaving: events.NewLimiter(clock, maxLinesPerSecond),
-		gone:    events.NewLimiter(clock, maxLinesPerSecond),
+		removed: events.NewLimiter(clock, maxLinesPerSecond),
 	}
 }
--- a/state/fleet/restored_test.go
+++ b/state/fleet/restored_test.go
@@ -76,12 +76,12 @@
 		return listItems(t, era, listedEntry{"a", "1:1", counter, beats, 0, false})
 	}
 	for _, c := range []struct {
-		name   string
-		gone   spanrill.Millis // time from the removal to the restore
-		then   func(*Table, spanrill.Millis)
-		wait   spanrill.Millis
-		uses   bool
-		listed bool // in the update sent to peers
+		name         string
+		sinceRemoval spanrill.Millis // time from the removal to the restore
+		then         func(*Table, spanrill.Millis)
+		wait         spanrill.Millis
+		wantUsed     bool
+		wantListed   bool // in the update sent to peers
 	}{
 		{"directly after the restore", 1000, nil, 0, false, false},
 		{"just before the end of quarantine", 1000, nil, quarantineTime - 1, false, false},
@@ -99,7 +99,7 @@
 			clock.Advance(storeFailureMemory * 3)
 			table.Listed(entry(1, 90, 5), spanrill.RevisionOf(1, 100), clock.Now())
 			table.Changed([]spanrill.Change{removal("a")}, spanrill.RevisionOf(1, 101), clock.Now())
-			clock.Advance(c.gone)
+			clock.Advance(c.sinceRemoval)
 			table.Listed(entry(2, 40, 3), spanrill.RevisionOf(2, 60), clock.Now())
 			if c.then != nil {
 				c.then(table, clock.Now())
@@ -107,11 +107,11 @@
 			clock.Advance(c.wait)
 			table.Tend()
 			u := table.View().ByID("a")
-			if uses := u != nil && u.TakesAt(clock.Now()); uses != c.uses {
-				t.Errorf("used: %t, want %t", uses, c.uses)
+			if uses := u != nil && u.TakesAt(clock.Now()); uses != c.wantUsed {
+				t.Errorf("used: %t, want %t", uses, c.wantUsed)
 			}
-			if listed := len(table.Knowledge().Entries) > 0; listed != c.listed {
-				t.Errorf("sent to peers: %t, want %t", listed, c.listed)
+			if listed := len(table.Knowledge().Entries) > 0; listed != c.wantListed {
+				t.Errorf("sent to peers: %t, want %t", listed, c.wantListed)
 			}
 		})
 	}
