--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -13,19 +13,19 @@
 // requests within some seconds. RecentlyRemoved returns those upstreams.
 //
 //	fleet.go        the table and its views
-//	knowledge.go    lists, changes and updates from the store and from peers
+//	update.go       lists, changes and updates from the store and from peers
 //	incarnation.go  upstreams that restart under the same name
-//	claim.go        entries with the address of another upstream
+//	conflict.go     entries with the address of another upstream
 //	unreadable.go   entries that cannot be decoded
-//	ends.go         revisions of removals, for peers that ask for changes
-//	gone.go         removed entries, and upstreams that leave
+//	removals.go     revisions of removals, for peers that ask for changes
+//	removed.go      removed entries, and upstreams that leave
 //	restored.go     entries after the store was restored from an older copy
-//	answered.go     periods in which the store answered, and held entries
+//	available.go    periods in which the store answered, and held entries
 //	notice.go       notices of upstreams in their answers: rest, leaving
 //	limit.go        request rate limits that upstreams send in their answers
-//	lines.go        limits on log lines about upstreams
+//	loglimit.go     limits on log lines about upstreams
 //	active.go       upstreams with state from this daemon's own requests
-//	upstream.go     one upstream; refusal.go, risk.go and lag.go hold its health
+//	upstream.go     one upstream; refusal.go, failurerate.go and lag.go hold its health
 //
 // # Usage
 //
