--- a/coordination/chainrouting/best.go
+++ b/coordination/chainrouting/best.go
@@ -6,72 +6,72 @@
 	"spanrill"
 )
 
-// best returns the path that a request takes, or nil if none has room: where the figures
-// of other daemons are old and the flows serve the demand, one by chance in proportion to
-// these, and otherwise the one on which it should end first.
-func (r *Router) best(service string, options []option, need Need, lag float64) []Part {
-	if i, ok := r.byFlow(service, options, lag); ok {
+// choosePath returns the path that a request takes, or nil if every path is full. Where the load
+// figures of other daemons are stale and the flows serve the demand, it chooses at random in
+// proportion to the flows, and otherwise the path with the lowest estimated time.
+func (r *Router) choosePath(service string, options []option, need Need, staleness float64) []Part {
+	if i, ok := r.decideByFlow(service, options, staleness); ok {
 		return options[i].parts
 	}
 	var best []Part
-	least := math.Inf(1)
+	leastEstimate := math.Inf(1)
 	for _, o := range options {
-		if o.closed {
+		if o.full {
 			continue
 		}
-		o.estimate *= r.vary(need.Spread, lag)
-		if o.estimate < least {
-			best, least = o.parts, o.estimate
+		o.estimate *= r.jitter(need.Spread, staleness)
+		if o.estimate < leastEstimate {
+			best, leastEstimate = o.parts, o.estimate
 		}
 	}
 	return best
 }
 
-// byFlow returns the place of the option that a request takes by the flows, and whether
-// these decide.
-func (r *Router) byFlow(service string, options []option, lag float64) (place int, ok bool) {
+// decideByFlow returns the index of the option that a request takes by the flows, and whether the
+// flows decide.
+func (r *Router) decideByFlow(service string, options []option, staleness float64) (index int, ok bool) {
 	switch {
-	case lag <= 0:
+	case staleness <= 0:
 		return 0, false
 	case r.starting.Load():
 		return chooseByRoom(options, r.random.Float64())
-	case r.seesLittle(service):
-		return choose(options, r.Demand(service), r.random.Float64())
+	case r.startsFewRequests(service):
+		return chooseByFlow(options, r.Demand(service), r.random.Float64())
 	}
 	return 0, false
 }
 
-// vary returns a random factor for an estimate, so that daemons which choose at
-// the same moment, or from old figures, do not all take the same path. Dividing by
-// a number from 0 to 1 gives each path a part of the requests in proportion to its
-// speed; the root of that number gives the faster paths more.
-func (r *Router) vary(together bool, lag float64) float64 {
-	times := 1.0
-	if together {
-		times += spread * r.random.Float64()
+// jitter returns a random factor for an estimate, so that daemons which choose at the same
+// moment, or from stale figures, do not all take the same path. Dividing by a random number from
+// 0 to 1 gives each path a share of the requests in proportion to its speed; a root of that
+// number (an exponent below 1) gives the faster paths more.
+func (r *Router) jitter(spread bool, staleness float64) float64 {
+	factor := 1.0
+	if spread {
+		factor += spreadJitter * r.random.Float64()
 	}
-	if lag > 0 {
-		times /= math.Pow(max(leastDraw, r.random.Float64()), lag)
+	if staleness > 0 {
+		factor /= math.Pow(max(minDraw, r.random.Float64()), staleness)
 	}
-	return times
+	return factor
 }
 
-// leastDraw bounds how much longer a path may be made.
-const leastDraw = 0.01
+// minDraw is the smallest random number that jitter divides by.
+const minDraw = 0.01
 
-// seesLittle reports whether this daemon starts so few requests while news comes that
-// what it knows itself of the chains is next to nothing.
-func (r *Router) seesLittle(service string) bool {
+// startsFewRequests reports whether this daemon starts so few requests within propagationTime
+// that its own requests tell it next to nothing of the load of the chains.
+func (r *Router) startsFewRequests(service string) bool {
 	own := r.Demand(service) / float64(max(1, r.pipes.daemons.Load()))
-	return own*float64(newsTime)/float64(spanrill.Second) < littleSeen
+	return own*float64(propagationTime)/float64(spanrill.Second) < fewRequests
 }
 
 const (
-	// newsTime is how long news takes through the trees of a large fleet.
-	newsTime = spanrill.Second
-	// littleSeen is between the 1.3 requests that a daemon of a fleet of 295 starts in
-	// that time, where flows raised the callers that were served in time from 0.909 to
-	// 0.953 of the worth of a day, and the 7 of one of 59 daemons, where they lowered
+	// propagationTime is how long load figures take to reach all daemons of a large fleet.
+	propagationTime = spanrill.Second
+	// fewRequests lies between the 1.3 requests that a daemon of a fleet of 295 starts within
+	// propagationTime, where choosing by flow raised the value of the calls served in time from
+	// 0.909 to 0.953 of a day's total, and the 7 of a daemon of a fleet of 59, where it lowered
 	// it from 0.875 to 0.817.
-	littleSeen = 3.0
+	fewRequests = 3.0
 )
--- a/coordination/chainrouting/path.go
+++ b/coordination/chainrouting/path.go
@@ -15,8 +15,8 @@
 	Layers   spanrill.LayerRange
 }
 
-// share is the part of the engine's layers that the path runs, and so the part
-// of its memory that a token takes.
+// share is the fraction of the engine's layers that the path runs, and so of the memory that a
+// token takes there.
 func (p Part) share() float64 {
 	held := p.Upstream.Layers().Len()
 	if held <= 0 || p.Layers.Len() >= held {
@@ -25,19 +25,19 @@
 	return float64(p.Layers.Len()) / float64(held)
 }
 
-// Path is the engines that a request passes, with tokens reserved at each.
+// Path is the engines that a request crosses, with tokens reserved at each.
 type Path struct {
-	parts    []Part
-	reserved []int64 // at each part
-	tokens   atomic.Int64
-	released atomic.Bool
-	expected float64 // milliseconds that the whole request is expected to take
-	pipes    *pipes
-	seen     []considered
+	parts      []Part
+	reserved   []int64 // tokens, for each part
+	tokens     atomic.Int64
+	released   atomic.Bool
+	expected   float64 // milliseconds that the request is expected to take
+	pipes      *pipes
+	candidates []candidate
 }
 
-// Considered returns what the paths that were compared looked like, for logs.
-func (p *Path) Considered() []string { return describeAll(p.seen) }
+// Considered describes, for logs, the paths that were compared.
+func (p *Path) Considered() []string { return describeAll(p.candidates) }
 
 func (r *Router) newPath(parts []Part, tokens int64, expected float64) *Path {
 	p := &Path{parts: parts, reserved: make([]int64, len(parts)), expected: expected, pipes: &r.pipes}
@@ -66,8 +66,8 @@
 // First returns the engine that the request is sent to.
 func (p *Path) First() *fleet.Upstream { return p.parts[0].Upstream }
 
-// Grow reserves tokens beyond those reserved, for a request that has grown. It
-// is called by the request's own goroutine alone.
+// Grow raises the reservation to that many tokens, for a request that has grown. Only the
+// goroutine of the request may call it.
 func (p *Path) Grow(tokens int64) {
 	more := tokens - p.tokens.Load()
 	if more <= 0 || p.released.Load() {
@@ -75,13 +75,13 @@
 	}
 	p.tokens.Store(tokens)
 	for i, part := range p.parts {
-		add := int64(float64(more) * part.share())
-		p.reserved[i] += add
-		part.Upstream.Reserve(add)
+		added := int64(float64(more) * part.share())
+		p.reserved[i] += added
+		part.Upstream.Reserve(added)
 	}
 }
 
-// Release gives back what the path has reserved. It may be called again.
+// Release returns the reserved tokens. Further calls do nothing.
 func (p *Path) Release() {
 	if p.released.Swap(true) {
 		return
@@ -93,8 +93,7 @@
 	p.pipes.add(p.parts, -1)
 }
 
-// HasDead reports whether an engine of the path did not answer when it was
-// asked last.
+// HasDead reports whether an engine of the path did not answer its last probe.
 func (p *Path) HasDead() bool {
 	for _, part := range p.parts {
 		if part.Upstream.Dead() {
@@ -104,7 +103,7 @@
 	return false
 }
 
-// Dead returns the ids of the engines that did not answer when they were asked last.
+// Dead returns the ids of the engines that did not answer their last probe.
 func (p *Path) Dead() []string {
 	var ids []string
 	for _, part := range p.parts {
@@ -115,8 +114,8 @@
 	return ids
 }
 
-// GivenUp reports whether an engine of the path is being ordered to give layers up
-// that the path runs there. It serves on what runs, and the order waits for that.
+// LosesLayers reports whether an engine of the path is ordered to drop layers that the path runs
+// there. The engine serves running requests to their end, and the order waits for that.
 func (p *Path) GivenUp() bool {
 	for _, part := range p.parts {
 		target := part.Upstream.Target()
@@ -127,31 +126,31 @@
 	return false
 }
 
-// Wire returns the path as engines are told it.
+// Wire returns the path in the form that is sent to engines.
 func (p *Path) Wire() []spanrill.PathPart {
-	out := make([]spanrill.PathPart, len(p.parts))
+	wire := make([]spanrill.PathPart, len(p.parts))
 	for i, part := range p.parts {
-		out[i] = spanrill.PathPart{ID: part.Upstream.ID(), Addr: part.Upstream.Addr(), Layers: part.Layers}
+		wire[i] = spanrill.PathPart{ID: part.Upstream.ID(), Addr: part.Upstream.Addr(), Layers: part.Layers}
 	}
-	return out
+	return wire
 }
 
-// Whole reports whether the path runs each of that many layers once and in
-// order, and no engine twice. It is checked before a request is sent.
+// Covers reports whether the path runs each of that many layers once and in order, and no engine
+// twice. It is checked before a request is sent.
 func (p *Path) Whole(layers int) bool {
-	at := 0
+	next := 0
 	seen := make(map[string]bool, len(p.parts))
 	for _, part := range p.parts {
-		if part.Layers.From != at || part.Layers.To <= at || seen[part.Upstream.ID()] {
+		if part.Layers.From != next || part.Layers.To <= next || seen[part.Upstream.ID()] {
 			return false
 		}
 		seen[part.Upstream.ID()] = true
-		at = part.Layers.To
+		next = part.Layers.To
 	}
-	return at == layers
+	return next == layers
 }
 
-// String returns the path for logs.
+// String returns the engines and layers for logs.
 func (p *Path) String() string {
 	var b strings.Builder
 	for i, part := range p.parts {
--- a/coordination/chainrouting/pipes.go
+++ b/coordination/chainrouting/pipes.go
@@ -8,10 +8,9 @@
 	"spanrill/coordination/cost"
 )
 
-// pipes counts the requests of this daemon whose paths cross between two
-// availability zones. All crossings of a pair share one pipe, which a few
-// prompts can fill: a path that crosses takes only as many requests as the pipe
-// can carry.
+// pipes counts the requests of this daemon whose paths cross between two availability zones. All
+// crossings of a pair of zones share one pipe (a network link of limited bandwidth), which a few
+// prompts can fill, so a path that crosses takes only as many requests as the pipe can carry.
 type pipes struct {
 	daemons atomic.Int64
 	counts  sync.Map // spanrill.ZonePair to *atomic.Int64
@@ -28,10 +27,10 @@
 }
 
 func (p *pipes) add(parts []Part, n int64) {
-	crossings(parts, func(pair spanrill.ZonePair) { p.count(pair).Add(n) })
+	crossings(parts, func(pair spanrill.ZonePair) { p.counter(pair).Add(n) })
 }
 
-func (p *pipes) count(pair spanrill.ZonePair) *atomic.Int64 {
+func (p *pipes) counter(pair spanrill.ZonePair) *atomic.Int64 {
 	c, ok := p.counts.Load(pair)
 	if !ok {
 		c, _ = p.counts.LoadOrStore(pair, &atomic.Int64{})
@@ -39,26 +38,25 @@
 	return c.(*atomic.Int64) //nolint:forcetypeassert // the map holds nothing else
 }
 
-// pipeUse is the part of a pipe that requests may use: a token that arrives
-// behind a prompt waits. Where all other paths are full, a request that waits for
-// its tokens is better served than one that is refused: 0.8 was worth 0.005 more than
-// 0.5 over 40 plays, within noise, and the worst play 0.406 after 0.373.
-const pipeUse = 0.8
+// maxPipeUse is the fraction of a pipe that requests may use: tokens queue behind prompts. Where
+// all other paths are full, a request that waits for its tokens is better served than one that is
+// refused: over 40 simulated runs 0.8 gave 0.005 more than 0.5, within noise, and 0.406 instead
+// of 0.373 in the worst run.
+const maxPipeUse = 0.8
 
-// pipesFor reports whether the pipes of a path can carry one more request that
-// takes that many milliseconds. Other daemons are taken to use them as much as
-// this one.
-func (s *search) pipesFor(parts []Part, millis float64) bool {
+// pipesHaveRoom reports whether the pipes of a path can carry one more request that takes that
+// many milliseconds. It assumes that other daemons use them as much as this one.
+func (s *search) pipesHaveRoom(parts []Part, millis float64) bool {
 	perRequest := cost.PipeMillis(s.model, s.model.UsualPrompt+s.model.UsualAnswer)
 	if perRequest <= 0 {
 		return true
 	}
-	limit := pipeUse * millis / perRequest / float64(max(1, s.pipes.daemons.Load()))
+	limit := maxPipeUse * millis / perRequest / float64(max(1, s.pipes.daemons.Load()))
 	fits := true
 	needed := map[spanrill.ZonePair]int64{}
 	crossings(parts, func(pair spanrill.ZonePair) {
 		needed[pair]++
-		fits = fits && float64(s.pipes.count(pair).Load()+needed[pair]) <= max(1, limit)
+		fits = fits && float64(s.pipes.counter(pair).Load()+needed[pair]) <= max(1, limit)
 	})
 	return fits
 }
--- a/coordination/chainrouting/search.go
+++ b/coordination/chainrouting/search.go
@@ -9,21 +9,21 @@
 	"spanrill/state/fleet"
 )
 
-// search is one choice.
+// search is the state of one choice of a path.
 type search struct {
-	view    *fleet.View
-	service string
-	model   *spanrill.EngineModel
-	need    Need
-	now     spanrill.Millis
-	none    error
-	pipes   *pipes
-	lag     float64        // how old the figures of other daemons are, from 0 to 1
-	draw    func() float64 // from 0 to 1, to choose among equal engines, or nil for the emptiest
-	lenient bool           // engines that have only failed a request lately are used
-	zone    string         // bridges are taken from this availability zone alone, unless ""
-	limited bool           // an engine was left out at which a path could begin, because its rate limit is exhausted
-	rests   bool           // an engine was left out at which a path could begin, because it rests
+	view         *fleet.View
+	service      string
+	model        *spanrill.EngineModel
+	need         Need
+	now          spanrill.Millis
+	bridgeErr    error // why a hole could not be bridged; ErrNoRoom takes precedence
+	pipes        *pipes
+	staleness    float64        // how stale the load figures of other daemons are, from 0 to 1
+	random       func() float64 // from 0 to 1, to choose among equal engines; nil takes the emptiest
+	lenient      bool           // allow engines that are avoided only because they have recently failed a request
+	zone         string         // if not "", bridges use engines of this availability zone only
+	foundLimited bool           // an engine with layer 0 was skipped because its rate limit is exhausted
+	foundResting bool           // an engine with layer 0 was skipped because it rests
 }
 
 func (s *search) usable(u *fleet.Upstream) bool {
@@ -33,14 +33,14 @@
 	return !u.Avoided(s.now) || s.lenient && !u.Refuses(s.now)
 }
 
-// mayRun reports whether an engine may run layers from a place on. A path cannot begin at
-// one that has asked this daemon for rest or whose rate limit is exhausted, because this daemon
-// sends the request there. Later engines receive it from another engine.
-func (s *search) mayRun(u *fleet.Upstream, from int) bool {
+// canRun reports whether an engine may run layers beginning with from. A path cannot begin at an
+// engine that rests or whose rate limit is exhausted, because this daemon sends the request
+// there. Later engines receive it from another engine.
+func (s *search) canRun(u *fleet.Upstream, from int) bool {
 	if u != nil && from == 0 {
 		err := u.MaySend(s.now)
-		s.rests = s.rests || errors.Is(err, fleet.ErrRests)
-		s.limited = s.limited || errors.Is(err, fleet.ErrLimited)
+		s.foundResting = s.foundResting || errors.Is(err, fleet.ErrRests)
+		s.foundLimited = s.foundLimited || errors.Is(err, fleet.ErrLimited)
 		if err != nil {
 			return false
 		}
@@ -48,24 +48,23 @@
 	return s.usable(u)
 }
 
-// complete turns a chain into a path: parts that cannot be used and holes are
-// bridged.
+// complete turns a chain into a path by bridging holes and parts that cannot be used.
 func (s *search) complete(c *chain.Chain) (parts []Part, bridged, ok bool) {
 	used := map[string]bool{}
 	kept := make([]Part, 0, len(c.Parts()))
 	for _, p := range c.Parts() {
-		if u := s.view.ByID(p.ID); s.mayRun(u, p.Layers.From) {
+		if u := s.view.ByID(p.ID); s.canRun(u, p.Layers.From) {
 			kept = append(kept, Part{Upstream: u, Layers: p.Layers})
 			used[p.ID] = true
 		}
 	}
-	at := 0
+	next := 0
 	for _, p := range append(kept, Part{Layers: spanrill.LayerRange{From: s.model.Layers, To: s.model.Layers}}) {
-		if p.Layers.From > at {
-			bridge, err := s.nearBridge(spanrill.LayerRange{From: at, To: p.Layers.From}, used, c.Zone())
+		if p.Layers.From > next {
+			bridge, err := s.bridgePreferringZone(spanrill.LayerRange{From: next, To: p.Layers.From}, used, c.Zone())
 			if err != nil {
-				if s.none == nil || errors.Is(err, ErrNoRoom) {
-					s.none = err
+				if s.bridgeErr == nil || errors.Is(err, ErrNoRoom) {
+					s.bridgeErr = err
 				}
 				return nil, false, false
 			}
@@ -74,20 +73,20 @@
 		if p.Upstream != nil {
 			parts = append(parts, p)
 		}
-		at = p.Layers.To
+		next = p.Layers.To
 	}
 	return parts, bridged, len(parts) <= maxParts
 }
 
-// maxParts is the most engines that the platform takes in one path.
+// maxParts is how many engines the platform accepts in one path.
 const maxParts = 32
 
-// nearBridge covers a range from one availability zone if that can be done, and
-// from any otherwise.
-func (s *search) nearBridge(hole spanrill.LayerRange, used map[string]bool, zone string) ([]Part, error) {
-	before := make(map[string]bool, len(used))
+// bridgePreferringZone covers a range with engines of one availability zone if possible, and of
+// any zone otherwise.
+func (s *search) bridgePreferringZone(hole spanrill.LayerRange, used map[string]bool, zone string) ([]Part, error) {
+	usedBefore := make(map[string]bool, len(used))
 	for id := range used {
-		before[id] = true
+		usedBefore[id] = true
 	}
 	s.zone = zone
 	parts, err := s.bridge(hole, used)
@@ -96,96 +95,100 @@
 		return parts, nil
 	}
 	for id := range used {
-		if !before[id] {
+		if !usedBefore[id] {
 			delete(used, id)
 		}
 	}
 	return s.bridge(hole, used)
 }
 
-// bridge covers a range with parts of what other engines hold. Used engines
-// are left out, and those taken are added to them.
+// bridge covers a range with parts of what other engines hold. It skips engines in used and adds
+// those that it takes.
 func (s *search) bridge(hole spanrill.LayerRange, used map[string]bool) ([]Part, error) {
 	var parts []Part
-	full := false
-	for at := hole.From; at < hole.To; {
-		best, bestTo, weight := (*fleet.Upstream)(nil), at, 0.0
+	skippedFull := false
+	for next := hole.From; next < hole.To; {
+		best, bestTo, weight := (*fleet.Upstream)(nil), next, 0.0
 		for _, u := range s.view.Of(s.service) {
 			l := u.Layers()
-			if used[u.ID()] || l.From > at || l.To <= at || s.zone != "" && u.Zone() != s.zone || !s.mayRun(u, at) {
+			if used[u.ID()] || l.From > next || l.To <= next || s.zone != "" && u.Zone() != s.zone || !s.canRun(u, next) {
 				continue
 			}
 			to := min(l.To, hole.To)
-			if s.free(u) < s.need.tokens()*float64(to-at)/float64(l.Len()) {
-				full = true
+			if s.freeTokens(u) < s.need.tokens()*float64(to-next)/float64(l.Len()) {
+				skippedFull = true
 				continue
 			}
-			if to > bestTo || to == bestTo && s.better(u, best, &weight) {
+			if to > bestTo || to == bestTo && s.preferred(u, best, &weight) {
 				best, bestTo = u, to
 			}
 		}
-		if best == nil && full {
+		if best == nil && skippedFull {
 			return nil, ErrNoRoom
 		}
 		if best == nil {
 			return nil, ErrNoPath
 		}
 		used[best.ID()] = true
-		parts = append(parts, Part{Upstream: best, Layers: spanrill.LayerRange{From: at, To: bestTo}})
-		at = bestTo
+		parts = append(parts, Part{Upstream: best, Layers: spanrill.LayerRange{From: next, To: bestTo}})
+		next = bestTo
 	}
 	return parts, nil
 }
 
-// better reports whether an engine is to be preferred to one that reaches as far.
-// Where many requests move at the same moment, each takes one at random by how
-// empty they are: all would queue at the same one otherwise, which reads the
-// tokens of one after the other. Weight is the sum over those seen so far.
-func (s *search) better(u, than *fleet.Upstream, weight *float64) bool {
-	if s.draw == nil {
-		return s.free(u) > s.free(than)
+// preferred reports whether an engine is preferred to another one that reaches as far. With a
+// random source, each engine is chosen with a probability in proportion to its free tokens: where
+// many requests move at the same moment they would all queue at the emptiest engine otherwise,
+// which reads their tokens one after the other. Weight is the sum of the free tokens of the
+// engines compared so far.
+func (s *search) preferred(u, other *fleet.Upstream, weight *float64) bool {
+	if s.random == nil {
+		return s.freeTokens(u) > s.freeTokens(other)
 	}
 	if *weight == 0 {
-		*weight = max(1, s.free(than))
+		*weight = max(1, s.freeTokens(other))
 	}
-	free := max(1, s.free(u))
+	free := max(1, s.freeTokens(u))
 	*weight += free
-	return s.draw()*(*weight) < free
+	return s.random()*(*weight) < free
 }
 
 func (s *search) kind(u *fleet.Upstream) spanrill.KindModel { return s.model.Kinds[u.Entry().Kind] }
 
-// capacity is for how many tokens an engine has memory beside its layers.
-func (s *search) capacity(u *fleet.Upstream) float64 {
+// capacityTokens returns for how many tokens an engine has memory beside its layers.
+func (s *search) capacityTokens(u *fleet.Upstream) float64 {
 	return cost.Capacity(s.model, s.kind(u), u.Layers().Len())
 }
 
-// free is for how many more tokens an engine has memory.
-func (s *search) free(u *fleet.Upstream) float64 {
+// freeTokens returns for how many more tokens an engine has usable memory.
+func (s *search) freeTokens(u *fleet.Upstream) float64 {
 	if u == nil {
 		return 0
 	}
-	part := fill - fillLag*s.lag
+	fraction := maxFill - staleFillReduction*s.staleness
 	if s.need.Urgent {
-		part = fillUrgent
+		fraction = maxFillUrgent
 	}
-	return part*s.capacity(u) - float64(u.Tokens())
+	return fraction*s.capacityTokens(u) - float64(u.Tokens())
 }
 
-func (s *search) roomFor(parts []Part) bool {
+// hasRoom reports whether the first engine has a free slot and all engines have memory for the
+// request.
+func (s *search) hasRoom(parts []Part) bool {
 	if slots := parts[0].Upstream.Entry().Slots; slots > 0 && parts[0].Upstream.Calls() >= int64(slots) {
 		return false
 	}
 	for _, p := range parts {
-		if s.free(p.Upstream) < s.need.tokens()*p.share() {
+		if s.freeTokens(p.Upstream) < s.need.tokens()*p.share() {
 			return false
 		}
 	}
 	return true
 }
 
-// stages are the engines of a path as they are now: a slow one counts as slow.
-func (s *search) stages(parts []Part) []cost.Stage {
+// costStages returns the stages of a path for the cost model, with the pace that each engine now
+// reports.
+func (s *search) costStages(parts []Part) []cost.Stage {
 	stages := make([]cost.Stage, len(parts))
 	for i, p := range parts {
 		kind := s.kind(p.Upstream)
@@ -197,43 +200,42 @@
 	return stages
 }
 
-// estimate is the time that the request is expected to take on a path, made
-// longer by how full the path is and by how it did lately, and the same without
-// these.
+// estimate returns the time that the request is expected to take on a path, weighted by how full
+// the path is and by its recent delays and failures, and the same without these weights.
 func (s *search) estimate(parts []Part) (weighed, base float64) {
-	stages := s.stages(parts)
-	full, requests := 0.0, 0.0
+	stages := s.costStages(parts)
+	fullest, requests := 0.0, 0.0
 	for _, p := range parts {
-		full = max(full, float64(p.Upstream.Tokens())/max(1, s.capacity(p.Upstream)))
+		fullest = max(fullest, float64(p.Upstream.Tokens())/max(1, s.capacityTokens(p.Upstream)))
 		requests = max(requests, float64(p.Upstream.Tokens())/cost.Tokens(s.model))
 	}
 	answer := max(1, float64(s.need.Answer))
 	millis := cost.PromptMillis(s.model, stages, float64(s.need.Prompt)) + answer*cost.TokenMillis(s.model, stages, requests+1)
 	base = millis
-	millis *= 1 + fullness*full*full
+	millis *= 1 + fullnessWeight*fullest*fullest
 	millis *= parts[0].Upstream.Lag(s.now)
 	for _, p := range parts {
 		millis *= 1 + riskWeight*p.Upstream.Risk(s.now)
 	}
 	if parts[0].Upstream.Zone() != s.need.Zone {
-		millis *= otherZone
+		millis *= otherZoneFactor
 	}
 	return millis, base
 }
 
-// takesMove reports whether an engine can keep its part of a path to which a running
-// request is moved.
-func (s *search) takesMove(p Part) bool {
+// acceptsMove reports whether an engine can keep its part of a path to which a running request is
+// moved.
+func (s *search) acceptsMove(p Part) bool {
 	u, held := p.Upstream, p.Upstream.Layers()
 	return u.TakesAt(s.now) && !u.Dead() && !s.need.Avoid[u.ID()] && held.From <= p.Layers.From && p.Layers.To <= held.To
 }
 
-// untilTaken returns the end of the series of parts from i on that have to be bridged
-// together: several small holes side by side may need one engine that spans them.
-func (s *search) untilTaken(parts []Part, i int, near bool) int {
-	zone := parts[i].Upstream.Zone()
-	end := i + 1
-	for end < len(parts) && !s.takesMove(parts[end]) && (!near || parts[end].Upstream.Zone() == zone) {
+// holeEnd returns the end of the run of parts from start on that are bridged together: several
+// small adjacent holes may need one engine that spans them.
+func (s *search) holeEnd(parts []Part, start int, near bool) int {
+	zone := parts[start].Upstream.Zone()
+	end := start + 1
+	for end < len(parts) && !s.acceptsMove(parts[end]) && (!near || parts[end].Upstream.Zone() == zone) {
 		end++
 	}
 	return end
