--- a/coordination/chain/best.go
+++ b/coordination/chain/best.go
@@ -2,38 +2,38 @@
 
 import "slices"
 
-// The value of a series: layers count, and each change of the availability zone
-// costs as much as a few of them. A hole is bridged by two changes of zone, and
-// a series that takes its engines from two chains breaks both.
+// The value of a series grows with its layers and falls by crossingCost for each change of the
+// availability zone: filling a hole from another zone takes two changes, and a series that takes
+// engines from two chains breaks both.
 const (
-	layerValue    = 1e6
-	crossingValue = 4 * layerValue
+	layerValue   = 1e6
+	crossingCost = 4 * layerValue
 )
 
-// paceValue weighs the pace. Paces differ by tenths.
-const paceValue = 10
+// paceWeight weighs the pace against the value of a layer. Paces differ by tenths.
+const paceWeight = 10
 
-// valueOf is what a holder adds to a series. The pace is worth less than a layer,
-// even over all layers of a model.
-func valueOf(h *Holder) int {
-	return h.Layers.Len() * (layerValue - int(paceValue*h.Pace))
+// holderValue is what a holder adds to the value of a series. The pace weighs less than one
+// layer, even over all layers of a model.
+func holderValue(h *Holder) int {
+	return h.Layers.Len() * (layerValue - int(paceWeight*h.Pace))
 }
 
-// best returns the series of the highest value among holders in order, and its value. It
+// bestChain returns the series of the highest value among sorted holders, and its value. It
 // returns nil if there is no holder.
-func best(layers int, holders []*Holder) (c *Chain, value int) {
-	before := make([]int, len(holders))
-	ends := endings{layers: layers}
+func bestChain(layers int, holders []*Holder) (c *Chain, value int) {
+	previous := make([]int, len(holders))
+	series := seriesByZone{layers: layers}
 	last := -1
-	var seen alike
+	var recent recentHolders
 	for i, h := range holders {
-		if seen.has(h) {
+		if recent.containsOrAdd(h) {
 			continue
 		}
-		zone := ends.zone(h.Zone)
-		v, b := ends.longest(h, zone)
-		before[i] = b
-		ends.zones[zone].add(h.Layers.To, v, i)
+		zone := series.zoneIndex(h.Zone)
+		v, b := series.bestEndingWith(h, zone)
+		previous[i] = b
+		series.zones[zone].record(h.Layers.To, v, i)
 		if last < 0 || v > value {
 			last, value = i, v
 		}
@@ -41,15 +41,15 @@
 	if last < 0 {
 		return nil, 0
 	}
-	return seriesOf(layers, holders, last, before), value
+	return buildChain(layers, holders, last, previous), value
 }
 
-// alike is the holders of the same layers that were met last. One that has also the pace and
-// the availability zone of an earlier one adds nothing: of equal ones the first counts.
-type alike []*Holder
+// recentHolders is the latest holders with the same layers. Of holders that also share pace and
+// availability zone, only the first is considered, because the others cannot improve a series.
+type recentHolders []*Holder
 
-// has reports whether a holder like that was met, and notes it if not.
-func (a *alike) has(h *Holder) bool {
+// containsOrAdd reports whether an equivalent holder is contained, and adds the holder if not.
+func (a *recentHolders) containsOrAdd(h *Holder) bool {
 	if len(*a) > 0 && (*a)[0].Layers != h.Layers {
 		*a = (*a)[:0]
 	}
@@ -62,72 +62,73 @@
 	return false
 }
 
-func seriesOf(layers int, holders []*Holder, last int, before []int) *Chain {
+// buildChain returns the series that ends with the holder at index last, by following previous.
+func buildChain(layers int, holders []*Holder, last int, previous []int) *Chain {
 	c := &Chain{layers: layers}
-	for i := last; i >= 0; i = before[i] {
+	for i := last; i >= 0; i = previous[i] {
 		c.parts = append(c.parts, *holders[i])
 	}
 	slices.Reverse(c.parts)
 	return c
 }
 
-// endings is the best series so far, by the availability zone in which they end.
-type endings struct {
+// seriesByZone is the best series so far, by the availability zone of the last holder.
+type seriesByZone struct {
 	layers int
 	names  []string
-	zones  []ending
+	zones  []seriesByEnd
 }
 
-// zone returns the place of an availability zone. There are few.
-func (e *endings) zone(name string) int {
-	at := slices.Index(e.names, name)
-	if at >= 0 {
-		return at
+// zoneIndex returns the index of an availability zone. There are few, so a linear search does.
+func (e *seriesByZone) zoneIndex(name string) int {
+	index := slices.Index(e.names, name)
+	if index >= 0 {
+		return index
 	}
 	e.names = append(e.names, name)
-	e.zones = append(e.zones, newEnding(e.layers))
+	e.zones = append(e.zones, newSeriesByEnd(e.layers))
 	return len(e.names) - 1
 }
 
-// longest returns the value of the best series that ends with a holder, and the place of
+// bestEndingWith returns the value of the best series that ends with a holder, and the index of
 // the holder before it, or -1. Of equal ones the first counts.
-func (e *endings) longest(h *Holder, zone int) (value, before int) {
-	own := valueOf(h)
-	value, before = own, -1
+func (e *seriesByZone) bestEndingWith(h *Holder, zone int) (value, previous int) {
+	added := holderValue(h)
+	value, previous = added, -1
 	for i, z := range e.zones {
 		last := z[h.Layers.From]
-		if last.place < 0 {
+		if last.index < 0 {
 			continue
 		}
-		v := last.value + own
+		v := last.value + added
 		if i != zone {
-			v -= crossingValue
+			v -= crossingCost
 		}
-		if v > value || v == value && before >= 0 && last.place < before {
-			value, before = v, last.place
+		if v > value || v == value && previous >= 0 && last.index < previous {
+			value, previous = v, last.index
 		}
 	}
-	return value, before
+	return value, previous
 }
 
-// ending is the best series of one availability zone by the layer at which they end, or
-// before it, so that a holder is not compared with all before it.
-type ending []lastPart
+// seriesByEnd is the best series of one availability zone that end at each layer or before it, so
+// that a holder need not be compared with all before it.
+type seriesByEnd []seriesEnd
 
-// lastPart is the place of a series' last holder, and the value of the series.
-type lastPart struct{ value, place int }
+// seriesEnd is the value of a series and the index of its last holder.
+type seriesEnd struct{ value, index int }
 
-func newEnding(layers int) ending {
-	e := make(ending, layers+1)
+func newSeriesByEnd(layers int) seriesByEnd {
+	e := make(seriesByEnd, layers+1)
 	for i := range e {
-		e[i].place = -1
+		e[i].index = -1
 	}
 	return e
 }
 
-// add takes a series that ends at a layer.
-func (e ending) add(layer, value, place int) {
-	for i := layer; i < len(e) && (e[i].place < 0 || value > e[i].value); i++ {
-		e[i] = lastPart{value, place}
+// record enters a series that ends at a layer.
+func (e seriesByEnd) record(layer, value, index int) {
+	for i := layer; i < len(e) && (e[i].index < 0 || value > e[i].value); i++ {
+		e[i] = seriesEnd{value, index}
 	}
 }
--- a/coordination/chain/size_test.go
+++ b/coordination/chain/builder_test.go
@@ -9,7 +9,7 @@
 	"spanrill"
 )
 
-// randomHolder returns a holder of a few layers, mostly on the bounds that others have.
+// randomHolder returns a holder of a few layers, most of which end at a multiple of grid.
 func randomHolder(r *rand.Rand, i, zones, layers int) Holder {
 	const grid = 4
 	from := r.Intn(layers/grid) * grid
@@ -19,11 +19,11 @@
 	}
 }
 
-// A reader that has read before finds the same as one that has not, whatever has changed.
-// When all chains were read again after each change, one change among 2,922 engines took
-// each daemon 82 ms of a core: 0.43 s on a machine of 0.192 of a core, where a caller wants
-// the first event within 0.6 s.
-func TestReaderKeepsNothingThatHasChanged(t *testing.T) {
+// A Builder that keeps chains between calls returns the same as a new one, whatever has changed.
+// It keeps chains because building all of them again after one change among 2,922 engines took
+// each daemon 82 ms of a core: 0.43 s on a machine with 0.192 of a core, where a caller wants the
+// first event within 0.6 s.
+func TestBuilderMatchesFreshBuild(t *testing.T) {
 	const engines, zones, layers = 120, 5, 24
 	for seed := range int64(20) {
 		r := rand.New(rand.NewSource(seed))
@@ -44,7 +44,7 @@
 			got, spare := reader.Read(holders)
 			want, wantSpare := Read(layers, holders)
 			if describe(got, spare) != describe(want, wantSpare) {
-				t.Fatalf("seed %d, step %d: read %s, want %s", seed, step, describe(got, spare), describe(want, wantSpare))
+				t.Fatalf("seed %d, step %d: built %s, want %s", seed, step, describe(got, spare), describe(want, wantSpare))
 			}
 		}
 	}
@@ -58,8 +58,8 @@
 	return fmt.Sprint(s, "spares ", spares)
 }
 
-// manyHolders are engines of five availability zones: chains of eight, and spares.
-func manyHolders(n int) []Holder {
+// benchmarkHolders returns engines of five availability zones: chains of eight, and spares.
+func benchmarkHolders(n int) []Holder {
 	var holders []Holder
 	for i := range n {
 		from := i / 5 % 8 * 10
@@ -74,12 +74,12 @@
 	return holders
 }
 
-// One engine changes, and the chains of all are read again: 82 ms with 2,922 when each chain
-// was looked for among all engines, 2.2 ms now; 6.1 ms with 5,844.
-func BenchmarkReadAfterOneChange(b *testing.B) {
+// One engine changes, and all chains are built again. With 2,922 engines it took 82 ms when each
+// chain was searched for among all engines, and takes 2.2 ms now; 6.1 ms with 5,844.
+func BenchmarkBuildAfterOneChange(b *testing.B) {
 	for _, n := range []int{975, 2922, 5844} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			holders := manyHolders(n)
+			holders := benchmarkHolders(n)
 			reader := NewReader(80)
 			reader.Read(holders)
 			for i := 0; b.Loop(); i++ {
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -1,26 +1,23 @@
-// Package chain reads the chains of a service off the layers that its engines
-// hold.
+// Package chain builds the chains of a service from the layers that its engines hold.
 //
-// A chain is a series of engines that together hold every layer of the model
-// once. Nothing stores which engine belongs to which chain: every daemon sees
-// the same holdings and reads the same chains off them, and after a crash of
-// all daemons nothing has to be restored.
+// A chain is a series of engines that together hold every layer of the model once. Nothing stores
+// which engine belongs to which chain: every daemon sees the same layers and builds the same
+// chains from them, and after a crash of all daemons nothing has to be restored.
 //
-// A chain that has lost an engine has holes: ranges that none of its engines
-// holds.
+// A chain that has lost an engine has holes: ranges of layers that none of its engines holds.
 //
-//	chain.go  a chain
-//	read.go   reading all chains
-//	best.go   the best series of some holders
+//	chain.go  the type Chain
+//	read.go   building all chains of a model
+//	best.go   the best series of given holders
 //
 // # Usage
 //
-//	chains, spares := chain.Read(model.Layers, holders)
+//	chains, spares := chain.Build(model.Layers, holders)
 //
-// Whoever reads again after each change keeps a Reader:
+// To build chains again after each change, keep a Builder:
 //
-//	r := chain.NewReader(model.Layers)
-//	chains, spares = r.Read(holders)
+//	b := chain.NewBuilder(model.Layers)
+//	chains, spares = b.Build(holders)
 package chain
 
 import "spanrill"
@@ -30,8 +27,8 @@
 	ID     string
 	Zone   string
 	Layers spanrill.LayerRange
-	Used   int64   // of holders of the same layers the most used one is a part and not a spare
-	Pace   float64 // of its kind: of series that cover as much the fastest is the chain
+	Used   int64   // of holders of the same layers, the most used one is a part and the others are spares
+	Pace   float64 // of its kind; of series that cover as much, the fastest becomes the chain
 }
 
 // Chain is a series of holders in the order of their layers.
@@ -43,7 +40,7 @@
 // Parts returns the holders in order. The slice must not be changed.
 func (c *Chain) Parts() []Holder { return c.parts }
 
-// Covered returns how many layers the chain's engines hold.
+// Covered returns how many layers the engines of the chain hold.
 func (c *Chain) Covered() int {
 	n := 0
 	for _, p := range c.parts {
@@ -52,26 +49,26 @@
 	return n
 }
 
-// Whole reports whether the chain holds every layer.
+// Complete reports whether the chain covers every layer.
 func (c *Chain) Whole() bool { return c.Covered() == c.layers }
 
 // Holes returns the ranges that no engine of the chain holds.
 func (c *Chain) Holes() []spanrill.LayerRange {
 	var holes []spanrill.LayerRange
-	at := 0
+	next := 0
 	for _, p := range c.parts {
-		if p.Layers.From > at {
-			holes = append(holes, spanrill.LayerRange{From: at, To: p.Layers.From})
+		if p.Layers.From > next {
+			holes = append(holes, spanrill.LayerRange{From: next, To: p.Layers.From})
 		}
-		at = p.Layers.To
+		next = p.Layers.To
 	}
-	if at < c.layers {
-		holes = append(holes, spanrill.LayerRange{From: at, To: c.layers})
+	if next < c.layers {
+		holes = append(holes, spanrill.LayerRange{From: next, To: c.layers})
 	}
 	return holes
 }
 
-// Zone returns the availability zone that holds most of the chain.
+// Zone returns the availability zone whose engines hold most layers of the chain.
 func (c *Chain) Zone() string {
 	count := map[string]int{}
 	best := ""
--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -11,35 +11,35 @@
 	return Holder{ID: id, Zone: zone, Layers: spanrill.LayerRange{From: from, To: to}}
 }
 
-func TestRead(t *testing.T) {
+func TestBuild(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		holders []Holder
-		want    string // availability zone, parts and holes of each chain
+		want    string // availability zone, number of parts and holes of each chain
 		spares  int
 	}{
 		{"one chain", []Holder{holder("a", "z1", 0, 6), holder("b", "z1", 6, 12)}, "z1:2[] ", 0},
-		{"two zones", []Holder{
+		{"a chain in each of two zones", []Holder{
 			holder("a", "z1", 0, 6), holder("b", "z1", 6, 12), holder("c", "z2", 0, 6), holder("d", "z2", 6, 12),
 		}, "z1:2[] z2:2[] ", 0},
-		{"over zones when there is no other way", []Holder{holder("a", "z1", 0, 6), holder("b", "z2", 6, 12)}, "z1:2[] ", 0},
-		{"a hole, not engines of another chain", []Holder{
+		{"a chain over two zones if there is no other", []Holder{holder("a", "z1", 0, 6), holder("b", "z2", 6, 12)}, "z1:2[] ", 0},
+		{"a hole is not filled with engines of another chain", []Holder{
 			holder("a", "z1", 0, 4), holder("c", "z1", 8, 12),
 			holder("d", "z2", 0, 4), holder("e", "z2", 4, 8), holder("f", "z2", 8, 12),
 		}, "z2:3[] z1:2[{4 8}] ", 0},
-		{"two broken chains are not mixed into one", []Holder{
+		{"two chains with holes are not combined", []Holder{
 			holder("a", "z1", 0, 4), holder("c", "z1", 7, 12),
 			holder("d", "z2", 0, 4), holder("e", "z2", 4, 9),
 		}, "z2:2[{9 12}] z1:2[{4 7}] ", 0},
-		{"of series that hold the same the fastest", []Holder{
+		{"the fastest of series that cover the same layers", []Holder{
 			holder("a", "z1", 0, 6), holder("b", "z1", 6, 8), holder("c", "z1", 8, 10), holder("d", "z1", 10, 12),
 			{ID: "slow", Zone: "z1", Layers: spanrill.LayerRange{From: 6, To: 10}, Pace: 4},
 		}, "z1:4[] ", 1},
-		{"spares of several zones are no chain with holes", []Holder{
+		{"spares of several zones do not form a chain with holes", []Holder{
 			holder("a", "z1", 0, 12), holder("b", "z1", 0, 4), holder("c", "z2", 4, 8), holder("d", "z3", 9, 11),
 		}, "z1:1[] ", 3},
 		{"spares", []Holder{holder("a", "z1", 0, 12), holder("b", "z1", 3, 6)}, "z1:1[] ", 1},
-		{"a range outside of the model", []Holder{holder("a", "z1", 0, 12), holder("b", "z1", 6, 14)}, "z1:1[] ", 0},
+		{"a range outside of the model is ignored", []Holder{holder("a", "z1", 0, 12), holder("b", "z1", 6, 14)}, "z1:1[] ", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			chains, spares := Read(12, c.holders)
@@ -54,8 +54,8 @@
 	}
 }
 
-// A series never runs a layer twice, whatever is held.
-func TestPartsDoNotOverlap(t *testing.T) {
+// No layer is in two parts of a chain, however the ranges of the holders overlap.
+func TestChainPartsDoNotOverlap(t *testing.T) {
 	var holders []Holder
 	for i := range 60 {
 		holders = append(holders, holder(fmt.Sprint(i), fmt.Sprint(i%3), i*7%40, min(40, i*7%40+3+i%9)))
@@ -65,19 +65,20 @@
 		t.Fatal("no chains")
 	}
 	for _, c := range chains {
-		at := 0
+		next := 0
 		for _, p := range c.Parts() {
-			if p.Layers.From < at {
-				t.Fatalf("part %v begins before layer %d", p, at)
+			if p.Layers.From < next {
+				t.Fatalf("part %v begins before layer %d", p, next)
 			}
-			at = p.Layers.To
+			next = p.Layers.To
 		}
 	}
 }
 
-// Chains of 975 engines in three availability zones: 97 ms when each holder was compared
-// with all before it, 7.9 ms when all zones were gone through for each chain, 1.4 ms now.
-func BenchmarkRead(b *testing.B) {
+// 975 engines in three availability zones. It took 97 ms when each holder was compared with all
+// before it, 7.9 ms when all zones were searched for each chain, and takes 1.4 ms with
+// seriesByEnd and zones built one by one.
+func BenchmarkBuild(b *testing.B) {
 	var holders []Holder
 	for i := range 975 {
 		from := i / 3 % 8 * 10
--- a/coordination/chain/read.go
+++ b/coordination/chain/read.go
@@ -8,51 +8,52 @@
 	"strings"
 )
 
-// minShare is the part of the layers, as one in minShare, below which a series
-// of holders is taken for spares and not for a chain with holes. A chain with holes
-// is read in one availability zone: spares of several hold as many layers together.
-const minShare = 2
+// minCoverageDivisor divides the number of layers of a model: a series that covers less is left
+// as spares and not taken for a chain with holes. A chain with holes is built inside one
+// availability zone, because spares of several zones cover as many layers together.
+const minCoverageDivisor = 2
 
-// Read returns the chains of a model with that many layers, whole ones first,
-// and the holders that belong to none.
+// Build returns the chains of a model with that many layers, complete ones first, and the holders
+// that belong to none.
 func Read(layers int, holders []Holder) (chains []*Chain, spares []Holder) {
 	return NewReader(layers).Read(holders)
 }
 
-// Reader reads the chains of a model again and again. It keeps the whole chains of each
-// availability zone until a holder of that zone changes: of 2,922 engines one changes at a
-// time, and the others need not be read again. It is not safe for use by several goroutines.
+// Builder builds the chains of a model repeatedly. It keeps the complete chains of each
+// availability zone until a holder of that zone changes: with 2,922 engines, one changes at a
+// time, and the chains of the other zones are not built again. It is not safe for concurrent use.
 type Reader struct {
 	layers int
 	zones  map[string]*zoneChains
 }
 
-// zoneChains is the whole chains inside one availability zone.
+// zoneChains holds the complete chains inside one availability zone.
 type zoneChains struct {
-	given  []Holder // in the order in which they were given
-	chains []*Chain
-	left   []*Holder // in order, of given
+	input     []Holder // in the order of the caller
+	chains    []*Chain
+	remaining []*Holder // elements of input that are in no chain, sorted
 }
 
-// NewReader returns a reader of a model with that many layers.
+// NewBuilder returns a builder for a model with that many layers.
 func NewReader(layers int) *Reader { return &Reader{layers: layers, zones: map[string]*zoneChains{}} }
 
-// Read returns the chains, whole ones first, and the holders that belong to none.
+// Build returns the chains, complete ones first, and the holders that belong to none.
 func (r *Reader) Read(holders []Holder) (chains []*Chain, spares []Holder) {
-	chains, left := r.inZones(r.byZone(holders))
-	over, left := whole(r.layers, left)
-	chains = append(chains, over...)
-	broken, left := r.broken(left)
+	chains, remaining := r.chainsInsideZones(r.groupByZone(holders))
+	crossing, remaining := extractComplete(r.layers, remaining)
+	chains = append(chains, crossing...)
+	broken, remaining := r.extractIncomplete(remaining)
 	chains = append(chains, broken...)
 	sort.SliceStable(chains, func(i, k int) bool { return chains[i].Covered() > chains[k].Covered() })
-	for _, h := range left {
+	for _, h := range remaining {
 		spares = append(spares, *h)
 	}
 	return chains, spares
 }
 
-// byZone returns the holders of a range of the model by their availability zone.
-func (r *Reader) byZone(holders []Holder) map[string][]*Holder {
+// groupByZone returns the holders by availability zone, without those whose range is empty or
+// outside of the model.
+func (r *Reader) groupByZone(holders []Holder) map[string][]*Holder {
 	zones := map[string][]*Holder{}
 	for i := range holders {
 		h := &holders[i]
@@ -63,119 +64,120 @@
 	return zones
 }
 
-// inZones returns the whole chains that lie inside an availability zone, and what is left,
-// in order.
-func (r *Reader) inZones(zones map[string][]*Holder) (chains []*Chain, left []*Holder) {
+// chainsInsideZones returns the complete chains that lie inside one availability zone, and the
+// remaining holders, sorted.
+func (r *Reader) chainsInsideZones(zones map[string][]*Holder) (chains []*Chain, remaining []*Holder) {
 	maps.DeleteFunc(r.zones, func(zone string, _ *zoneChains) bool { return zones[zone] == nil })
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		z := r.zones[zone]
-		if z == nil || !slices.EqualFunc(z.given, zones[zone], func(a Holder, b *Holder) bool { return a == *b }) {
-			z = readZone(r.layers, zones[zone])
+		if z == nil || !slices.EqualFunc(z.input, zones[zone], func(a Holder, b *Holder) bool { return a == *b }) {
+			z = buildZone(r.layers, zones[zone])
 			r.zones[zone] = z
 		}
 		chains = append(chains, z.chains...)
-		left = append(left, z.left...)
+		remaining = append(remaining, z.remaining...)
 	}
-	slices.SortFunc(left, compare)
-	return chains, left
+	slices.SortFunc(remaining, compareHolders)
+	return chains, remaining
 }
 
-func readZone(layers int, holders []*Holder) *zoneChains {
-	z := &zoneChains{given: make([]Holder, len(holders))}
+func buildZone(layers int, holders []*Holder) *zoneChains {
+	z := &zoneChains{input: make([]Holder, len(holders))}
 	sorted := make([]*Holder, len(holders))
 	for i, h := range holders {
-		z.given[i] = *h
-		sorted[i] = &z.given[i]
+		z.input[i] = *h
+		sorted[i] = &z.input[i]
 	}
-	slices.SortFunc(sorted, compare)
-	z.chains, z.left = whole(layers, sorted)
+	slices.SortFunc(sorted, compareHolders)
+	z.chains, z.remaining = extractComplete(layers, sorted)
 	return z
 }
 
-// whole takes whole chains out of holders until there are none.
-func whole(layers int, from []*Holder) (chains []*Chain, left []*Holder) {
-	left = from
+// extractComplete takes complete chains out of sorted holders until none is left, and returns the
+// remaining holders.
+func extractComplete(layers int, holders []*Holder) (chains []*Chain, remaining []*Holder) {
+	remaining = holders
 	for {
-		c, _ := best(layers, left)
+		c, _ := bestChain(layers, remaining)
 		if c == nil || !c.Whole() {
-			return chains, left
+			return chains, remaining
 		}
-		chains, left = append(chains, c), without(left, c)
+		chains, remaining = append(chains, c), without(remaining, c)
 	}
 }
 
-// broken returns the chains with holes, each of one availability zone, the one that covers
-// most first.
-func (r *Reader) broken(from []*Holder) (chains []*Chain, left []*Holder) {
-	zones, found := map[string][]*Holder{}, map[string]series{}
-	for _, h := range from {
-		zones[h.Zone] = append(zones[h.Zone], h)
+// extractIncomplete takes chains with holes out of the holders, each from one availability zone,
+// the one with the best series first, and returns the remaining holders.
+func (r *Reader) extractIncomplete(holders []*Holder) (chains []*Chain, remaining []*Holder) {
+	byZone, bestByZone := map[string][]*Holder{}, map[string]bestSeries{}
+	for _, h := range holders {
+		byZone[h.Zone] = append(byZone[h.Zone], h)
 	}
-	for zone, holders := range zones {
-		found[zone] = bestOf(r.layers, holders)
+	for zone, holders := range byZone {
+		bestByZone[zone] = findBestSeries(r.layers, holders)
 	}
 	for {
-		zone := fullest(found)
-		s := found[zone]
-		if s.chain == nil || s.chain.Covered() < max(1, r.layers/minShare) {
+		zone := bestZone(bestByZone)
+		s := bestByZone[zone]
+		if s.chain == nil || s.chain.Covered() < max(1, r.layers/minCoverageDivisor) {
 			break
 		}
 		chains = append(chains, s.chain)
-		zones[zone] = without(zones[zone], s.chain)
-		found[zone] = bestOf(r.layers, zones[zone])
+		byZone[zone] = without(byZone[zone], s.chain)
+		bestByZone[zone] = findBestSeries(r.layers, byZone[zone])
 	}
-	for _, holders := range zones {
-		left = append(left, holders...)
+	for _, holders := range byZone {
+		remaining = append(remaining, holders...)
 	}
-	slices.SortFunc(left, compare)
-	return chains, left
+	slices.SortFunc(remaining, compareHolders)
+	return chains, remaining
 }
 
-// series is the best series of some holders.
-type series struct {
+// bestSeries is the best series of given holders.
+type bestSeries struct {
 	chain *Chain // nil if there is no holder
 	value int
 }
 
-func bestOf(layers int, holders []*Holder) series {
-	c, value := best(layers, holders)
-	return series{chain: c, value: value}
+func findBestSeries(layers int, holders []*Holder) bestSeries {
+	c, value := bestChain(layers, holders)
+	return bestSeries{chain: c, value: value}
 }
 
-// fullest returns the availability zone with the best series. Of equal ones the one whose
-// last holder comes first in order counts.
-func fullest(found map[string]series) string {
-	zone := ""
-	for name, s := range found {
+// bestZone returns the availability zone with the best series, and of equal ones the one whose
+// last holder sorts first.
+func bestZone(bestByZone map[string]bestSeries) string {
+	best := ""
+	for name, s := range bestByZone {
 		if s.chain == nil {
 			continue
 		}
-		first := found[zone]
-		if first.chain == nil || s.value > first.value || s.value == first.value && compare(s.chain.last(), first.chain.last()) < 0 {
-			zone = name
+		first := bestByZone[best]
+		if first.chain == nil || s.value > first.value || s.value == first.value && compareHolders(s.chain.last(), first.chain.last()) < 0 {
+			best = name
 		}
 	}
-	return zone
+	return best
 }
 
 func (c *Chain) last() *Holder { return &c.parts[len(c.parts)-1] }
 
-// without returns the holders that are no part of a chain, in the same order.
-func without(from []*Holder, c *Chain) []*Holder {
-	left := make([]*Holder, 0, len(from)-len(c.parts))
+// without returns the holders that are not part of the chain, in the same order. Both are sorted.
+func without(holders []*Holder, c *Chain) []*Holder {
+	remaining := make([]*Holder, 0, len(holders)-len(c.parts))
 	next := 0
-	for _, h := range from {
+	for _, h := range holders {
 		if next < len(c.parts) && h.ID == c.parts[next].ID {
 			next++
 			continue
 		}
-		left = append(left, h)
+		remaining = append(remaining, h)
 	}
-	return left
+	return remaining
 }
 
-// compare orders holders by their layers; of equal ones the most used is first.
-func compare(a, b *Holder) int {
+// compareHolders sorts holders by their layers, and by descending use for the same layers.
+func compareHolders(a, b *Holder) int {
 	return cmp.Or(
 		cmp.Compare(a.Layers.From, b.Layers.From),
 		cmp.Compare(a.Layers.To, b.Layers.To),
