--- a/coordination/routing/baselines.go
+++ b/coordination/routing/baselines.go
@@ -7,10 +7,10 @@
 	"spanrill/state/load"
 )
 
-// Random picks any usable candidate.
+// Random picks a usable candidate at random.
 type Random struct{ rng *rng.Source }
 
-// NewRandom returns the baseline that picks at random.
+// NewRandom returns a policy that picks at random.
 func NewRandom(source *rng.Source) *Random { return &Random{rng: source} }
 
 // Name returns "random".
@@ -24,6 +24,7 @@
 	return firstUsable(candidates, p.rng.IntN(len(candidates)), q)
 }
 
+// firstUsable returns the first usable candidate from index start on, wrapping around, or nil.
 func firstUsable(candidates []*load.Upstream, start int, q *Query) *load.Upstream {
 	for i := range candidates {
 		if u := candidates[(start+i)%len(candidates)]; q.Usable(u) {
@@ -36,7 +37,7 @@
 // RoundRobin picks the candidates in turn.
 type RoundRobin struct{ next atomic.Uint64 }
 
-// NewRoundRobin returns the baseline that picks in turn.
+// NewRoundRobin returns a policy that picks in turn.
 func NewRoundRobin() *RoundRobin { return &RoundRobin{} }
 
 // Name returns "round-robin".
@@ -51,16 +52,16 @@
 	return firstUsable(candidates, start, q)
 }
 
-// LeastInFlight picks the candidate with the fewest requests of this daemon.
+// LeastInFlight picks the candidate with the fewest requests in flight from this daemon.
 type LeastInFlight struct{ next atomic.Uint64 }
 
-// NewLeastInFlight returns the baseline that counts this daemon's requests.
+// NewLeastInFlight returns a policy that picks by this daemon's requests in flight.
 func NewLeastInFlight() *LeastInFlight { return &LeastInFlight{} }
 
 // Name returns "least-in-flight".
 func (p *LeastInFlight) Name() string { return "least-in-flight" }
 
-// Pick returns the usable candidate with the fewest requests.
+// Pick returns the usable candidate with the fewest requests in flight.
 func (p *LeastInFlight) Pick(candidates []*load.Upstream, q *Query) *load.Upstream {
 	var best *load.Upstream
 	start := int(p.next.Add(1))
--- a/coordination/routing/explain.go
+++ b/coordination/routing/explain.go
@@ -6,7 +6,7 @@
 	"spanrill/state/load"
 )
 
-// Candidate is one engine that could run a stage, and how it is judged.
+// Candidate is an engine that could run a stage, with the figures by which it is compared.
 type Candidate struct {
 	Engine string  `json:"engine"`
 	Zone   string  `json:"availability_zone"`
@@ -14,35 +14,36 @@
 	To     int     `json:"to"`
 	Load   float64 `json:"load"`           // requests expected on it
 	Micros float64 `json:"micros_a_token"` // at a full batch
-	Slow   float64 `json:"slow"`           // times slower than reported
+	Slow   float64 `json:"slow"`           // factor by which it is slower than it reports
 	Link   int64   `json:"link_micros"`
-	Score  float64 `json:"score"` // lower is better
-	Why    string  `json:"why_not,omitempty"`
+	Score  float64 `json:"score"`             // lower is better
+	Why    string  `json:"why_not,omitempty"` // why the engine cannot be used, if it cannot
 }
 
-// Explanation says why a request would go where.
+// Explanation reports which chain a request would take, and the candidates of each stage.
 type Explanation struct {
 	Policy string        `json:"policy"`
 	Chain  []string      `json:"chain"`
 	Stages [][]Candidate `json:"stages"` // the best candidate first
 }
 
-// Explain chooses a chain and tells how the candidates of each stage compare.
+// Explain chooses a chain and returns how the candidates of each of its stages compare.
 func (r *Router) Explain(index *load.ModelIndex, q *Query) Explanation {
 	e := Explanation{Policy: r.policy.Name(), Chain: []string{}, Stages: [][]Candidate{}}
 	chain, _ := r.Choose(index, q, nil)
 	q.Last = nil
 	for _, chosen := range chain {
 		e.Chain = append(e.Chain, chosen.Name())
-		e.Stages = append(e.Stages, candidates(index, q, chosen.Layers().From))
+		e.Stages = append(e.Stages, stageCandidates(index, q, chosen.Layers().From))
 		q.Last = chosen
 	}
 	return e
 }
 
-func candidates(index *load.ModelIndex, q *Query, from int) []Candidate {
+// stageCandidates returns the engines whose layers start at from, the best first.
+func stageCandidates(index *load.ModelIndex, q *Query, from int) []Candidate {
 	ways := index.Ways(q.Layers)
-	var all []Candidate
+	var result []Candidate
 	for _, u := range index.From(from) {
 		c := Candidate{
 			Engine: u.Name(), Zone: u.Zone(), From: u.Layers().From, To: u.Layers().To,
@@ -55,8 +56,8 @@
 		case u.Ejected(q.Now):
 			c.Why = "ejected"
 		}
-		all = append(all, c)
+		result = append(result, c)
 	}
-	sort.Slice(all, func(i, k int) bool { return all[i].Score < all[k].Score })
-	return all
+	sort.Slice(result, func(i, k int) bool { return result[i].Score < result[k].Score })
+	return result
 }
--- a/coordination/routing/leastwork.go
+++ b/coordination/routing/leastwork.go
@@ -5,15 +5,14 @@
 	"spanrill/state/load"
 )
 
-// LeastWork picks, among a few random candidates, the one on which a request
-// is expected to wait and run the shortest. Random candidates keep daemons
-// that see the same report from choosing the same engine.
+// LeastWork picks, among a few random candidates, the one on which a request is expected to wait
+// and run the shortest. Because the candidates are random, daemons that see the same reports do
+// not all choose the same engine.
 type LeastWork struct {
 	rng     *rng.Source
 	samples int
 }
 
-// defaultSamples is how many candidates are compared.
 const defaultSamples = 16
 
 // NewLeastWork returns the default policy.
@@ -24,43 +23,42 @@
 // Name returns "least-work".
 func (p *LeastWork) Name() string { return "least-work" }
 
-// Pick returns the best of a few usable candidates.
+// Pick returns the best of the preferred candidates and a few random ones that are usable.
 func (p *LeastWork) Pick(candidates []*load.Upstream, q *Query) *load.Upstream {
 	n := len(candidates)
 	if n == 0 {
 		return nil
 	}
-	var best choice
+	var best bestCandidate
 	for _, u := range q.Prefer {
-		if listed(candidates, u) && q.Usable(u) {
+		if sortedContains(candidates, u) && q.Usable(u) {
 			best.consider(u, q)
 		}
 	}
-	start, step, found := p.rng.IntN(n), stride(n), 0
-	for i := 0; i < n && found < p.samples; i++ {
+	start, step, considered := p.rng.IntN(n), stride(n), 0
+	for i := 0; i < n && considered < p.samples; i++ {
 		if u := candidates[(start+i*step)%n]; q.Usable(u) {
 			best.consider(u, q)
-			found++
+			considered++
 		}
 	}
 	return best.upstream
 }
 
-// choice is the best candidate so far.
-type choice struct {
+// bestCandidate is the candidate with the lowest score so far.
+type bestCandidate struct {
 	upstream *load.Upstream
 	score    float64
 }
 
-func (c *choice) consider(u *load.Upstream, q *Query) {
+func (c *bestCandidate) consider(u *load.Upstream, q *Query) {
 	if s := Score(u, q); c.upstream == nil || s < c.score {
 		c.upstream, c.score = u, s
 	}
 }
 
-// listed reports whether an upstream is among the candidates, which are in the
-// order of their names.
-func listed(candidates []*load.Upstream, u *load.Upstream) bool {
+// sortedContains reports whether an upstream is among candidates, which are sorted by name.
+func sortedContains(candidates []*load.Upstream, u *load.Upstream) bool {
 	low, high := 0, len(candidates)
 	for low < high {
 		middle := (low + high) / 2
@@ -73,13 +71,14 @@
 	return low < len(candidates) && candidates[low] == u
 }
 
-// stride returns a step that visits each of n places once and far apart.
+// stride returns a step that visits each of n indexes once (it is coprime to n) and spreads
+// successive visits.
 func stride(n int) int {
-	s := n*5/8 | 1
-	for gcd(s, n) != 1 {
-		s += 2
+	step := n*5/8 | 1
+	for gcd(step, n) != 1 {
+		step += 2
 	}
-	return s
+	return step
 }
 
 func gcd(a, b int) int {
@@ -89,20 +88,20 @@
 	return a
 }
 
-// zoneMicros is what crossing into another availability zone is taken to cost
-// before it was observed.
-const zoneMicros = 500
+// minCrossingMicros is the least time that is assumed for a hop into another availability
+// zone.
+const minCrossingMicros = 500
 
-// Score is the time in microseconds that a step is expected to take on an
-// upstream with one more request, link included.
+// Score returns the time in microseconds that a step is expected to take on an upstream with one
+// more request, including the link.
 func Score(u *load.Upstream, q *Query) float64 {
 	work := (u.Load(q.Now) + 1) * u.MicrosPerToken() * u.Slow(q.Now) / u.Ramp(q.Now)
-	if has(q.Prefer, u) {
+	if contains(q.Prefer, u) {
 		work *= 1 - q.Saved
 	}
 	link := float64(u.LinkMicros())
 	if q.Last != nil && q.Last.Zone() != u.Zone() {
-		link = max(link, zoneMicros)
+		link = max(link, minCrossingMicros)
 	}
 	return work + link
 }
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -1,9 +1,8 @@
 // Package routing chooses the engines that a request crosses.
 //
-// A chain is chosen stage by stage. At each layer at which a stage may start,
-// a Policy picks one engine among those that start there and from which the
-// model's end can be reached. Policies are small and replaceable; the default
-// is LeastWork, and the others are baselines to measure against.
+// A chain is chosen stage by stage. At each layer at which a stage may start, a Policy picks one
+// engine among those that start there and from which the last layer can be reached. The default
+// policy is LeastWork; the others are baselines for comparison.
 //
 // # Usage
 //
@@ -19,30 +18,30 @@
 	"spanrill/state/load"
 )
 
-// Query is what a chain is chosen for.
+// Query describes the request for which upstreams are chosen.
 type Query struct {
 	Layers  int              // layers of the model
-	Exclude []*load.Upstream // upstreams that failed this request before
-	Avoid   []*load.Upstream // upstreams to leave out where there are others
-	Prefer  []*load.Upstream // upstreams that hold the prompt's prefix
-	Saved   float64          // share of the work that a preferred chain saves
+	Exclude []*load.Upstream // upstreams that have failed this request
+	Avoid   []*load.Upstream // upstreams to use only if there are no others
+	Prefer  []*load.Upstream // upstreams that cache a prefix of the prompt
+	Saved   float64          // share of the work that a cached prefix saves, from 0 to 1
 	Now     spanrill.Millis  // set by the router
-	Last    *load.Upstream   // the stage before, set by the router
+	Last    *load.Upstream   // the upstream of the previous stage, set by the router
 
 	ways       *load.Ways // nil for a plain service
-	lastResort bool       // ejected and avoided upstreams are taken as well
+	lastResort bool       // ejected and avoided upstreams may be picked too
 }
 
 // Usable reports whether a policy may pick the upstream.
 func (q *Query) Usable(u *load.Upstream) bool {
-	if q.ways != nil && !q.ways.Open(u.Layers().To) || has(q.Exclude, u) {
+	if q.ways != nil && !q.ways.Open(u.Layers().To) || contains(q.Exclude, u) {
 		return false
 	}
-	return q.lastResort || !u.Ejected(q.Now) && !has(q.Avoid, u)
+	return q.lastResort || !u.Ejected(q.Now) && !contains(q.Avoid, u)
 }
 
-// has reports whether an upstream is in a list.
-func has(list []*load.Upstream, u *load.Upstream) bool {
+// contains reports whether an upstream is in a list.
+func contains(list []*load.Upstream, u *load.Upstream) bool {
 	for _, x := range list {
 		if x == u {
 			return true
@@ -59,7 +58,7 @@
 	Pick(candidates []*load.Upstream, q *Query) *load.Upstream
 }
 
-// Router chooses chains and single upstreams.
+// Router chooses chains of engines and single upstreams of plain services.
 type Router struct {
 	clock  spanrill.Clock
 	policy Policy
@@ -68,7 +67,7 @@
 // Option changes a default of New.
 type Option func(*Router)
 
-// WithPolicy sets how an upstream is picked.
+// WithPolicy sets the policy; the default is LeastWork.
 func WithPolicy(p Policy) Option {
 	return func(r *Router) { r.policy = p }
 }
@@ -96,8 +95,8 @@
 	return nil, errors.Errorf("unknown routing policy %q: allowed are least-work, random, round-robin and least-in-flight", name)
 }
 
-// Choose appends the engines of a chain to dst and reports whether there is
-// one. It allocates nothing if dst has room.
+// Choose appends the engines of a chain to dst and reports whether there is one. It does not
+// allocate if dst has capacity for the chain.
 func (r *Router) Choose(index *load.ModelIndex, q *Query, dst []*load.Upstream) ([]*load.Upstream, bool) {
 	if index == nil {
 		return dst, false
@@ -117,8 +116,8 @@
 	return dst, true
 }
 
-// pick takes an upstream that is not ejected, or else one that is: a fleet in
-// which all engines of a stage were ejected is better served by trying one.
+// pick picks an upstream that is neither ejected nor avoided, or else any: if all upstreams of a
+// stage are ejected, trying one is better than refusing the request.
 func (r *Router) pick(candidates []*load.Upstream, q *Query) *load.Upstream {
 	q.lastResort = false
 	if u := r.policy.Pick(candidates, q); u != nil {
@@ -128,7 +127,7 @@
 	return r.policy.Pick(candidates, q)
 }
 
-// One picks a single upstream of a plain service, or nil.
+// PickOne picks a single upstream of a plain service, or nil.
 func (r *Router) One(candidates []*load.Upstream, q *Query) *load.Upstream {
 	q.Now = r.clock.Now()
 	return r.pick(candidates, q)
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -14,9 +14,9 @@
 
 var key = load.ModelKey{Model: "m", Version: "1", Site: "s"}
 
-// table returns a table with n engines that hold a model of 24 layers in
-// thirds. Every fourth engine is four times faster.
-func table(n int) (*load.Table, *clock.Manual) {
+// newTable returns a table with n engines, each with a third of a model of 24 layers. Every
+// fourth engine of a third has four times the slots.
+func newTable(n int) (*load.Table, *clock.Manual) {
 	c := clock.NewManual()
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
@@ -45,12 +45,12 @@
 	return t, c
 }
 
-func policies() []Policy {
+func allPolicies() []Policy {
 	return []Policy{NewLeastWork(rng.New(1)), NewRandom(rng.New(1)), NewRoundRobin(), NewLeastInFlight()}
 }
 
-// covers reports whether a chain runs all layers in order.
-func covers(chain []*load.Upstream) bool {
+// coversAllLayers reports whether a chain runs all layers in order.
+func coversAllLayers(chain []*load.Upstream) bool {
 	layer := 0
 	for _, u := range chain {
 		if u.Layers().From != layer {
@@ -61,21 +61,21 @@
 	return layer == 24
 }
 
-func TestEveryPolicyChoosesWholeChains(t *testing.T) {
-	tab, c := table(42)
-	for _, p := range policies() {
+func TestEveryPolicyChoosesCompleteChains(t *testing.T) {
+	tab, c := newTable(42)
+	for _, p := range allPolicies() {
 		r := New(c, WithPolicy(p))
 		for range 200 {
 			chain, ok := r.Choose(tab.View().Model(key), &Query{Layers: 24}, nil)
-			if !ok || !covers(chain) {
+			if !ok || !coversAllLayers(chain) {
 				t.Fatalf("%s chose %v", p.Name(), chain)
 			}
 		}
 	}
 }
 
-func TestLeastWorkFollowsSpeed(t *testing.T) {
-	tab, c := table(42)
+func TestLeastWorkChoosesInProportionToSpeed(t *testing.T) {
+	tab, c := newTable(42)
 	r := New(c, WithPolicy(NewLeastWork(rng.New(1))))
 	count := map[string]int{}
 	for range 300 {
@@ -87,94 +87,93 @@
 	}
 	fast, slow := count["e00000"], count["e00003"]
 	if ratio := float64(fast) / float64(slow); ratio < 3 || ratio > 5 {
-		t.Errorf("the engine with four times the rate got %d requests against %d", fast, slow)
+		t.Errorf("an engine with four times the slots got %d requests, another one %d; want a ratio of 3 to 5", fast, slow)
 	}
 }
 
-func TestFailedUpstreamsAreLeftOut(t *testing.T) {
-	tab, c := table(6)
-	bad := tab.Upstream("e00000")
+func TestFailedUpstreamsAreSkipped(t *testing.T) {
+	tab, c := newTable(6)
+	ejected := tab.Upstream("e00000")
 	r := New(c)
-	bad.Fail(c.Now())
+	ejected.Fail(c.Now())
 	for range 50 {
 		chain, _ := r.Choose(tab.View().Model(key), &Query{Layers: 24}, nil)
-		if has(chain, bad) {
-			t.Fatal("an ejected engine was chosen while there is another")
+		if contains(chain, ejected) {
+			t.Fatal("an ejected engine was chosen although another one is usable")
 		}
 	}
-	// The only engine of a stage is tried although it is ejected, and not at all
-	// if it failed this request.
+	// The only engine of a stage is tried although it is ejected, but not if it has failed this
+	// request.
 	other := tab.Upstream("e00003")
 	if _, ok := r.Choose(tab.View().Model(key), &Query{Layers: 24, Exclude: []*load.Upstream{other}}, nil); !ok {
-		t.Fatal("the last engine of a stage was not tried")
+		t.Fatal("the ejected engine was not tried although it is the only one of its stage")
 	}
-	if _, ok := r.Choose(tab.View().Model(key), &Query{Layers: 24, Exclude: []*load.Upstream{bad, other}}, nil); ok {
-		t.Fatal("a chain was found without a first stage")
+	if _, ok := r.Choose(tab.View().Model(key), &Query{Layers: 24, Exclude: []*load.Upstream{ejected, other}}, nil); ok {
+		t.Fatal("a chain was found although no engine of the first stage is usable")
 	}
 }
 
-// Ejection grows with each failure up to a ceiling, and the share comes back by
-// and by.
-func TestEjectionAndReturn(t *testing.T) {
-	tab, c := table(6)
+// Each failure ejects for longer, up to a ceiling, and the share of requests recovers gradually.
+func TestEjectionGrowsAndShareRecovers(t *testing.T) {
+	tab, c := newTable(6)
 	u := tab.Upstream("e00000")
-	last := spanrill.Millis(0)
+	previous := spanrill.Millis(0)
 	for range 12 {
 		if !u.Fail(c.Now()) {
-			t.Fatal("a failure after the return did not eject")
+			t.Fatal("a failure after the ejection had ended did not eject again")
 		}
 		if u.Fail(c.Now()) {
-			t.Fatal("a second failure ejected again")
+			t.Fatal("a failure during the ejection ejected again")
 		}
 		started := c.Now()
 		for u.Ejected(c.Now()) {
 			c.Advance(100)
 		}
-		if out := c.Now() - started; out < last || out > 31*spanrill.Second {
-			t.Fatalf("ejected for %d after %d", out, last)
+		if duration := c.Now() - started; duration < previous || duration > 31*spanrill.Second {
+			t.Fatalf("ejected for %d ms after %d ms, want no less, and at most 31 s", duration, previous)
 		} else {
-			last = out
+			previous = duration
 		}
 		if u.Ramp(c.Now()) > 0.2 {
-			t.Fatal("the full share came back at once")
+			t.Fatal("the full share returned at once")
 		}
 	}
 	c.Advance(10 * spanrill.Second)
 	u.Succeed(c.Now())
 	if u.Ramp(c.Now()) != 1 {
-		t.Fatal("the full share did not come back")
+		t.Fatal("the full share did not return")
 	}
 }
 
-func TestSlowEngineIsEasedOff(t *testing.T) {
-	tab, c := table(6)
+func TestSlowEngineIsSkippedUntilSlownessDecays(t *testing.T) {
+	tab, c := newTable(6)
 	u := tab.Upstream("e00000")
 	r := New(c)
 	for range 40 {
 		u.Observe(c.Now(), 80_000)
 	}
 	if u.Slow(c.Now()) < 5 {
-		t.Fatalf("slowness is %.1f", u.Slow(c.Now()))
+		t.Fatalf("slowness is %.1f, want at least 5", u.Slow(c.Now()))
 	}
 	for range 20 {
 		chain, _ := r.Choose(tab.View().Model(key), &Query{Layers: 24}, nil)
-		if has(chain, u) {
+		if contains(chain, u) {
 			t.Fatal("the slow engine was chosen")
 		}
 	}
 	c.Advance(spanrill.Minute)
 	if u.Slow(c.Now()) > 1.1 {
-		t.Fatal("an engine that was slow a minute ago is never tried again")
+		t.Fatal("slowness did not decay within a minute")
 	}
 }
 
 func TestChooseDoesNotAllocate(t *testing.T) {
-	tab, c := table(3600)
+	tab, c := newTable(3600)
 	r := New(c)
 	index := tab.View().Model(key)
 	q := &Query{Layers: 24}
-	room := make([]*load.Upstream, 0, 8)
-	if n := testing.AllocsPerRun(100, func() { _, _ = r.Choose(index, q, room) }); n != 0 {
+	buf := make([]*load.Upstream, 0, 8)
+	if n := testing.AllocsPerRun(100, func() { _, _ = r.Choose(index, q, buf) }); n != 0 {
 		t.Fatalf("%.0f allocations", n)
 	}
 }
@@ -182,13 +181,13 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{42, 3600} {
 		b.Run(fmt.Sprintf("%d_engines", n), func(b *testing.B) {
-			tab, c := table(n)
+			tab, c := newTable(n)
 			r := New(c)
 			index := tab.View().Model(key)
-			room, q := make([]*load.Upstream, 0, 8), &Query{Layers: 24}
+			buf, q := make([]*load.Upstream, 0, 8), &Query{Layers: 24}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, ok := r.Choose(index, q, room); !ok {
+				if _, ok := r.Choose(index, q, buf); !ok {
 					b.Fatal("no chain")
 				}
 			}
