--- a/coordination/cost/cost.go
+++ b/coordination/cost/cost.go
@@ -1,14 +1,14 @@
-// Package cost works out times and memory of engines that each hold a part of
-// a model, from the figures that the operator gives for a service.
+// Package cost estimates the times and the memory of engines that each hold a part of a model,
+// from the figures that the operator configures for a service.
 //
-// Placement and routing use the same functions, so that a plan and the choice
-// between its chains agree.
+// Placement and routing use the same functions, so that a placement plan and the choice between
+// its chains agree.
 //
 // # Usage
 //
 //	k := model.Kinds["l4"]
 //	tokens := cost.Capacity(model, k, 9)
-//	ms := cost.StepMillis(model, k, 9, writers, meanTokens)
+//	ms := cost.StepBaseMillis(model, k, 9) + requests*cost.StepMillisPerRequest(model, k, 9, meanTokens)
 package cost
 
 import (
@@ -20,16 +20,16 @@
 const (
 	bytesPerMB = 1e6
 	perK       = 1000
-	// bitsPerByte and megabit turn megabits a second into bytes a millisecond.
-	bytesPerMilliOfMbps = 1e6 / 8 / 1000
+	// bytesPerMilliPerMbps turns megabits a second into bytes a millisecond.
+	bytesPerMilliPerMbps = 1e6 / 8 / 1000
 )
 
-// layerTokenMB is the memory of one token in one layer.
+// layerTokenMB returns the memory in MB that one token takes in one layer.
 func layerTokenMB(m *spanrill.EngineModel) float64 {
 	return m.TokenBytes / float64(max(1, m.Layers)) / bytesPerMB
 }
 
-// Fit returns how many layers an engine of a kind can hold at all.
+// MaxLayers returns how many layers an engine of a kind has memory for, with no room for tokens.
 func Fit(m *spanrill.EngineModel, k spanrill.KindModel) int {
 	if m.LayerMB <= 0 {
 		return m.Layers
@@ -37,44 +37,43 @@
 	return min(m.Layers, int(k.MemoryMB/m.LayerMB))
 }
 
-// Capacity returns for how many tokens an engine has memory beside n layers.
-func Capacity(m *spanrill.EngineModel, k spanrill.KindModel, n int) float64 {
-	if n <= 0 {
+// Capacity returns for how many tokens an engine has memory beside that many layers.
+func Capacity(m *spanrill.EngineModel, k spanrill.KindModel, layers int) float64 {
+	if layers <= 0 {
 		return 0
 	}
-	free := k.MemoryMB - float64(n)*m.LayerMB
-	return max(0, free/(layerTokenMB(m)*float64(n)))
+	free := k.MemoryMB - float64(layers)*m.LayerMB
+	return max(0, free/(layerTokenMB(m)*float64(layers)))
 }
 
-// Most returns how many layers an engine can hold beside memory for that many
-// tokens.
+// MaxLayersWithTokens returns how many layers an engine has memory for beside that many tokens.
 func Most(m *spanrill.EngineModel, k spanrill.KindModel, tokens float64) int {
 	n := int(k.MemoryMB / (m.LayerMB + tokens*layerTokenMB(m)))
 	return max(0, min(n, Fit(m, k)))
 }
 
-// share is the part of the model that n layers are.
-func share(m *spanrill.EngineModel, n int) float64 {
-	return float64(n) / float64(max(1, m.Layers))
+// layerShare returns the fraction of the model that so many layers are.
+func layerShare(m *spanrill.EngineModel, layers int) float64 {
+	return float64(layers) / float64(max(1, m.Layers))
 }
 
-// Base returns the time of one step over n layers with nothing to do in it.
-func Base(m *spanrill.EngineModel, k spanrill.KindModel, n int) float64 {
-	return m.StepMillis * k.Pace * share(m, n)
+// StepBaseMillis returns the time of one step over some layers with an empty batch.
+func Base(m *spanrill.EngineModel, k spanrill.KindModel, layers int) float64 {
+	return m.StepMillis * k.Pace * layerShare(m, layers)
 }
 
-// PerWriter returns the time that each request with that many tokens of
-// context adds to a step over n layers.
-func PerWriter(m *spanrill.EngineModel, k spanrill.KindModel, n int, context float64) float64 {
-	return (m.PerSequence + m.ContextPerK*context/perK) * k.Pace * share(m, n)
+// StepMillisPerRequest returns the time that each request with that many tokens of context adds
+// to a step over some layers.
+func PerWriter(m *spanrill.EngineModel, k spanrill.KindModel, layers int, context float64) float64 {
+	return (m.PerSequence + m.ContextPerK*context/perK) * k.Pace * layerShare(m, layers)
 }
 
-// ReadMillis returns the time to read prompt tokens through n layers.
-func ReadMillis(m *spanrill.EngineModel, k spanrill.KindModel, n int, tokens float64) float64 {
+// ReadMillis returns the time to read prompt tokens (prefill) through some layers.
+func ReadMillis(m *spanrill.EngineModel, k spanrill.KindModel, layers int, tokens float64) float64 {
 	if m.ReadPerMilli <= 0 {
 		return 0
 	}
-	return tokens / m.ReadPerMilli * k.ReadFactor * share(m, n)
+	return tokens / m.ReadPerMilli * k.ReadFactor * layerShare(m, layers)
 }
 
 // HopMillis returns the delay between two availability zones, one way.
@@ -85,35 +84,34 @@
 	return m.Delays[spanrill.PairOf(from, to)]
 }
 
-// PipeMillis returns how long the activations of some tokens occupy the pipe
+// PipeMillis returns how long the activations of some tokens occupy the pipe (the network link)
 // between two availability zones.
 func PipeMillis(m *spanrill.EngineModel, tokens float64) float64 {
 	if m.PipeMbps <= 0 {
 		return 0
 	}
-	return tokens * m.ActBytes / (m.PipeMbps * bytesPerMilliOfMbps)
+	return tokens * m.ActBytes / (m.PipeMbps * bytesPerMilliPerMbps)
 }
 
-// Tokens returns the mean tokens that a running request holds: its prompt and
-// half of its answer.
+// MeanTokens returns the mean number of tokens that a running request holds: its prompt and half
+// of its answer.
 func Tokens(m *spanrill.EngineModel) float64 {
 	return max(1, m.UsualPrompt+m.UsualAnswer/2)
 }
 
-// Stage is one engine of a chain, for its times.
+// Stage is the part of an engine in a chain, as far as it determines times.
 type Stage struct {
 	Kind   spanrill.KindModel
 	Zone   string
 	Layers int
 }
 
-// TokenMillis returns the time between two tokens of a request on a chain
-// with that many requests.
+// TokenMillis returns the time between two tokens of a request on a chain with that many
+// requests.
 //
-// A stage takes all requests that wait in one pass, so that requests that meet
-// stay together: in the end one large batch goes round. Each pass then takes
-// all requests, which agrees with what was measured (20 to 28 ms a token with 60
-// to 90 requests on 11 to 12 stages).
+// A stage runs all requests that wait in one pass, so requests that meet stay together and end up
+// in one large batch that cycles through the stages. Each pass then takes all requests. This
+// agrees with measurements: 20 to 28 ms a token with 60 to 90 requests on 11 to 12 stages.
 func TokenMillis(m *spanrill.EngineModel, stages []Stage, requests float64) float64 {
 	if len(stages) == 0 {
 		return math.Inf(1)
@@ -123,12 +121,12 @@
 		total += Base(m, s.Kind, s.Layers) + PerWriter(m, s.Kind, s.Layers, Tokens(m))*requests + HopMillis(m, zone, s.Zone)
 		zone = s.Zone
 	}
-	return total + HopMillis(m, zone, stages[0].Zone) + handOver*float64(len(stages))
+	return total + HopMillis(m, zone, stages[0].Zone) + handOverMillis*float64(len(stages))
 }
 
-// handOver is the time in milliseconds that a token takes from one engine to
-// the next inside an availability zone.
-const handOver = 0.2
+// handOverMillis is the time that a token takes from one engine to the next inside an
+// availability zone.
+const handOverMillis = 0.2
 
 // PromptMillis returns the time to read a prompt on a chain.
 func PromptMillis(m *spanrill.EngineModel, stages []Stage, tokens float64) float64 {
@@ -143,7 +141,7 @@
 	return total
 }
 
-// Room returns for how many tokens the tightest stage of a chain has memory.
+// MinCapacity returns for how many tokens the stage with the least memory has room.
 func Room(m *spanrill.EngineModel, stages []Stage) float64 {
 	room := math.Inf(1)
 	for _, s := range stages {
@@ -152,47 +150,46 @@
 	return room
 }
 
-// usableRoom is the part of a chain's memory that is planned for: answers
-// differ in length, and an engine that runs out puts requests back.
-const usableRoom = 0.85
+// plannedMemoryShare is the fraction of a chain's memory that is planned for: answers differ in
+// length, and an engine that runs out of memory puts requests back.
+const plannedMemoryShare = 0.85
 
-// Rate returns how many usual requests a second a chain can serve: as many as
-// have room at once (Little's law), and no more than its pipes take.
+// Rate returns how many usual requests a second a chain can serve: as many as have room at once,
+// over the time that each takes (Little's law), and no more than its pipes carry.
 func Rate(m *spanrill.EngineModel, stages []Stage) float64 {
-	room := usableRoom * Room(m, stages)
-	requests := min(room/Tokens(m), float64(max(1, m.Slots)), usefulRequests)
+	room := plannedMemoryShare * Room(m, stages)
+	requests := min(room/Tokens(m), float64(max(1, m.Slots)), maxPlannedRequests)
 	if requests < 1 {
 		return 0
 	}
 	millis := PromptMillis(m, stages, m.UsualPrompt) + m.UsualAnswer*TokenMillis(m, stages, requests)
 	rate := requests / millis * perK
 	if crossings := Crossings(stages); crossings > 0 {
-		rate = min(rate, perK/PipeMillis(m, m.UsualPrompt+m.UsualAnswer)*pipeShare) * crossingWorth
+		rate = min(rate, perK/PipeMillis(m, m.UsualPrompt+m.UsualAnswer)*plannedPipeShare) * crossingRateFactor
 	}
 	return rate
 }
 
-// usefulRequests is how many requests at once one chain is planned for at most.
-// Chains of today run 50 to 70, and 100 when one of three is lost; engines that
-// are not needed for more room are worth more as spares.
-const usefulRequests = 105
+// maxPlannedRequests bounds the concurrent requests that a chain is planned for. Chains run 50 to
+// 70, and 100 when one of three is lost; engines that more room would take are worth more as
+// spares.
+const maxPlannedRequests = 105
 
-// crossingWorth is what a chain over several availability zones is worth of one
-// inside a zone: its tokens wait behind prompts in the pipe, and slow links
-// reach it. In trials a fourth chain over two zones beside three inside zones
-// made a tenth of all streams pause for too long.
-const crossingWorth = 0.4
+// crossingRateFactor lowers the rate of a chain over several availability zones: its tokens queue
+// behind prompts in the pipe, and slow links reach all of it. In trials, a fourth chain over
+// two zones beside three inside zones made a tenth of all streams pause for too long.
+const crossingRateFactor = 0.4
 
-// pipeShare is the part of a pipe that one chain is planned to use.
-const pipeShare = 0.7
+// plannedPipeShare is the fraction of a pipe that one chain is planned to use.
+const plannedPipeShare = 0.7
 
 // Crossings counts the hops of a chain between availability zones.
 func Crossings(stages []Stage) int {
-	n := 0
+	count := 0
 	for i := 1; i < len(stages); i++ {
 		if stages[i].Zone != stages[i-1].Zone {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -1,8 +1,8 @@
 // Package dispatch sends calls to plain services.
 //
-// A call that may not be repeated is handed to an upstream at most once: after
-// a failed attempt it is tried again only if that attempt did not run. What
-// may be repeated is tried again after any failure. Both draw on a budget.
+// A call that must not be repeated is tried again only if the failed attempt did not run, so that
+// it reaches a handler at most once. A repeatable call is tried again after any failure. A budget
+// limits the retries.
 //
 // # Usage
 //
@@ -24,7 +24,7 @@
 	"spanrill/state/load"
 )
 
-// Dispatcher sends calls to plain services.
+// Dispatcher sends calls to plain services and retries them.
 type Dispatcher struct {
 	services    spanrill.Services
 	table       *load.Table
@@ -40,22 +40,22 @@
 // Option changes a default of New.
 type Option func(*Dispatcher)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger of events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(d *Dispatcher) { d.log = log }
 }
 
-// WithMeters sets the counters.
+// WithMeters sets the metrics to update.
 func WithMeters(m *meter.Meters) Option {
 	return func(d *Dispatcher) { d.meters = m }
 }
 
-// WithBudget sets what retries draw on.
+// WithBudget sets the budget that limits retries.
 func WithBudget(b *retry.Budget) Option {
 	return func(d *Dispatcher) { d.budget = b }
 }
 
-// WithTimeout bounds one attempt.
+// WithTimeout sets the time limit of one attempt.
 func WithTimeout(t spanrill.Millis) Option {
 	return func(d *Dispatcher) { d.timeout = t }
 }
@@ -78,26 +78,26 @@
 	return d
 }
 
-// Do returns the service's answer, or why there is none.
+// Do returns the answer of the service, or the refusal if every attempt failed.
 func (d *Dispatcher) Do(ctx context.Context, key load.ServiceKey, req *spanrill.ServiceRequest) (*spanrill.ServiceAnswer, *spanrill.Refusal) {
 	q := &routing.Query{}
-	outcome := spanrill.OutcomeNotRun
+	requestOutcome := spanrill.OutcomeNotRun
 	for attempt := 1; ; attempt++ {
 		u := d.router.One(d.table.View().Services(key), q)
 		if u == nil {
-			return nil, spanrill.NewRefusal(spanrill.ReasonNoUpstream, "no upstream of service %s takes work", key.Service).
-				WithOutcome(outcome).WithRetryAfter(spanrill.Second)
+			return nil, spanrill.NewRefusal(spanrill.ReasonNoUpstream, "no upstream of service %s accepts requests", key.Service).
+				WithOutcome(requestOutcome).WithRetryAfter(spanrill.Second)
 		}
 		answer, err := d.attempt(ctx, u, req)
 		if err == nil {
 			d.budget.Success()
 			return answer, nil
 		}
-		ended := outcomeOf(err)
-		if ended != spanrill.OutcomeNotRun {
-			outcome = spanrill.OutcomeUnknown
+		attemptOutcome := outcomeOf(err)
+		if attemptOutcome != spanrill.OutcomeNotRun {
+			requestOutcome = spanrill.OutcomeUnknown
 		}
-		if refusal := d.after(ctx, req, attempt, outcome, ended, err); refusal != nil {
+		if refusal := d.afterFailure(ctx, req, attempt, requestOutcome, attemptOutcome, err); refusal != nil {
 			return nil, refusal
 		}
 		q.Exclude = append(q.Exclude, u)
@@ -123,7 +123,7 @@
 	return nil, err
 }
 
-// outcomeOf returns what a failed attempt says about the request.
+// outcomeOf returns whether a failed attempt can have run at the upstream.
 func outcomeOf(err error) spanrill.Outcome {
 	var call *spanrill.CallError
 	if errors.As(err, &call) {
@@ -132,29 +132,30 @@
 	return spanrill.OutcomeUnknown
 }
 
-// after decides what follows a failed attempt: nil means another attempt.
-func (d *Dispatcher) after(ctx context.Context, req *spanrill.ServiceRequest, attempt int, outcome, ended spanrill.Outcome, err error) *spanrill.Refusal {
+// afterFailure returns the refusal that ends a call after a failed attempt, or nil if it is to be
+// tried again.
+func (d *Dispatcher) afterFailure(ctx context.Context, req *spanrill.ServiceRequest, attempt int, requestOutcome, attemptOutcome spanrill.Outcome, err error) *spanrill.Refusal {
 	reason := spanrill.ReasonUpstreamFailed
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
 		reason = spanrill.ReasonUpstreamTimeout
 	}
-	refusal := spanrill.NewRefusal(reason, "service call failed: %v", err).WithOutcome(outcome)
+	refusal := spanrill.NewRefusal(reason, "service call failed: %v", err).WithOutcome(requestOutcome)
 	switch {
-	case ended != spanrill.OutcomeNotRun && !req.Repeatable:
+	case attemptOutcome != spanrill.OutcomeNotRun && !req.Repeatable:
 		events.CallUncertain.Log(d.log, logrus.Fields{"path": req.Path, "cause": err})
 		return refusal
 	case ctx.Err() != nil || attempt >= d.maxAttempts:
 		return refusal.WithRetryAfter(spanrill.Second)
 	case !d.budget.Take():
 		return spanrill.NewRefusal(spanrill.ReasonRetryBudget, "retry budget spent: %v", err).
-			WithOutcome(outcome).WithRetryAfter(spanrill.Second)
+			WithOutcome(requestOutcome).WithRetryAfter(spanrill.Second)
 	}
-	d.meters.Retried(retryReason(ended))
+	d.meters.Retried(retryReason(attemptOutcome))
 	return nil
 }
 
-func retryReason(ended spanrill.Outcome) meter.Retry {
-	if ended == spanrill.OutcomeNotRun {
+func retryReason(attemptOutcome spanrill.Outcome) meter.Retry {
+	if attemptOutcome == spanrill.OutcomeNotRun {
 		return meter.RetryDial
 	}
 	return meter.RetryCut
