--- a/coordination/pipeline/affinity.go
+++ b/coordination/pipeline/affinity.go
@@ -9,11 +9,11 @@
 	"spanrill/state/load"
 )
 
-// Affinity remembers which chain served which beginning of a body, so that a
-// request with the same beginning can go where its prefix is cached.
+// Affinity remembers which chain served which prefix of a request body, so that a request with
+// the same prefix can go to the chain that has it cached.
 type Affinity struct {
 	clock  spanrill.Clock
-	shards [affinityShards]affinityShard
+	shards [shardCount]affinityShard
 }
 
 type affinityShard struct {
@@ -27,17 +27,17 @@
 }
 
 const (
-	affinityShards  = 32
-	affinityEntries = 512 // in each shard
-	affinityAge     = 60 * spanrill.Second
-	prefixStep      = 256 // bytes between two remembered prefixes
+	shardCount      = 32
+	maxShardEntries = 512 // per shard
+	affinityMaxAge  = 60 * spanrill.Second
+	prefixBytes     = 256 // bytes between the ends of two remembered prefixes
 	maxPrefixes     = 16
-	// savedShare is the largest share of a step's cost that a cached prefix is
-	// taken to save.
-	savedShare = 0.3
+	// maxSavedShare is the share of a step's cost that a cached prefix of the whole body is
+	// assumed to save.
+	maxSavedShare = 0.3
 )
 
-// NewAffinity returns an empty memory.
+// NewAffinity returns an empty Affinity.
 func NewAffinity(clock spanrill.Clock) *Affinity {
 	a := &Affinity{clock: clock}
 	for i := range a.shards {
@@ -46,33 +46,33 @@
 	return a
 }
 
-// prefixKeys appends the key of each remembered prefix of a body, longest last.
+// prefixKeys appends the key of each prefix of a body that is remembered, the longest last.
 func prefixKeys(body []byte, keys []uint64) []uint64 {
-	for end := prefixStep; end <= len(body) && len(keys) < maxPrefixes; end += prefixStep {
+	for end := prefixBytes; end <= len(body) && len(keys) < maxPrefixes; end += prefixBytes {
 		keys = append(keys, xxhash.Sum64(body[:end]))
 	}
 	return keys
 }
 
-// Learn remembers the chain that served a body.
-func (a *Affinity) Learn(body []byte, chain []*load.Upstream) {
-	var room [maxPrefixes]uint64
+// Remember records the chain that served a body.
+func (a *Affinity) Remember(body []byte, chain []*load.Upstream) {
+	var buf [maxPrefixes]uint64
 	now := a.clock.Now()
-	for _, k := range prefixKeys(body, room[:0]) {
-		a.shards[k%affinityShards].put(k, affinityEntry{chain: chain, at: now})
+	for _, k := range prefixKeys(body, buf[:0]) {
+		a.shards[k%shardCount].put(k, affinityEntry{chain: chain, at: now})
 	}
 }
 
-// Lookup returns the chain that served the longest prefix of a body, and the
-// share of the work that it is expected to save.
+// Lookup returns the chain that served the longest remembered prefix of a body, and the share of
+// the work that its cache is expected to save.
 func (a *Affinity) Lookup(body []byte) ([]*load.Upstream, float64) {
-	var room [maxPrefixes]uint64
-	keys := prefixKeys(body, room[:0])
+	var buf [maxPrefixes]uint64
+	keys := prefixKeys(body, buf[:0])
 	for i := len(keys) - 1; i >= 0; i-- {
-		e, ok := a.shards[keys[i]%affinityShards].get(keys[i])
-		if ok && a.clock.Now()-e.at < affinityAge {
-			covered := float64((i+1)*prefixStep) / float64(len(body))
-			return e.chain, savedShare * covered
+		e, ok := a.shards[keys[i]%shardCount].get(keys[i])
+		if ok && a.clock.Now()-e.at < affinityMaxAge {
+			covered := float64((i+1)*prefixBytes) / float64(len(body))
+			return e.chain, maxSavedShare * covered
 		}
 	}
 	return nil, 0
@@ -85,11 +85,11 @@
 	return e, ok
 }
 
-// put remembers an entry, and forgets any other one when the shard is full.
+// put stores an entry, and evicts an arbitrary one if the shard is full.
 func (s *affinityShard) put(k uint64, e affinityEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.entries) >= affinityEntries {
+	if len(s.entries) >= maxShardEntries {
 		for old := range s.entries {
 			delete(s.entries, old)
 			break
--- a/coordination/pipeline/generation.go
+++ b/coordination/pipeline/generation.go
@@ -16,24 +16,24 @@
 	"spanrill/state/load"
 )
 
-// generation is one request on its way over one or more chains.
+// generation is the state of one request over all its attempts.
 type generation struct {
-	runner    *Runner
-	req       *Request
-	sink      Sink
-	ctx       context.Context
-	result    *Result
-	generated []uint32         // tokens delivered
-	failed    []*load.Upstream // upstreams that failed this request
-	suspects  []*load.Upstream // upstreams of which one stalled, nobody knows which
-	started   spanrill.Millis
-	worked    bool // whether any engine may have worked for the request
+	runner     *Runner
+	req        *Request
+	sink       Sink
+	ctx        context.Context
+	result     *Result
+	generated  []uint32         // tokens delivered to the sink
+	failed     []*load.Upstream // upstreams that have failed this request
+	avoid      []*load.Upstream // stages of stalled chains whose faulty stage is not known
+	started    spanrill.Millis
+	mayHaveRun bool // an engine may have run the request
 }
 
-// Errors that end a generation at once.
+// Causes of a failure. After errCallerLeft there is no further attempt.
 var (
-	errCallerLeft = errors.New("caller left")
-	errCut        = errors.New("stream ended before the answer was whole")
+	errCallerLeft  = errors.New("caller left")
+	errStreamEnded = errors.New("stream ended before the answer was complete")
 )
 
 func (g *generation) run() (*Result, *spanrill.Refusal) {
@@ -49,32 +49,33 @@
 			g.runner.budget.Success()
 			return g.result, nil
 		}
-		if refusal := g.after(f); refusal != nil {
+		if refusal := g.afterFailure(f); refusal != nil {
 			return nil, refusal
 		}
 	}
 }
 
-// maxStages bounds the stages that fit without allocation.
-const maxStages = 8
+// inlineStages is the number of stages up to which choosing a chain allocates only once.
+const inlineStages = 8
 
 func (g *generation) choose() ([]*load.Upstream, bool) {
-	q := &routing.Query{Layers: g.req.Layers, Exclude: g.failed, Avoid: g.suspects}
+	q := &routing.Query{Layers: g.req.Layers, Exclude: g.failed, Avoid: g.avoid}
 	q.Prefer, q.Saved = g.runner.affinity.Lookup(g.req.Body)
 	index := g.runner.table.View().Model(g.req.Key)
-	return g.runner.router.Choose(index, q, make([]*load.Upstream, 0, maxStages))
+	return g.runner.router.Choose(index, q, make([]*load.Upstream, 0, inlineStages))
 }
 
-// after decides what follows a failed attempt: nil means another attempt.
-func (g *generation) after(f *fault) *spanrill.Refusal {
+// afterFailure returns the refusal that ends the request after a failed attempt, or nil if it is
+// to be tried again.
+func (g *generation) afterFailure(f *failure) *spanrill.Refusal {
 	if errors.Is(f.cause, errCallerLeft) || g.ctx.Err() != nil {
 		g.runner.meters.CallersLeft.Inc()
 		return g.refuse(spanrill.ReasonUpstreamFailed, "caller left")
 	}
-	g.blame(f)
+	g.excludeFailed(f)
 	switch {
-	case g.result.attempts >= g.runner.maxAttempt:
-		return g.refuse(f.lastReason(), "%d chains failed, the last with: %v", g.result.attempts, f.cause)
+	case g.result.attempts >= g.runner.maxAttempts:
+		return g.refuse(f.refusalReason(), "%d chains failed, the last with: %v", g.result.attempts, f.cause)
 	case !g.runner.budget.Take():
 		return g.refuse(spanrill.ReasonRetryBudget, "the chain failed and the retry budget is spent: %v", f.cause)
 	}
@@ -88,16 +89,16 @@
 	return nil
 }
 
-// refuse ends the request. It did not run only if no engine can have worked.
+// refuse returns a refusal. Its outcome is unknown if an engine may have run the request.
 func (g *generation) refuse(reason spanrill.Reason, format string, args ...any) *spanrill.Refusal {
 	refusal := spanrill.NewRefusal(reason, format, args...).WithRetryAfter(spanrill.Second)
-	if g.worked {
+	if g.mayHaveRun {
 		return refusal.WithOutcome(spanrill.OutcomeUnknown)
 	}
 	return refusal
 }
 
-func (g *generation) attempt(chain []*load.Upstream) *fault {
+func (g *generation) attempt(chain []*load.Upstream) *failure {
 	for _, u := range chain {
 		u.Begin()
 		defer u.End()
@@ -105,20 +106,20 @@
 	ctx, cancel := context.WithCancel(g.ctx)
 	defer cancel()
 	run := g.runRequest(chain)
-	stalled := time.AfterFunc(g.runner.firstWait.Duration(), cancel)
+	timer := time.AfterFunc(g.runner.firstTokenTimeout.Duration(), cancel)
 	stream, err := g.runner.engines.Run(ctx, run)
-	inTime := stalled.Stop()
-	if err != nil && !inTime {
-		g.worked = true
-		return &fault{cause: spanrill.ErrStalled, reason: meter.RetryStalled, chain: chain}
+	beforeTimeout := timer.Stop()
+	if err != nil && !beforeTimeout {
+		g.mayHaveRun = true
+		return &failure{cause: spanrill.ErrStalled, reason: meter.RetryStalled, chain: chain}
 	}
 	if err != nil {
-		return g.startFault(chain, err)
+		return g.startFailure(chain, err)
 	}
 	defer func() { _ = stream.Close() }()
-	g.worked = true
+	g.mayHaveRun = true
 	g.result.chain = run.Chain
-	return g.read(stream, run, chain)
+	return g.readStream(stream, run, chain)
 }
 
 func (g *generation) runRequest(chain []*load.Upstream) *spanrill.RunRequest {
@@ -134,18 +135,18 @@
 	}
 }
 
-// read delivers the stream's tokens until the answer is whole.
-func (g *generation) read(stream spanrill.RunStream, run *spanrill.RunRequest, chain []*load.Upstream) *fault {
+// readStream delivers the tokens of a stream until the answer is complete.
+func (g *generation) readStream(stream spanrill.RunStream, run *spanrill.RunRequest, chain []*load.Upstream) *failure {
 	v := &verifier{layers: run.LayerNum, chain: run.Chain, next: len(g.generated)}
-	wait := g.runner.firstWait
-	last := g.runner.clock.Now()
+	timeout := g.runner.firstTokenTimeout
+	lastToken := g.runner.clock.Now()
 	for {
-		ev, err := stream.Next(wait)
+		ev, err := stream.Next(timeout)
 		if err != nil {
-			return g.streamFault(chain, err)
+			return g.streamFailure(chain, err)
 		}
 		if ev.Error != nil {
-			return g.reportedFault(chain, ev.Error)
+			return g.reportedFailure(chain, ev.Error)
 		}
 		if ev.Finish != spanrill.FinishNone {
 			return g.finish(&ev, v, chain)
@@ -153,23 +154,23 @@
 		deliver, err := v.check(&ev)
 		if err != nil {
 			events.TokenRejected.Log(g.runner.log, logrus.Fields{"request": g.req.ID, "error": err})
-			return &fault{cause: err, reason: meter.RetryBadToken, at: liar(ev.Ran, chain)}
+			return &failure{cause: err, reason: meter.RetryBadToken, stage: mismatchedStage(ev.Ran, chain)}
 		}
 		if !deliver {
 			continue
 		}
-		wait = g.runner.tokenWait
-		if err := g.deliver(&ev, chain, &last); err != nil {
-			return &fault{cause: fmt.Errorf("%w: %v", errCallerLeft, err)}
+		timeout = g.runner.tokenTimeout
+		if err := g.deliver(&ev, chain, &lastToken); err != nil {
+			return &failure{cause: fmt.Errorf("%w: %v", errCallerLeft, err)}
 		}
 	}
 }
 
-// finish checks that the end comes right behind the last token.
-func (g *generation) finish(ev *spanrill.RunEvent, v *verifier, chain []*load.Upstream) *fault {
+// finish checks that the stream ends directly after the last token, and records the result.
+func (g *generation) finish(ev *spanrill.RunEvent, v *verifier, chain []*load.Upstream) *failure {
 	if ev.Index != v.next {
 		err := errors.Wrapf(ErrGap, "the end is at index %d, expected %d", ev.Index, v.next)
-		return &fault{cause: err, reason: meter.RetryBadToken, at: chain[0]}
+		return &failure{cause: err, reason: meter.RetryBadToken, stage: chain[0]}
 	}
 	g.result.finish = ev.Finish
 	g.result.tokens = len(g.generated)
@@ -180,19 +181,19 @@
 	for _, u := range chain {
 		u.Succeed(now)
 	}
-	g.runner.affinity.Learn(g.req.Body, chain)
+	g.runner.affinity.Remember(g.req.Body, chain)
 	return nil
 }
 
-func (g *generation) deliver(ev *spanrill.RunEvent, chain []*load.Upstream, last *spanrill.Millis) error {
+func (g *generation) deliver(ev *spanrill.RunEvent, chain []*load.Upstream, lastToken *spanrill.Millis) error {
 	now := g.runner.clock.Now()
 	if len(g.generated) == 0 {
 		g.runner.meters.FirstToken.Update((now - g.started).Duration().Seconds())
 		g.result.cachedTokens = ev.CachedTokens
 	} else {
-		g.runner.meters.BetweenTokens.Update((now - *last).Duration().Seconds())
+		g.runner.meters.BetweenTokens.Update((now - *lastToken).Duration().Seconds())
 	}
-	*last = now
+	*lastToken = now
 	g.result.promptTokens = ev.PromptTokens
 	g.observe(ev.Ran, chain, now)
 	g.generated = append(g.generated, ev.Token)
@@ -200,8 +201,8 @@
 	return g.sink.Token(ev)
 }
 
-// observe learns from the times of the stages. The first token's time includes
-// the prompt, so it says nothing of a step.
+// observe records the times of the stages. The first token's time includes the prompt, so it is
+// not the time of a step.
 func (g *generation) observe(ran []spanrill.RanRange, chain []*load.Upstream, now spanrill.Millis) {
 	if len(g.generated) == 0 {
 		return
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -1,18 +1,16 @@
-// Package pipeline runs a generation over chains of engines until its answer
-// is whole.
+// Package pipeline runs a generation over chains of engines until its answer is complete.
 //
-// The daemon gives the first engine the whole chain, and engines pass
-// activations to one another. Each token comes back with the layers that ran
-// for it, and is delivered only if they are all layers of the model, once and
-// in order, and if the token is the next one.
+// The daemon sends the chain to its first engine, and engines pass activations to one another.
+// Each token comes back with the layers that ran for it. It is delivered only if it is the next
+// token and every layer of the model ran once and in order.
 //
-// When a stage fails, the generation goes on on another chain from the last
-// token that was delivered, with the same seed, so that the caller's text has
-// no gap and no repeat. Retries draw on a budget.
+// When a stage fails, the generation continues on another chain after the last delivered token,
+// with the same seed, so that the caller's text has no gap and no repetition. A budget limits the
+// retries.
 //
 // # Usage
 //
-//	runner := pipeline.New(engines, table, router, pipeline.WithMeters(m))
+//	runner := pipeline.New(engines, table, router, clock, pipeline.WithMeters(m))
 //	result, refusal := runner.Run(ctx, &pipeline.Request{...}, sink)
 package pipeline
 
@@ -28,11 +26,11 @@
 	"spanrill/state/load"
 )
 
-// Request is a generation that a caller asked for.
+// Request is a generation that a caller requests.
 type Request struct {
 	ID        string
-	Path      string // the caller's path, which decides the shape of Body
-	Body      []byte // the caller's body, untouched
+	Path      string // the caller's path, which determines the format of Body
+	Body      []byte // the caller's body, unchanged
 	Key       load.ModelKey
 	Layers    int
 	Seed      uint64
@@ -42,11 +40,11 @@
 
 // Sink receives the tokens of an answer in order.
 type Sink interface {
-	// Token takes the next token. An error means that the caller has left.
+	// Token receives the next token. An error means that the caller has left.
 	Token(ev *spanrill.RunEvent) error
 }
 
-// Result describes an answer that is whole.
+// Result describes a complete answer.
 type Result struct {
 	finish       spanrill.Finish
 	promptTokens int
@@ -59,69 +57,69 @@
 // Finish returns why the generation ended.
 func (r *Result) Finish() spanrill.Finish { return r.finish }
 
-// PromptTokens returns the tokens of the prompt.
+// PromptTokens returns the number of tokens of the prompt.
 func (r *Result) PromptTokens() int { return r.promptTokens }
 
-// CachedTokens returns the tokens of the prompt that were taken from caches.
+// CachedTokens returns the number of tokens of the prompt that engines had cached.
 func (r *Result) CachedTokens() int { return r.cachedTokens }
 
-// Tokens returns the tokens generated.
+// Tokens returns the number of generated tokens.
 func (r *Result) Tokens() int { return r.tokens }
 
-// Attempts returns how many chains the answer took.
+// Attempts returns how many chains were tried, including the one that completed the answer.
 func (r *Result) Attempts() int { return r.attempts }
 
-// Chain returns the last chain.
+// Chain returns the chain that completed the answer.
 func (r *Result) Chain() []spanrill.StageRef { return r.chain }
 
-// Runner runs generations.
+// Runner runs generations and retries them on other chains.
 type Runner struct {
-	engines    spanrill.Engines
-	table      *load.Table
-	router     *routing.Router
-	clock      spanrill.Clock
-	log        logrus.FieldLogger
-	meters     *meter.Meters
-	budget     *retry.Budget
-	affinity   *Affinity
-	onFailure  func(*load.Upstream)
-	firstWait  spanrill.Millis
-	tokenWait  spanrill.Millis
-	maxAttempt int
+	engines           spanrill.Engines
+	table             *load.Table
+	router            *routing.Router
+	clock             spanrill.Clock
+	log               logrus.FieldLogger
+	meters            *meter.Meters
+	budget            *retry.Budget
+	affinity          *Affinity
+	onEjection        func(*load.Upstream)
+	firstTokenTimeout spanrill.Millis
+	tokenTimeout      spanrill.Millis
+	maxAttempts       int
 }
 
 // Option changes a default of New.
 type Option func(*Runner)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger of events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(r *Runner) { r.log = log }
 }
 
-// WithMeters sets the counters.
+// WithMeters sets the metrics to update.
 func WithMeters(m *meter.Meters) Option {
 	return func(r *Runner) { r.meters = m }
 }
 
-// WithBudget sets what retries draw on.
+// WithBudget sets the budget that limits retries.
 func WithBudget(b *retry.Budget) Option {
 	return func(r *Runner) { r.budget = b }
 }
 
-// WithOnFailure sets what is called when an upstream has failed a request.
+// WithOnFailure sets a function to call when an upstream is ejected because it failed a request.
 func WithOnFailure(f func(*load.Upstream)) Option {
-	return func(r *Runner) { r.onFailure = f }
+	return func(r *Runner) { r.onEjection = f }
 }
 
-// WithWaits sets how long the first and each later token may take.
+// WithTokenTimeouts sets how long the first and each later token may take.
 func WithWaits(first, later spanrill.Millis) Option {
-	return func(r *Runner) { r.firstWait, r.tokenWait = first, later }
+	return func(r *Runner) { r.firstTokenTimeout, r.tokenTimeout = first, later }
 }
 
 const (
-	defaultFirstWait   = 5 * spanrill.Second
-	defaultTokenWait   = 2 * spanrill.Second
-	defaultMaxAttempts = 5
+	defaultFirstTokenTimeout = 5 * spanrill.Second
+	defaultTokenTimeout      = 2 * spanrill.Second
+	defaultMaxAttempts       = 5
 )
 
 // New returns a runner.
@@ -129,9 +127,9 @@
 	r := &Runner{
 		engines: engines, table: table, router: router, clock: clock,
 		log: logrus.StandardLogger(), meters: meter.New(), budget: retry.NewBudget(),
-		affinity:  NewAffinity(clock),
-		onFailure: func(*load.Upstream) {},
-		firstWait: defaultFirstWait, tokenWait: defaultTokenWait, maxAttempt: defaultMaxAttempts,
+		affinity:          NewAffinity(clock),
+		onEjection:        func(*load.Upstream) {},
+		firstTokenTimeout: defaultFirstTokenTimeout, tokenTimeout: defaultTokenTimeout, maxAttempts: defaultMaxAttempts,
 	}
 	for _, o := range opts {
 		o(r)
@@ -139,7 +137,8 @@
 	return r
 }
 
-// Run delivers a whole answer to the sink, or returns why it cannot.
+// Run delivers the answer to the sink and returns a description of it, or the refusal if it
+// cannot be completed.
 func (r *Runner) Run(ctx context.Context, req *Request, sink Sink) (*Result, *spanrill.Refusal) {
 	g := &generation{runner: r, req: req, sink: sink, ctx: ctx, result: &Result{}}
 	return g.run()
--- a/coordination/pipeline/verify.go
+++ b/coordination/pipeline/verify.go
@@ -6,39 +6,39 @@
 	"spanrill"
 )
 
-// Errors of a token check.
+// Errors of verifier.
 var (
-	// ErrLayers means that the layers did not run once each and in order.
+	// ErrLayers means that the layers did not run exactly once and in order.
 	ErrLayers = errors.New("layers did not run exactly once and in order")
-	// ErrGap means that a token was left out.
+	// ErrGap means that a token is missing.
 	ErrGap = errors.New("a token is missing")
 )
 
-// verifier checks the tokens of one attempt.
+// verifier checks the tokens of one attempt against its chain.
 type verifier struct {
 	layers int
 	chain  []spanrill.StageRef
 	next   int // index of the next token to deliver
 }
 
-// check reports whether the event's token is the next one and may be
-// delivered. A token that was seen before is dropped without an error.
-func (v *verifier) check(ev *spanrill.RunEvent) (deliver bool, err error) {
+// check reports whether the event's token is the next one to deliver. A token that was delivered
+// before is dropped without an error.
+func (v *verifier) check(ev *spanrill.RunEvent) (isNext bool, err error) {
 	if ev.Index < v.next {
 		return false, nil
 	}
 	if ev.Index > v.next {
 		return false, errors.Wrapf(ErrGap, "expected index %d, got %d", v.next, ev.Index)
 	}
-	if err := v.cover(ev.Ran); err != nil {
+	if err := v.checkLayers(ev.Ran); err != nil {
 		return false, err
 	}
 	v.next++
 	return true, nil
 }
 
-// cover checks that the stages of the chain ran layers 0 to the last one.
-func (v *verifier) cover(ran []spanrill.RanRange) error {
+// checkLayers checks that the stages of the chain ran all layers in order.
+func (v *verifier) checkLayers(ran []spanrill.RanRange) error {
 	if len(ran) != len(v.chain) {
 		return errors.Wrapf(ErrLayers, "%d stages ran, the chain has %d", len(ran), len(v.chain))
 	}
