--- a/coordination/probe/identify.go
+++ b/coordination/probe/identify.go
@@ -12,46 +12,46 @@
 	"spanrill/task"
 )
 
-// Names finds out who listens at an address that more than one entry names. Each question
-// is paid for as a probe, and there is one for each such address in calm.
+// AddressResolver finds out which upstream listens at an address that more than one entry claims.
+// It sends one query for each such address, which costs as much as a probe.
 type Names struct {
 	identifier spanrill.Identifier
 	clock      spanrill.Clock
 	log        logrus.FieldLogger
-	path       func(service string) string // of the health check
+	healthPath func(service string) string // of the health check of a service
 
-	asks    task.Group
-	mu      sync.Mutex
-	askedAt map[string]spanrill.Millis // by address
+	queries   task.Group
+	mu        sync.Mutex
+	queriedAt map[string]spanrill.Millis // by address
 }
 
-// NewNames returns a finder. Path returns the path of a service's health check.
-func NewNames(identifier spanrill.Identifier, clock spanrill.Clock, log logrus.FieldLogger, path func(service string) string) *Names {
-	return &Names{identifier: identifier, clock: clock, log: log, path: path, askedAt: map[string]spanrill.Millis{}}
+// NewAddressResolver returns a resolver. HealthPath returns the path of a service's health check.
+func NewNames(identifier spanrill.Identifier, clock spanrill.Clock, log logrus.FieldLogger, healthPath func(service string) string) *Names {
+	return &Names{identifier: identifier, clock: clock, log: log, healthPath: healthPath, queriedAt: map[string]spanrill.Millis{}}
 }
 
-// Ask asks about the claims that the table cannot decide, each address now and then until
-// it answers. It does not wait for the answers, which the table takes. It is called a few
+// Resolve queries the addresses of claims that the table cannot decide, each one at intervals
+// until it answers. It does not wait for the answers, which go to the table. It is called a few
 // times a second.
 func (n *Names) Ask(ctx context.Context, table *fleet.Table) {
 	claims := table.Claims()
 	n.forget(claims)
 	for _, c := range claims {
-		path := n.path(c.Service)
-		if path == "" || !n.due(c.Addr, n.pause(table, c.Addr)) {
+		healthPath := n.healthPath(c.Service)
+		if healthPath == "" || !n.markIfDue(c.Addr, n.queryInterval(table, c.Addr)) {
 			continue
 		}
-		n.asks.Start(ctx, "ask who listens", func(ctx context.Context) error { return n.ask(ctx, table, c, path) })
+		n.queries.Start(ctx, "identify upstream", func(ctx context.Context) error { return n.identify(ctx, table, c, healthPath) })
 	}
 }
 
-// Wait returns when all questions have ended.
-func (n *Names) Wait() { _ = n.asks.Wait() } // their errors are logged where they happen
+// Wait waits until all queries have ended.
+func (n *Names) Wait() { _ = n.queries.Wait() } // errors are logged where they occur
 
-func (n *Names) ask(ctx context.Context, table *fleet.Table, c fleet.Claim, path string) error {
-	ctx, cancel := context.WithTimeout(ctx, nameWait.Duration())
+func (n *Names) identify(ctx context.Context, table *fleet.Table, c fleet.Claim, healthPath string) error {
+	ctx, cancel := context.WithTimeout(ctx, identifyTimeout.Duration())
 	defer cancel()
-	name, err := n.identifier.Identify(ctx, c.Addr, path)
+	name, err := n.identifier.Identify(ctx, c.Addr, healthPath)
 	if err != nil {
 		events.AddressSilent.Log(n.log, logrus.Fields{"upstream": c.Name, "addr": c.Addr, "error": err})
 		return err
@@ -60,44 +60,45 @@
 	return nil
 }
 
-// nameWait bounds a question. It waits for a place at the upstream, as a request does.
-const nameWait = 2 * againAfter / 3
+// identifyTimeout bounds a query. A query waits for a slot at the upstream, as a request does.
+const identifyTimeout = 2 * recheckInterval / 3
 
-// restsAgain is the pause between two questions to an upstream that has asked for rest: a
-// question takes a place there as a request does. Of a rest of 3 s two fall into it. It is
-// asked all the same, since nothing else tells that another upstream listens there by now.
-const restsAgain = 2 * spanrill.Second
+// restingInterval is the time between two queries to an upstream that rests: each takes a slot
+// there, as a request does, and a rest of 3 s contains two of them. The upstream is queried
+// nevertheless, because nothing else tells that another upstream listens there by now.
+const restingInterval = 2 * spanrill.Second
 
-// pause is how long after a question the next one may follow.
-func (n *Names) pause(table *fleet.Table, addr string) spanrill.Millis {
+// queryInterval returns the least time between two queries to an address.
+func (n *Names) queryInterval(table *fleet.Table, addr string) spanrill.Millis {
 	if u := table.View().ByAddr(addr); u != nil && u.Rests(n.clock.Now()) {
-		return restsAgain
+		return restingInterval
 	}
-	return againAfter
+	return recheckInterval
 }
 
-func (n *Names) due(addr string, pause spanrill.Millis) bool {
+// markIfDue reports whether an address may be queried now, and records the query if so.
+func (n *Names) markIfDue(addr string, interval spanrill.Millis) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	if at, asked := n.askedAt[addr]; asked && now-at < pause {
+	if at, queried := n.queriedAt[addr]; queried && now-at < interval {
 		return false
 	}
-	n.askedAt[addr] = now
+	n.queriedAt[addr] = now
 	return true
 }
 
-// forget forgets addresses that are claimed no more.
+// forget drops addresses that are no longer claimed.
 func (n *Names) forget(claims []fleet.Claim) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	open := make(map[string]bool, len(claims))
+	claimed := make(map[string]bool, len(claims))
 	for _, c := range claims {
-		open[c.Addr] = true
+		claimed[c.Addr] = true
 	}
-	for addr := range n.askedAt {
-		if !open[addr] {
-			delete(n.askedAt, addr)
+	for addr := range n.queriedAt {
+		if !claimed[addr] {
+			delete(n.queriedAt, addr)
 		}
 	}
 }
--- a/coordination/probe/identify_test.go
+++ b/coordination/probe/identify_test.go
@@ -14,53 +14,54 @@
 	"spanrill/state/fleet"
 )
 
-// names answers for addresses, as a test sets it.
-type names struct {
-	mu    sync.Mutex
-	name  string // "" for no answer
-	asked int
+// fakeIdentifier answers for every address with the name that a test sets.
+type fakeIdentifier struct {
+	mu      sync.Mutex
+	name    string // "" for no answer
+	queries int
 }
 
-func (n *names) Identify(context.Context, string, string) (string, error) {
+func (n *fakeIdentifier) Identify(context.Context, string, string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.asked++
+	n.queries++
 	if n.name == "" {
 		return "", errors.New("no answer")
 	}
 	return n.name, nil
 }
 
-// An address that two entries name is asked until it answers, each half second once.
-func TestAddressIsAskedWhoItIs(t *testing.T) {
+// An address that two entries claim is queried until it answers, at most once in each
+// recheckInterval, and less often while the upstream rests.
+func TestAddressIsQueriedUntilItAnswers(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	c, said := clock.NewManual(), &names{}
+	c, identifier := clock.NewManual(), &fakeIdentifier{}
 	table := fleet.New(c, nil, fleet.WithLogger(log))
 	entry := func(name string) spanrill.EngineEntry {
 		return spanrill.EngineEntry{ID: name, Service: "s", Addr: "1:1"}
 	}
 	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{entry("old")}, At: 1, Change: 1}, 0)
 	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{entry("old"), entry("new")}, At: 2, Change: 2}, 0)
-	n := NewNames(said, c, log, func(string) string { return "/healthz" })
-	ask := func(want int, who string) {
+	resolver := NewNames(identifier, c, log, func(string) string { return "/healthz" })
+	check := func(wantQueries int, wantName string) {
 		t.Helper()
-		n.Ask(context.Background(), table)
-		n.Wait()
-		if said.asked != want || table.View().ByAddr("1:1").Name() != who {
-			t.Fatalf("asked %d times, want %d; %s is at the address, want %s", said.asked, want, table.View().ByAddr("1:1").Name(), who)
+		resolver.Ask(context.Background(), table)
+		resolver.Wait()
+		if identifier.queries != wantQueries || table.View().ByAddr("1:1").Name() != wantName {
+			t.Fatalf("%d queries, want %d; upstream at the address: %s, want %s", identifier.queries, wantQueries, table.View().ByAddr("1:1").Name(), wantName)
 		}
 	}
-	ask(1, "old")
-	ask(1, "old")
-	c.Advance(againAfter)
-	ask(2, "old")
-	table.Notice("1:1", spanrill.Notice{Rest: restsAgain}, c.Now())
-	c.Advance(againAfter)
-	ask(2, "old")
-	c.Advance(restsAgain)
-	said.name = "new"
-	ask(3, "new")
-	c.Advance(againAfter)
-	ask(3, "new")
+	check(1, "old")
+	check(1, "old")
+	c.Advance(recheckInterval)
+	check(2, "old")
+	table.Notice("1:1", spanrill.Notice{Rest: restingInterval}, c.Now())
+	c.Advance(recheckInterval)
+	check(2, "old")
+	c.Advance(restingInterval)
+	identifier.name = "new"
+	check(3, "new")
+	c.Advance(recheckInterval)
+	check(3, "new")
 }
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -1,23 +1,21 @@
-// Package probe finds out whether engines answer.
+// Package probe checks whether engines answer, and which upstream listens at an address.
 //
-// A request that has heard nothing for a while asks the engines of its path.
-// Requests that ask about the same engine at the same time share one question,
-// and an answer is used for a while, since each question is paid for.
+// A request that has received nothing for a while probes the engines of its path. Requests that
+// probe the same engine at the same time share one query, and its result is reused for a while,
+// because each query costs a call.
 //
-// An engine that refuses the connection is dead at once. One that says nothing
-// is asked a second time meanwhile, on a new connection, because a lost packet is
-// sent again only after a fifth of a second, and a connection that was used before
-// may be silent for good; it is dead when neither question was answered.
+// An engine that refuses the connection is dead at once. A silent one is queried a second time,
+// on a new connection, because a lost packet is retransmitted only after a fifth of a second, and
+// a reused connection may be broken without notice. It is dead if neither query was answered.
 //
-// A silence says something of an engine only if this daemon could have heard an
-// answer: it did not stand still meanwhile, and something came from another
-// engine. Otherwise the engine is asked again before it is judged. A daemon
-// with a slow link or processor would otherwise take all engines for dead at
-// once, and move every stream it has.
+// Silence is conclusive only if this daemon could have received an answer: its process was not
+// paused meanwhile, and something came from another engine. Otherwise the engine is queried
+// again. Without this rule, a daemon with a slow link or processor would take all engines for
+// dead at once, and move all of its streams.
 //
 // # Usage
 //
-//	p := probe.New(engines, clock, log, probe.WithHeard(table.LastHeard))
+//	p := probe.New(engines, clock, log, probe.WithLastHeard(table.LastHeard))
 //	p.Check(ctx, suspects)
 //	if u.Dead() { ... }
 package probe
@@ -37,82 +35,80 @@
 )
 
 const (
-	// answerWait is how long an engine may take to answer. A report takes a
-	// millisecond or two.
-	answerWait spanrill.Millis = 40
-	// hedgeAfter is when the question is asked a second time.
-	hedgeAfter spanrill.Millis = 15
-	// reuse is how long an answer is used.
-	reuse spanrill.Millis = 250
-	// againAfter is when an engine that did not answer is asked again.
-	againAfter spanrill.Millis = 500
-	// tries bounds how often an engine is asked whose silence says nothing. A
-	// daemon that hears of no engine at all judges by the last.
-	tries = 3
-	// lateBy is by how much later than set a wait ends when this process stood
-	// still: many times what timers are late.
-	lateBy spanrill.Millis = 20
+	// answerTimeout bounds a query. A report usually takes a millisecond or two.
+	answerTimeout spanrill.Millis = 40
+	// hedgeDelay is the time without an answer after which a second query is sent.
+	hedgeDelay spanrill.Millis = 15
+	// resultLifetime is how long a result is reused.
+	resultLifetime spanrill.Millis = 250
+	// recheckInterval is the least time between two queries to a dead engine.
+	recheckInterval spanrill.Millis = 500
+	// maxTries bounds how often an engine is queried while its silence is inconclusive. The last
+	// try decides, for a daemon that hears from no engine at all.
+	maxTries = 3
+	// maxTimerDelay is how much later than its time-out a query may end before the process counts
+	// as paused: many times the usual delay of timers.
+	maxTimerDelay spanrill.Millis = 20
 )
 
-// Prober asks engines for their reports.
+// Prober queries engines for their reports and records which are dead.
 type Prober struct {
-	engines spanrill.LayerEngines
-	clock   spanrill.Clock
-	log     logrus.FieldLogger
-	heard   func() spanrill.Millis
-	dial    func(ctx context.Context, addr string) error
+	engines   spanrill.LayerEngines
+	clock     spanrill.Clock
+	log       logrus.FieldLogger
+	lastHeard func() spanrill.Millis                       // when anything last came from any engine
+	dial      func(ctx context.Context, addr string) error // opens a connection and closes it
 
-	mu     sync.Mutex
-	asked  map[string]*question // by id
-	knocks map[string]*knock    // by id
+	mu         sync.Mutex
+	queries    map[string]*query     // by id
+	dialChecks map[string]*dialCheck // by id
 }
 
-// question is one question and, once done is closed, its answer.
-type question struct {
+// query is a request for a report. Its result is set when done is closed.
+type query struct {
 	done   chan struct{}
 	at     spanrill.Millis
 	report spanrill.EngineReport
 	err    error
 }
 
-// knock is a connection that is tried and, once done is closed, noted.
-type knock struct {
+// dialCheck is a connection attempt. Its result is recorded when done is closed.
+type dialCheck struct {
 	done chan struct{}
 	at   spanrill.Millis
 }
 
-// Knock opens a connection to an upstream and notes whether anything listens there. It says
-// nothing of whether the upstream works: one that is silent is not taken for dead. Requests
-// that break off there at the same time share one connection.
+// CheckListening opens a connection to an upstream and records whether anything listens at its
+// address. It does not check that the upstream works: a silent one is not taken for dead.
+// Requests that break off at the same upstream at the same time share one connection.
 func (p *Prober) Knock(ctx context.Context, u *fleet.Upstream) {
-	k, first := p.knockAt(u.ID())
-	if first {
-		p.knock(ctx, u)
-		close(k.done)
+	check, isNew := p.dialCheckFor(u.ID())
+	if isNew {
+		p.dialAndRecord(ctx, u)
+		close(check.done)
 		return
 	}
 	select {
-	case <-k.done:
+	case <-check.done:
 	case <-ctx.Done():
 	}
 }
 
-// knockAt returns the knock at an upstream that is under way or was made just before, or a
-// new one.
-func (p *Prober) knockAt(id string) (k *knock, first bool) {
+// dialCheckFor returns the check of an upstream that is running or recent, or a new one.
+func (p *Prober) dialCheckFor(id string) (check *dialCheck, isNew bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if k = p.knocks[id]; k != nil && now-k.at < reuse {
-		return k, false
+	if check = p.dialChecks[id]; check != nil && now-check.at < resultLifetime {
+		return check, false
 	}
-	k = &knock{done: make(chan struct{}), at: now}
-	p.knocks[id] = k
-	return k, true
+	check = &dialCheck{done: make(chan struct{}), at: now}
+	p.dialChecks[id] = check
+	return check, true
 }
 
-func (p *Prober) knock(ctx context.Context, u *fleet.Upstream) {
-	ctx, cancel := context.WithTimeout(ctx, answerWait.Duration())
+func (p *Prober) dialAndRecord(ctx context.Context, u *fleet.Upstream) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout.Duration())
 	defer cancel()
 	err := p.dial(ctx, u.Addr())
 	switch {
@@ -123,8 +119,8 @@
 	}
 }
 
-// dial opens a connection and closes it.
-func dial(ctx context.Context, addr string) error {
+// dialAndClose opens a connection and closes it.
+func dialAndClose(ctx context.Context, addr string) error {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
@@ -135,34 +131,34 @@
 // Option changes a default of New.
 type Option func(*Prober)
 
-// WithDial sets how a connection is opened and closed again.
+// WithDial sets the function that opens and closes a connection.
 func WithDial(dial func(ctx context.Context, addr string) error) Option {
 	return func(p *Prober) { p.dial = dial }
 }
 
-// WithHeard sets where it is read when anything last came from any engine.
-func WithHeard(heard func() spanrill.Millis) Option {
-	return func(p *Prober) { p.heard = heard }
+// WithLastHeard sets the function that returns when anything last came from any engine.
+func WithHeard(lastHeard func() spanrill.Millis) Option {
+	return func(p *Prober) { p.lastHeard = lastHeard }
 }
 
 // New returns a prober.
 func New(engines spanrill.LayerEngines, clock spanrill.Clock, log logrus.FieldLogger, opts ...Option) *Prober {
-	p := &Prober{engines: engines, clock: clock, log: log, asked: map[string]*question{}, knocks: map[string]*knock{}, heard: clock.Now, dial: dial}
+	p := &Prober{engines: engines, clock: clock, log: log, queries: map[string]*query{}, dialChecks: map[string]*dialCheck{}, lastHeard: clock.Now, dial: dialAndClose}
 	for _, o := range opts {
 		o(p)
 	}
 	return p
 }
 
-// Check asks all of the engines at once and notes which are dead. It returns
-// the reports of those that answered, by id.
+// Check queries all of the engines at once and records which are dead. It returns the reports of
+// those that answered, by id.
 func (p *Prober) Check(ctx context.Context, upstreams []*fleet.Upstream) map[string]spanrill.EngineReport {
-	questions := make([]*question, len(upstreams))
+	queries := make([]*query, len(upstreams))
 	for i, u := range upstreams {
-		questions[i] = p.ask(ctx, u)
+		queries[i] = p.startQuery(ctx, u)
 	}
 	reports := make(map[string]spanrill.EngineReport, len(upstreams))
-	for i, q := range questions {
+	for i, q := range queries {
 		select {
 		case <-q.done:
 		case <-ctx.Done():
@@ -175,96 +171,98 @@
 	return reports
 }
 
-func (p *Prober) ask(ctx context.Context, u *fleet.Upstream) *question {
+// startQuery returns the running or recent query of an engine, or starts one.
+func (p *Prober) startQuery(ctx context.Context, u *fleet.Upstream) *query {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if q := p.asked[u.ID()]; q != nil && now-q.at < reuse {
+	if q := p.queries[u.ID()]; q != nil && now-q.at < resultLifetime {
 		return q
 	}
-	q := &question{done: make(chan struct{}), at: now}
-	p.asked[u.ID()] = q
-	go p.answer(context.WithoutCancel(ctx), u, q)
+	q := &query{done: make(chan struct{}), at: now}
+	p.queries[u.ID()] = q
+	go p.runQuery(context.WithoutCancel(ctx), u, q)
 	return q
 }
 
-func (p *Prober) answer(ctx context.Context, u *fleet.Upstream, q *question) {
+// runQuery repeats a query until it is answered or its failure is conclusive.
+func (p *Prober) runQuery(ctx context.Context, u *fleet.Upstream, q *query) {
 	defer close(q.done)
-	for range tries {
+	for range maxTries {
 		sent := p.clock.Now()
-		p.try(ctx, u, q)
-		if q.err == nil || refused(q.err) || p.tells(sent) {
+		p.reportHedged(ctx, u, q)
+		if q.err == nil || connectionRefused(q.err) || p.silenceIsConclusive(sent) {
 			break
 		}
 	}
-	p.note(u, q)
+	p.recordResult(u, q)
 }
 
-// tells reports whether the silence of an engine since sent says something of
-// the engine.
-func (p *Prober) tells(sent spanrill.Millis) bool {
+// silenceIsConclusive reports whether an engine that has not answered since sent can be taken for
+// dead.
+func (p *Prober) silenceIsConclusive(sent spanrill.Millis) bool {
 	now := p.clock.Now()
-	return now-sent < answerWait+lateBy && p.heard() > sent
+	return now-sent < answerTimeout+maxTimerDelay && p.lastHeard() > sent
 }
 
-// try asks an engine once, and once more meanwhile if it says nothing.
-func (p *Prober) try(ctx context.Context, u *fleet.Upstream, q *question) {
-	ctx, cancel := context.WithTimeout(ctx, answerWait.Duration())
-	answers := make(chan answer, 2)
-	var open sync.WaitGroup
-	// A question that is overtaken runs on to its end, so that its time-out shows
-	// a silent connection.
+// reportHedged queries an engine, and a second time if it has not answered after hedgeDelay.
+func (p *Prober) reportHedged(ctx context.Context, u *fleet.Upstream, q *query) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout.Duration())
+	results := make(chan reportResult, 2)
+	var pending sync.WaitGroup
+	// The slower of two queries is not cancelled, so that its time-out reveals a silent connection.
 	defer func() {
 		go func() {
-			open.Wait()
+			pending.Wait()
 			cancel()
 		}()
 	}()
-	once := func(ctx context.Context) {
-		open.Add(1)
+	send := func(ctx context.Context) {
+		pending.Add(1)
 		go func() {
-			defer open.Done()
-			answers <- p.once(ctx, u.Addr())
+			defer pending.Done()
+			results <- p.report(ctx, u.Addr())
 		}()
 	}
-	once(ctx)
-	asked, hedge := 1, p.clock.After(hedgeAfter)
-	for got := 0; got < asked; {
+	send(ctx)
+	sent, hedge := 1, p.clock.After(hedgeDelay)
+	for received := 0; received < sent; {
 		select {
 		case <-hedge:
-			asked, hedge = asked+1, nil
-			once(httpcall.Anew(ctx))
-		case a := <-answers:
-			got++
-			q.report, q.err = a.report, a.err
-			if a.err == nil || refused(a.err) {
-				got = asked
+			sent, hedge = sent+1, nil
+			send(httpcall.Anew(ctx))
+		case result := <-results:
+			received++
+			q.report, q.err = result.report, result.err
+			if result.err == nil || connectionRefused(result.err) {
+				received = sent
 			}
 		}
 	}
 }
 
-// answer is what one question brought.
-type answer struct {
+// reportResult is the result of one query.
+type reportResult struct {
 	report spanrill.EngineReport
 	err    error
 }
 
-func (p *Prober) once(ctx context.Context, addr string) answer {
+func (p *Prober) report(ctx context.Context, addr string) reportResult {
 	report, err := p.engines.Report(ctx, addr)
-	return answer{report: report, err: err}
+	return reportResult{report: report, err: err}
 }
 
-// refused reports whether the other end said itself that nothing listens.
-func refused(err error) bool {
+// connectionRefused reports whether the connection was refused by the other end.
+func connectionRefused(err error) bool {
 	var call *spanrill.CallError
 	return errors.As(err, &call) && call.Phase == spanrill.PhaseDial && !errors.Is(err, context.DeadlineExceeded) && !spanrill.OwnLack(err)
 }
 
-func (p *Prober) note(u *fleet.Upstream, q *question) {
+// recordResult sets the state of an engine from the result of a query and logs changes.
+func (p *Prober) recordResult(u *fleet.Upstream, q *query) {
 	if spanrill.OwnLack(q.err) {
 		events.ConnectionsLacking.Log(p.log, logrus.Fields{"upstream": u.ID(), "addr": u.Addr(), "error": q.err})
-		return // a daemon that has no descriptors left would take all engines for dead
+		return // without descriptors, this daemon would take all engines for dead
 	}
 	dead := q.err != nil
 	if spanrill.NothingListens(q.err) {
@@ -285,35 +283,37 @@
 	event.Log(p.log, fields)
 }
 
-// Recheck asks the dead among the upstreams again, and forgets engines that
-// are gone. It is called a few times a second.
+// Recheck queries dead engines again, and drops the results of engines that are gone. It is
+// called a few times a second.
 func (p *Prober) Recheck(ctx context.Context, table *fleet.Table) {
 	now, v := p.clock.Now(), table.View()
 	table.EachActive(func(u *fleet.Upstream) {
-		if u.Dead() && p.age(u.ID(), now) >= againAfter {
-			p.ask(ctx, u)
+		if u.Dead() && p.queryAge(u.ID(), now) >= recheckInterval {
+			p.startQuery(ctx, u)
 		}
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id := range p.asked {
+	for id := range p.queries {
 		if v.ByID(id) == nil {
-			delete(p.asked, id)
+			delete(p.queries, id)
 		}
 	}
-	for id := range p.knocks {
+	for id := range p.dialChecks {
 		if v.ByID(id) == nil {
-			delete(p.knocks, id)
+			delete(p.dialChecks, id)
 		}
 	}
 }
 
-func (p *Prober) age(id string, now spanrill.Millis) spanrill.Millis {
+// queryAge returns the time since the last query of an engine, or recheckInterval if there is
+// none.
+func (p *Prober) queryAge(id string, now spanrill.Millis) spanrill.Millis {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.asked[id]
+	q := p.queries[id]
 	if q == nil {
-		return againAfter
+		return recheckInterval
 	}
 	return now - q.at
 }
--- a/coordination/probe/probe_test.go
+++ b/coordination/probe/probe_test.go
@@ -16,25 +16,25 @@
 	"spanrill/state/fleet"
 )
 
-// mute is an engine that leaves questions without an answer.
-type mute struct {
+// fakeEngine is an engine that can fail to answer in several ways.
+type fakeEngine struct {
 	spanrill.LayerEngines
-	mu      sync.Mutex
-	silent  int  // the first n questions get no answer
-	refuses bool // nothing listens
-	lacks   bool // this machine has no descriptor left for a connection
-	asked   int
+	mu                 sync.Mutex
+	unanswered         int  // the first queries, up to this number, get no answer
+	refusesConnections bool // nothing listens at its address
+	lacksDescriptors   bool // this machine has no file descriptor left for a connection
+	queries            int
 }
 
-func (m *mute) Report(ctx context.Context, _ string) (spanrill.EngineReport, error) {
+func (m *fakeEngine) Report(ctx context.Context, _ string) (spanrill.EngineReport, error) {
 	m.mu.Lock()
-	m.asked++
-	silent := m.asked <= m.silent
+	m.queries++
+	silent := m.queries <= m.unanswered
 	m.mu.Unlock()
-	if m.refuses {
+	if m.refusesConnections {
 		return spanrill.EngineReport{}, &spanrill.CallError{Phase: spanrill.PhaseDial, Cause: errors.New("connection refused")}
 	}
-	if m.lacks {
+	if m.lacksDescriptors {
 		return spanrill.EngineReport{}, &spanrill.CallError{Phase: spanrill.PhaseDial, Cause: errors.WithStack(syscall.EMFILE)}
 	}
 	if silent {
@@ -44,80 +44,80 @@
 	return spanrill.EngineReport{Pace: 1}, nil
 }
 
-// steady is a clock on which no time passes between a question and its end. A machine that is
-// busy delays questions, and a prober that sees this asks again, as it should; how often it asks
-// would then say nothing of what is tested.
-type steady struct{ spanrill.Clock }
+// frozenClock is a clock on which no time passes during a query. On a busy machine queries are
+// delayed, and the prober rightly queries again; the number of queries would then not depend on
+// the tested cases alone.
+type frozenClock struct{ spanrill.Clock }
 
-func (steady) Now() spanrill.Millis { return spanrill.Second }
+func (frozenClock) Now() spanrill.Millis { return spanrill.Second }
 
-// jumping is a clock on which more time passes between two looks than an answer may take, as
-// when this process stands still.
-type jumping struct {
+// jumpingClock is a clock that advances between two readings by more than a query may take, as
+// when the process is paused.
+type jumpingClock struct {
 	spanrill.Clock
 	now atomic.Int64
 }
 
-func (j *jumping) Now() spanrill.Millis {
-	return spanrill.Millis(j.now.Add(int64(answerWait + 2*lateBy)))
+func (j *jumpingClock) Now() spanrill.Millis {
+	return spanrill.Millis(j.now.Add(int64(answerTimeout + 2*maxTimerDelay)))
 }
 
-// perTry is how often an engine is asked in one try: a question and its repetition.
-const perTry = 2
+// queriesPerTry is how often an engine is queried in one try: a query and its hedge.
+const queriesPerTry = 2
 
-// probed has a prober ask one engine and returns that. Heard says when something came from any
-// engine.
-func probed(engine spanrill.LayerEngines, now spanrill.Clock, heard func(now spanrill.Millis) spanrill.Millis) *fleet.Upstream {
+// probeEngine lets a prober check one engine and returns its upstream. LastHeard returns when
+// anything last came from any engine.
+func probeEngine(engine spanrill.LayerEngines, now spanrill.Clock, lastHeard func(now spanrill.Millis) spanrill.Millis) *fleet.Upstream {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	table := fleet.New(now, func(spanrill.Item) (spanrill.EngineEntry, error) {
 		return spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1"}, nil
 	}, fleet.WithLogger(log))
 	table.Listed([]spanrill.Item{{Name: "e"}}, 1, 0)
-	p := New(engine, now, log, WithHeard(func() spanrill.Millis { return heard(now.Now()) }))
+	p := New(engine, now, log, WithHeard(func() spanrill.Millis { return lastHeard(now.Now()) }))
 	u := table.View().ByID("e")
 	p.Check(context.Background(), []*fleet.Upstream{u})
 	return u
 }
 
-// A silence in which this process stood still says nothing: the engine is asked again.
-func TestSilenceWhileStandingStill(t *testing.T) {
-	m := &mute{silent: 100}
-	u := probed(m, &jumping{Clock: clock.NewSystem()}, func(now spanrill.Millis) spanrill.Millis { return now })
-	if m.asked <= perTry || !u.Dead() {
-		t.Errorf("asked %d times, dead %t, want more than %d and true in the end", m.asked, u.Dead(), perTry)
+// If the process was paused while an engine was silent, the engine is queried again.
+func TestSilenceDuringPauseIsInconclusive(t *testing.T) {
+	m := &fakeEngine{unanswered: 100}
+	u := probeEngine(m, &jumpingClock{Clock: clock.NewSystem()}, func(now spanrill.Millis) spanrill.Millis { return now })
+	if m.queries <= queriesPerTry || !u.Dead() {
+		t.Errorf("%d queries, dead %t; want more than %d queries, and dead in the end", m.queries, u.Dead(), queriesPerTry)
 	}
 }
 
-// An engine is dead when its silence says something: others were heard
-// meanwhile, or nothing is heard of it however often it is asked.
-func TestSilenceIsJudged(t *testing.T) {
+// An engine is dead if its silence is conclusive, because others were heard meanwhile, or if it
+// stays silent in all tries.
+func TestDeadAfterConclusiveSilence(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		mute  *mute
-		heard bool // something comes from other engines
-		dead  bool
-		asked int // at most
+		name        string
+		engine      *fakeEngine
+		othersHeard bool // something comes from other engines meanwhile
+		wantDead    bool
+		maxQueries  int
 	}{
-		{"it answers", &mute{}, true, false, perTry},
-		{"it is silent while others are heard", &mute{silent: 100}, true, true, perTry},
-		{"nothing at all is heard for a moment", &mute{silent: perTry}, false, false, 2 * perTry},
-		{"nothing is ever heard again", &mute{silent: 100}, false, true, tries * perTry},
-		{"it refuses the connection", &mute{refuses: true}, false, true, perTry},
-		{"it cannot be asked for want of descriptors", &mute{lacks: true}, true, false, tries * perTry},
+		{"the engine answers", &fakeEngine{}, true, false, queriesPerTry},
+		{"the engine is silent while others are heard", &fakeEngine{unanswered: 100}, true, true, queriesPerTry},
+		{"no engine is heard during the first try", &fakeEngine{unanswered: queriesPerTry}, false, false, 2 * queriesPerTry},
+		{"no engine is heard in any try", &fakeEngine{unanswered: 100}, false, true, maxTries * queriesPerTry},
+		{"the connection is refused", &fakeEngine{refusesConnections: true}, false, true, queriesPerTry},
+		{"this daemon has no descriptors for a connection", &fakeEngine{lacksDescriptors: true}, true, false, maxTries * queriesPerTry},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			u := probed(c.mute, steady{clock.NewSystem()}, func(now spanrill.Millis) spanrill.Millis {
-				if c.heard {
+			u := probeEngine(c.engine, frozenClock{clock.NewSystem()}, func(now spanrill.Millis) spanrill.Millis {
+				if c.othersHeard {
 					return now + 1
 				}
 				return -1
 			})
-			if u.Dead() != c.dead {
-				t.Errorf("dead %t, want %t", u.Dead(), c.dead)
+			if u.Dead() != c.wantDead {
+				t.Errorf("dead %t, want %t", u.Dead(), c.wantDead)
 			}
-			if c.mute.asked > c.asked {
-				t.Errorf("asked %d times, at most %d are needed", c.mute.asked, c.asked)
+			if c.engine.queries > c.maxQueries {
+				t.Errorf("%d queries, want at most %d", c.engine.queries, c.maxQueries)
 			}
 		})
 	}
