--- a/coordination/chainrouting/candidate.go
+++ b/coordination/chainrouting/candidate.go
@@ -11,7 +11,7 @@
 
 // NoPathError reports why no path could be chosen.
 type NoPathError struct {
-	cause      error // ErrNoRoom, ErrNoPath, ErrRests or ErrLimited
+	cause      error // ErrNoRoom, ErrNoPath, ErrResting or ErrLimited
 	candidates []candidate
 }
 
@@ -21,7 +21,7 @@
 // Unwrap returns the cause.
 func (e *NoPathError) Unwrap() error { return e.cause }
 
-// Considered describes for logs why each chain was not chosen.
+// DescribeCandidates describes for logs why each chain was not chosen.
 func (e *NoPathError) Considered() []string { return describeAll(e.candidates) }
 
 // candidate describes, for logs, a path that was compared or a chain that is incomplete.
--- a/coordination/chainrouting/path.go
+++ b/coordination/chainrouting/path.go
@@ -36,7 +36,7 @@
 	candidates []candidate
 }
 
-// Considered describes, for logs, the paths that were compared.
+// DescribeCandidates describes, for logs, the paths that were compared.
 func (p *Path) Considered() []string { return describeAll(p.candidates) }
 
 func (r *Router) newPath(parts []Part, tokens int64, expected float64) *Path {
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -106,7 +106,7 @@
 	return func(r *Runner) { r.budget = b }
 }
 
-// WithOnFailure sets a function to call when an upstream is ejected because it failed a request.
+// WithOnEjection sets a function to call when an upstream is ejected because it failed a request.
 func WithOnFailure(f func(*load.Upstream)) Option {
 	return func(r *Runner) { r.onEjection = f }
 }
