--- a/coordination/chain/best.go
+++ b/coordination/chain/best.go
@@ -31,11 +31,11 @@
 			continue
 		}
 		zone := series.zoneIndex(h.Zone)
-		v, b := series.bestEndingWith(h, zone)
-		previous[i] = b
-		series.zones[zone].record(h.Layers.To, v, i)
-		if last < 0 || v > value {
-			last, value = i, v
+		seriesValue, before := series.bestEndingWith(h, zone)
+		previous[i] = before
+		series.zones[zone].record(h.Layers.To, seriesValue, i)
+		if last < 0 || seriesValue > value {
+			last, value = i, seriesValue
 		}
 	}
 	if last < 0 {
@@ -49,16 +49,16 @@
 type recentHolders []*Holder
 
 // containsOrAdd reports whether an equivalent holder is contained, and adds the holder if not.
-func (a *recentHolders) containsOrAdd(h *Holder) bool {
-	if len(*a) > 0 && (*a)[0].Layers != h.Layers {
-		*a = (*a)[:0]
+func (r *recentHolders) containsOrAdd(h *Holder) bool {
+	if len(*r) > 0 && (*r)[0].Layers != h.Layers {
+		*r = (*r)[:0]
 	}
-	for _, o := range *a {
+	for _, o := range *r {
 		if o.Pace == h.Pace && o.Zone == h.Zone {
 			return true
 		}
 	}
-	*a = append(*a, h)
+	*r = append(*r, h)
 	return false
 }
 
@@ -80,22 +80,22 @@
 }
 
 // zoneIndex returns the index of an availability zone. There are few, so a linear search does.
-func (e *seriesByZone) zoneIndex(name string) int {
-	index := slices.Index(e.names, name)
+func (s *seriesByZone) zoneIndex(name string) int {
+	index := slices.Index(s.names, name)
 	if index >= 0 {
 		return index
 	}
-	e.names = append(e.names, name)
-	e.zones = append(e.zones, newSeriesByEnd(e.layers))
-	return len(e.names) - 1
+	s.names = append(s.names, name)
+	s.zones = append(s.zones, newSeriesByEnd(s.layers))
+	return len(s.names) - 1
 }
 
 // bestEndingWith returns the value of the best series that ends with a holder, and the index of
 // the holder before it, or -1. Of equal ones the first counts.
-func (e *seriesByZone) bestEndingWith(h *Holder, zone int) (value, previous int) {
+func (s *seriesByZone) bestEndingWith(h *Holder, zone int) (value, previous int) {
 	added := holderValue(h)
 	value, previous = added, -1
-	for i, z := range e.zones {
+	for i, z := range s.zones {
 		last := z[h.Layers.From]
 		if last.index < 0 {
 			continue
@@ -119,16 +119,16 @@
 type seriesEnd struct{ value, index int }
 
 func newSeriesByEnd(layers int) seriesByEnd {
-	e := make(seriesByEnd, layers+1)
-	for i := range e {
-		e[i].index = -1
+	s := make(seriesByEnd, layers+1)
+	for i := range s {
+		s[i].index = -1
 	}
-	return e
+	return s
 }
 
 // record enters a series that ends at a layer.
-func (e seriesByEnd) record(layer, value, index int) {
-	for i := layer; i < len(e) && (e[i].index < 0 || value > e[i].value); i++ {
-		e[i] = seriesEnd{value, index}
+func (s seriesByEnd) record(layer, value, index int) {
+	for i := layer; i < len(s) && (s[i].index < 0 || value > s[i].value); i++ {
+		s[i] = seriesEnd{value, index}
 	}
 }
--- a/coordination/chainrouting/candidate.go
+++ b/coordination/chainrouting/candidate.go
@@ -100,10 +100,10 @@
 	return b.String()
 }
 
-func describeAll(seen []candidate) []string {
-	out := make([]string, len(seen))
-	for i, c := range seen {
-		out[i] = c.String()
+func describeAll(candidates []candidate) []string {
+	texts := make([]string, len(candidates))
+	for i, c := range candidates {
+		texts[i] = c.String()
 	}
-	return out
+	return texts
 }
--- a/coordination/chainrouting/router.go
+++ b/coordination/chainrouting/router.go
@@ -117,7 +117,7 @@
 
 // serviceChains holds the chains of a service as of one version of the view.
 type serviceChains struct {
-	reader  *chain.Reader
+	builder *chain.Reader
 	version uint64
 	model   *spanrill.EngineModel
 	chains  []*chain.Chain
@@ -134,9 +134,9 @@
 func (r *Router) chains(service string, m *spanrill.EngineModel, v *fleet.View) []*chain.Chain {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.cache[service]
-	if l != nil && l.version == v.Version() && l.model == m {
-		return l.chains
+	cached := r.cache[service]
+	if cached != nil && cached.version == v.Version() && cached.model == m {
+		return cached.chains
 	}
 	holders := make([]chain.Holder, 0, len(v.Of(service)))
 	for _, u := range v.Of(service) {
@@ -146,14 +146,14 @@
 		}
 	}
 	next := &serviceChains{version: v.Version(), model: m}
-	if l != nil && l.model.Layers == m.Layers {
-		next.reader = l.reader
+	if cached != nil && cached.model.Layers == m.Layers {
+		next.builder = cached.builder
 	} else {
-		next.reader = chain.NewReader(m.Layers)
+		next.builder = chain.NewReader(m.Layers)
 	}
-	next.chains, _ = next.reader.Read(holders)
+	next.chains, _ = next.builder.Read(holders)
 	next.summary = summarize(next.chains)
-	if l == nil || l.summary != next.summary {
+	if cached == nil || cached.summary != next.summary {
 		events.ChainsChanged.Log(r.log, logrus.Fields{"service": service, "chains": next.summary, "view": v.Version()})
 	}
 	r.cache[service] = next
@@ -179,14 +179,14 @@
 // Complete chains come first; if there are more than maxListedChains of them, only their number
 // is given.
 func summarize(chains []*chain.Chain) string {
-	whole := 0
-	for whole < len(chains) && chains[whole].Whole() {
-		whole++
+	complete := 0
+	for complete < len(chains) && chains[complete].Whole() {
+		complete++
 	}
 	var s strings.Builder
-	if whole > maxListedChains {
-		fmt.Fprintf(&s, "%d whole ", whole)
-		chains = chains[whole:]
+	if complete > maxListedChains {
+		fmt.Fprintf(&s, "%d whole ", complete)
+		chains = chains[complete:]
 	}
 	for _, c := range chains[:min(maxListedChains, len(chains))] {
 		fmt.Fprintf(&s, "%s:%d%v ", c.Zone(), len(c.Parts()), c.Holes())
--- a/coordination/probe/identify_test.go
+++ b/coordination/probe/identify_test.go
@@ -21,14 +21,14 @@
 	queries int
 }
 
-func (n *fakeIdentifier) Identify(context.Context, string, string) (string, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.queries++
-	if n.name == "" {
+func (f *fakeIdentifier) Identify(context.Context, string, string) (string, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.queries++
+	if f.name == "" {
 		return "", errors.New("no answer")
 	}
-	return n.name, nil
+	return f.name, nil
 }
 
 // An address that two entries claim is queried until it answers, at most once in each
--- a/coordination/probe/probe_test.go
+++ b/coordination/probe/probe_test.go
@@ -26,15 +26,15 @@
 	queries            int
 }
 
-func (m *fakeEngine) Report(ctx context.Context, _ string) (spanrill.EngineReport, error) {
-	m.mu.Lock()
-	m.queries++
-	silent := m.queries <= m.unanswered
-	m.mu.Unlock()
-	if m.refusesConnections {
+func (e *fakeEngine) Report(ctx context.Context, _ string) (spanrill.EngineReport, error) {
+	e.mu.Lock()
+	e.queries++
+	silent := e.queries <= e.unanswered
+	e.mu.Unlock()
+	if e.refusesConnections {
 		return spanrill.EngineReport{}, &spanrill.CallError{Phase: spanrill.PhaseDial, Cause: errors.New("connection refused")}
 	}
-	if m.lacksDescriptors {
+	if e.lacksDescriptors {
 		return spanrill.EngineReport{}, &spanrill.CallError{Phase: spanrill.PhaseDial, Cause: errors.WithStack(syscall.EMFILE)}
 	}
 	if silent {
@@ -82,10 +82,10 @@
 
 // If the process was paused while an engine was silent, the engine is queried again.
 func TestSilenceDuringPauseIsInconclusive(t *testing.T) {
-	m := &fakeEngine{unanswered: 100}
-	u := probeEngine(m, &jumpingClock{Clock: clock.NewSystem()}, func(now spanrill.Millis) spanrill.Millis { return now })
-	if m.queries <= queriesPerTry || !u.Dead() {
-		t.Errorf("%d queries, dead %t; want more than %d queries, and dead in the end", m.queries, u.Dead(), queriesPerTry)
+	engine := &fakeEngine{unanswered: 100}
+	u := probeEngine(engine, &jumpingClock{Clock: clock.NewSystem()}, func(now spanrill.Millis) spanrill.Millis { return now })
+	if engine.queries <= queriesPerTry || !u.Dead() {
+		t.Errorf("%d queries, dead %t; want more than %d queries, and dead in the end", engine.queries, u.Dead(), queriesPerTry)
 	}
 }
 
