--- a/coordination/layout/copies_test.go
+++ b/coordination/layout/copies_test.go
@@ -7,9 +7,9 @@
 	"spanrill"
 )
 
-// copyFleet is a chain of one availability zone: a large engine and eleven of five
-// layers, and the engines that are to become spares.
-func copyFleet(spares ...Engine) []Engine {
+// spareFleet is a chain in one availability zone, one large engine and eleven that hold five
+// layers each, and the engines that are to become spares.
+func spareFleet(spares ...Engine) []Engine {
 	engines := []Engine{{ID: "head", Zone: "a", Kind: "large", Layers: spanrill.LayerRange{From: 0, To: 25}}}
 	for from := 25; from < 80; from += 5 {
 		r := spanrill.LayerRange{From: from, To: from + 5}
@@ -18,15 +18,15 @@
 	return append(engines, spares...)
 }
 
-// copyModel has a kind that is as small as others and faster.
-func copyModel() *spanrill.EngineModel {
+// spareModel adds a kind as small as the tiny one and faster, and a slow one.
+func spareModel() *spanrill.EngineModel {
 	m := testModel()
 	m.Kinds["quick"] = spanrill.KindModel{Name: "quick", MemoryMB: 14400, Pace: 5, ReadFactor: 8}
 	m.Kinds["slow"] = spanrill.KindModel{Name: "slow", MemoryMB: 21600, Pace: 16, ReadFactor: 8}
 	return m
 }
 
-// What an engine that no chain needs is given to hold.
+// Engines that no chain needs get the ranges whose loss would cost the most.
 func TestSpares(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -34,28 +34,28 @@
 		want  map[string]spanrill.LayerRange
 	}{
 		{
-			"a slow one stands in for two faster ones",
-			copyFleet(Engine{ID: "s", Zone: "a", Kind: "slow"}),
+			"a slow spare covers two faster engines",
+			spareFleet(Engine{ID: "s", Zone: "a", Kind: "slow"}),
 			map[string]spanrill.LayerRange{"s": {From: 25, To: 35}},
 		},
 		{
-			"two stand in for four",
-			copyFleet(Engine{ID: "s1", Zone: "a", Kind: "slow"}, Engine{ID: "s2", Zone: "a", Kind: "slow"}),
+			"two spares cover four engines",
+			spareFleet(Engine{ID: "s1", Zone: "a", Kind: "slow"}, Engine{ID: "s2", Zone: "a", Kind: "slow"}),
 			map[string]spanrill.LayerRange{"s1": {From: 25, To: 35}, "s2": {From: 35, To: 45}},
 		},
 		{
-			"a large one takes what no other free engine can hold",
-			copyFleet(Engine{ID: "l", Zone: "a", Kind: "large"}),
+			"a large spare covers what no other free engine can hold",
+			spareFleet(Engine{ID: "l", Zone: "a", Kind: "large"}),
 			map[string]spanrill.LayerRange{"l": {From: 0, To: 25}},
 		},
 		{
-			"one that has just joined stays empty",
-			copyFleet(Engine{ID: "s", Zone: "a", Kind: "slow", Joined: true}),
+			"an engine that has just joined stays empty",
+			spareFleet(Engine{ID: "s", Zone: "a", Kind: "slow", JustJoined: true}),
 			map[string]spanrill.LayerRange{"s": {}},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			after := apply(c.fleet, Repair(copyModel(), c.fleet))
+			after := apply(c.fleet, Repair(spareModel(), c.fleet))
 			for _, e := range after {
 				if want, asked := c.want[e.ID]; asked && e.Layers != want {
 					t.Errorf("%s holds %v, want %v", e.ID, e.Layers, want)
@@ -67,16 +67,16 @@
 
 // An engine that has just joined fills a hole at once.
 func TestJoinedEngineFillsAHole(t *testing.T) {
-	engines := copyFleet(Engine{ID: "new", Zone: "a", Kind: "large", Joined: true})
+	engines := spareFleet(Engine{ID: "new", Zone: "a", Kind: "large", JustJoined: true})
 	engines[0].Leaves = true
-	after := apply(engines, Repair(copyModel(), engines))
+	after := apply(engines, Repair(spareModel(), engines))
 	if got := after[len(after)-1].Layers; got != (spanrill.LayerRange{From: 0, To: 25}) {
-		t.Fatalf("it holds %v", got)
+		t.Fatalf("the joined engine holds %v, want 0-25", got)
 	}
 }
 
-// A chain of which one hole can be filled and another one cannot serves nobody
-// afterwards: nothing moves, where a spare went from hole to hole before.
+// A chain serves no requests while one of its holes cannot be filled, so nothing is moved
+// into its other holes. Otherwise a spare would move from hole to hole, round after round.
 func TestNoMovesForAChainThatStaysBroken(t *testing.T) {
 	m := testModel()
 	m.Kinds["quarter"] = spanrill.KindModel{Name: "quarter", MemoryMB: 36000, Pace: 5, ReadFactor: 8}
@@ -89,6 +89,6 @@
 		{ID: "small", Zone: "c", Kind: "tiny", Layers: spanrill.LayerRange{From: 3, To: 6}},
 	}
 	for _, move := range Repair(m, engines) {
-		t.Errorf("%v: %s", move, move.Why)
+		t.Errorf("unexpected move %v: %s", move, move.Reason)
 	}
 }
--- a/coordination/layout/describe.go
+++ b/coordination/layout/describe.go
@@ -6,25 +6,25 @@
 	"spanrill/coordination/cost"
 )
 
-// ChainInfo describes one chain of a layout, for people.
+// ChainInfo describes one chain of a layout for display.
 type ChainInfo struct {
 	Zone      string                `json:"availability_zone"`
 	Engines   []Engine              `json:"engines"`
 	Holes     []spanrill.LayerRange `json:"holes,omitempty"`
 	Crossings int                   `json:"crossings"`   // hops between availability zones
-	Room      float64               `json:"room_tokens"` // at its tightest engine
+	Room      float64               `json:"room_tokens"` // memory of the engine with the least, in tokens
 	Rate      float64               `json:"requests_per_second"`
 }
 
-// Describe returns the chains that engines form by what they hold. A chain with
-// holes has no rate.
+// Describe returns the chains formed by the layers that the engines hold. A chain with
+// holes has rate 0.
 func Describe(m *spanrill.EngineModel, engines []Engine) []ChainInfo {
 	all := candidates(m, engines)
 	byID := make(map[string]candidate, len(all))
 	for _, e := range all {
 		byID[e.ID] = e
 	}
-	chains, _ := chainsOf(m, all)
+	chains, _ := readChains(m, all)
 	infos := make([]ChainInfo, 0, len(chains))
 	for _, c := range chains {
 		infos = append(infos, describe(m, c, byID))
@@ -41,15 +41,15 @@
 		ranges = append(ranges, p.Layers)
 		info.Engines = append(info.Engines, byID[p.ID].Engine)
 	}
-	s := stages(parts, ranges)
-	info.Crossings, info.Room = cost.Crossings(s), cost.Room(m, s)
+	stages := costStages(parts, ranges)
+	info.Crossings, info.Room = cost.Crossings(stages), cost.Room(m, stages)
 	if c.Whole() {
-		info.Rate = cost.Rate(m, s)
+		info.Rate = cost.Rate(m, stages)
 	}
 	return info
 }
 
-// Rate returns how many usual requests a second the whole chains of a layout can
+// Rate returns how many usual requests per second the whole chains of a layout
 // serve together.
 func Rate(m *spanrill.EngineModel, engines []Engine) float64 {
 	total := 0.0
@@ -59,32 +59,32 @@
 	return total
 }
 
-// Loss is what the loss of one engine costs.
+// Loss describes the effect of losing one engine.
 type Loss struct {
 	Engine   string  `json:"engine"`
-	Before   float64 `json:"before"`   // requests a second
-	At       float64 `json:"at"`       // right after the loss
-	Repaired float64 `json:"repaired"` // once the first round of repairs is done
-	Loads    int     `json:"loads"`    // engines that load layers for it
+	Before   float64 `json:"before"`   // requests per second before the loss
+	At       float64 `json:"at"`       // requests per second right after the loss
+	Repaired float64 `json:"repaired"` // requests per second after the first round of repairs
+	Loads    int     `json:"loads"`    // engines that load layers for the repair
 }
 
-// Losses returns the cost of losing each engine that belongs to a chain.
+// Losses returns the effect of losing each engine that belongs to a chain.
 func Losses(m *spanrill.EngineModel, engines []Engine) []Loss {
 	before := Rate(m, engines)
 	var losses []Loss
 	for _, c := range Describe(m, engines) {
 		for _, lost := range c.Engines {
-			rest := remove(engines, lost.ID)
-			moves := Repair(m, rest)
+			remaining := withoutEngine(engines, lost.ID)
+			moves := Repair(m, remaining)
 			losses = append(losses, Loss{
-				Engine: lost.ID, Before: before, At: Rate(m, rest), Repaired: Rate(m, Apply(rest, moves)), Loads: len(moves),
+				Engine: lost.ID, Before: before, At: Rate(m, remaining), Repaired: Rate(m, Apply(remaining, moves)), Loads: len(moves),
 			})
 		}
 	}
 	return losses
 }
 
-func remove(engines []Engine, id string) []Engine {
+func withoutEngine(engines []Engine, id string) []Engine {
 	rest := make([]Engine, 0, len(engines))
 	for _, e := range engines {
 		if e.ID != id {
@@ -94,7 +94,7 @@
 	return rest
 }
 
-// Apply returns the engines as they are after the moves were carried out.
+// Apply returns the engines as they are after the moves have been carried out.
 func Apply(engines []Engine, moves []Move) []Engine {
 	out := append([]Engine(nil), engines...)
 	for _, m := range moves {
--- a/coordination/layout/holdings.go
+++ b/coordination/layout/holdings.go
@@ -6,20 +6,20 @@
 	"spanrill"
 )
 
-// holdings is what engines will hold, in groups of engines that hold the same: thousands of
-// engines hold some hundred ranges.
+// holdings is what engines will hold, grouped by zone, range and pace: thousands of engines
+// hold only some hundred different ranges.
 type holdings struct {
 	groups []*holding
 	byKey  map[holdingKey]*holding
-	froms  []int // first layers, in the order in which they were met
-	tos    []int // last layers, the same
+	froms  []int // distinct first layers, in order of appearance
+	tos    []int // distinct ends of ranges, in order of appearance
 }
 
 // holding is a range that some engines of an availability zone will hold.
 type holding struct {
 	holdingKey
 	engines int
-	copies  int // other engines of the zone that hold the whole range, for each of them
+	copies  int // per engine, the other engines of the zone that hold the whole range
 }
 
 type holdingKey struct {
@@ -28,7 +28,7 @@
 	pace   float64
 }
 
-// newHoldings returns what engines will hold after some moves.
+// newHoldings returns what the engines will hold after the given moves.
 func newHoldings(all []candidate, held []Move) *holdings {
 	byID := make(map[string]candidate, len(all))
 	for _, e := range all {
@@ -39,15 +39,15 @@
 		h.put(byID[m.Engine], m.Layers)
 	}
 	for zone := range h.zones() {
-		h.count(zone)
+		h.updateCopies(zone)
 	}
 	return h
 }
 
-// add adds a range that an engine will hold too.
+// add records a further range that an engine will hold.
 func (h *holdings) add(e candidate, layers spanrill.LayerRange) {
 	h.put(e, layers)
-	h.count(e.Zone)
+	h.updateCopies(e.Zone)
 }
 
 func (h *holdings) put(e candidate, layers spanrill.LayerRange) {
@@ -75,35 +75,35 @@
 	return zones
 }
 
-// count counts the copies of all that is held in an availability zone.
-func (h *holdings) count(zone string) {
+// updateCopies counts the copies of every range held in an availability zone.
+func (h *holdings) updateCopies(zone string) {
 	for _, g := range h.groups {
 		if g.zone == zone {
-			g.copies = h.copiesOf(g)
+			g.copies = h.countCopies(g)
 		}
 	}
 }
 
-// copiesOf counts the other engines in the availability zone of a holder that hold
-// its whole range; several that hold it together count as one. Those of other zones
-// do not count: each hop between zones takes a part of a pipe that all share.
-func (h *holdings) copiesOf(of *holding) int {
+// countCopies counts the other engines in the availability zone of a holding that hold
+// its whole range; several that cover it only together count as one. Engines of other
+// zones do not count: every hop between zones uses the pipe that all chains share.
+func (h *holdings) countCopies(target *holding) int {
 	n := 0
 	var others []spanrill.LayerRange
 	for _, o := range h.groups {
 		engines := o.engines
-		if o == of {
+		if o == target {
 			engines--
 		}
-		if o.zone != of.zone || engines == 0 {
+		if o.zone != target.zone || engines == 0 {
 			continue
 		}
 		others = append(others, o.layers)
-		if o.layers.From <= of.layers.From && o.layers.To >= of.layers.To {
+		if o.layers.From <= target.layers.From && o.layers.To >= target.layers.To {
 			n += engines
 		}
 	}
-	if n == 0 && of.layers.CoveredBy(others) {
+	if n == 0 && target.layers.CoveredBy(others) {
 		n = 1
 	}
 	return n
--- a/coordination/layout/layout_test.go
+++ b/coordination/layout/layout_test.go
@@ -58,7 +58,7 @@
 
 func apply(engines []Engine, moves []Move) []Engine { return Apply(engines, moves) }
 
-func read(m *spanrill.EngineModel, engines []Engine) (whole, broken int) {
+func countChains(m *spanrill.EngineModel, engines []Engine) (whole, broken int) {
 	var holders []chain.Holder
 	for _, e := range engines {
 		holders = append(holders, chain.Holder{ID: e.ID, Zone: e.Zone, Layers: e.Layers})
@@ -79,10 +79,10 @@
 func TestPlanKeepsChainsInsideZones(t *testing.T) {
 	m := testModel()
 	moves := Plan(m, testFleet())
-	whole, broken := read(m, apply(testFleet(), moves))
+	whole, broken := countChains(m, apply(testFleet(), moves))
 	t.Log(moves)
 	total := 0.0
-	chains, spares := chainsOf(m, candidates(m, apply(testFleet(), moves)))
+	chains, spares := readChains(m, candidates(m, apply(testFleet(), moves)))
 	for _, c := range chains {
 		var s []cost.Stage
 		for _, p := range c.Parts() {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Whatever the fleet, no engine is given more than its memory holds, and every
-// move names an engine that may be moved.
+// In random fleets no engine gets more layers than its memory holds, and no move is for an
+// engine that is still changing.
 func TestRandomFleetsStayWithinMemory(t *testing.T) {
 	m := testModel()
 	kinds := []string{"large", "middle", "small", "tiny"}
@@ -112,42 +112,41 @@
 		var engines []Engine
 		for i := range 4 + r.Intn(60) {
 			engines = append(engines, Engine{
-				ID: fmt.Sprintf("e%d", i), Zone: fmt.Sprint(r.Intn(4)), Kind: kinds[r.Intn(4)], Fixed: r.Intn(20) == 0,
+				ID: fmt.Sprintf("e%d", i), Zone: fmt.Sprint(r.Intn(4)), Kind: kinds[r.Intn(4)], Changing: r.Intn(20) == 0,
 			})
 		}
 		engines = apply(engines, Plan(m, engines))
-		check(t, m, engines)
+		checkWithinMemory(t, m, engines)
 		for range 12 {
 			i := r.Intn(len(engines))
 			engines[i].Layers = spanrill.LayerRange{}
-			engines[i].Fixed = r.Intn(2) == 0
+			engines[i].Changing = r.Intn(2) == 0
 			before := map[string]bool{}
 			for _, e := range engines {
-				before[e.ID] = e.Fixed
+				before[e.ID] = e.Changing
 			}
 			moves := Repair(m, engines)
 			for _, move := range moves {
 				if before[move.Engine] {
-					t.Fatalf("seed %d: %v moves an engine that takes no order", seed, move)
+					t.Fatalf("seed %d: %v moves an engine that is still changing", seed, move)
 				}
 			}
 			engines = apply(engines, moves)
-			check(t, m, engines)
+			checkWithinMemory(t, m, engines)
 		}
 	}
 }
 
-func check(t *testing.T, m *spanrill.EngineModel, engines []Engine) {
+func checkWithinMemory(t *testing.T, m *spanrill.EngineModel, engines []Engine) {
 	t.Helper()
 	for _, e := range engines {
 		if n := e.Layers.Len(); n < 0 || n > cost.Fit(m, m.Kinds[e.Kind]) || e.Layers.To > m.Layers {
-			t.Fatalf("%s of kind %s is to hold %v", e.ID, e.Kind, e.Layers)
+			t.Fatalf("%s of kind %s is assigned %v, more than it can hold", e.ID, e.Kind, e.Layers)
 		}
 	}
 }
 
-// An engine that restarts empty takes the hole that it left, and nothing else
-// moves.
+// An engine that restarts empty fills the hole that it left.
 func TestRepairFillsTheHole(t *testing.T) {
 	m := testModel()
 	engines := apply(testFleet(), Plan(m, testFleet()))
@@ -158,7 +157,7 @@
 		lost := append([]Engine(nil), engines...)
 		lost[i].Layers = spanrill.LayerRange{}
 		after := apply(lost, Repair(m, lost))
-		if whole, broken := read(m, after); whole < 3 || broken > 0 {
+		if whole, broken := countChains(m, after); whole < 3 || broken > 0 {
 			t.Fatalf("without %s: %d whole and %d broken chains", engines[i].ID, whole, broken)
 		}
 	}
@@ -173,19 +172,19 @@
 		i := r.Intn(len(engines))
 		engines = append(engines[:i], engines[i+1:]...)
 	}
-	before, _ := read(m, engines)
+	before, _ := countChains(m, engines)
 	for range 6 {
 		engines = apply(engines, Repair(m, engines))
 	}
-	whole, broken := read(m, engines)
+	whole, broken := countChains(m, engines)
 	t.Logf("%d whole before, %d whole and %d broken after", before, whole, broken)
 	if whole < 2 || broken > 1 {
 		t.Fatalf("%d whole chains and %d broken ones, want at least 2 and at most 1", whole, broken)
 	}
 }
 
-// A slow engine is replaced by a spare that can hold its layers, and keeps them,
-// so that what runs goes on.
+// A slow engine is replaced by a spare that can hold its layers. It keeps them, so that its
+// running requests continue.
 func TestSlowEngineIsReplaced(t *testing.T) {
 	m := testModel()
 	engines := apply(testFleet(), Plan(m, testFleet()))
@@ -198,7 +197,7 @@
 				if e.ID != engines[i].ID && e.Zone == engines[i].Zone {
 					others = append(others, e.Layers)
 				} else if e.ID == engines[i].ID && e.Layers != engines[i].Layers {
-					t.Fatalf("the slow engine is moved: %v", moves)
+					t.Fatalf("the slow engine was moved: %v", moves)
 				}
 			}
 			if !engines[i].Layers.CoveredBy(others) {
@@ -212,9 +211,9 @@
 	}
 }
 
-// A chain whose tightest engine bounds it is relieved in two steps: a free engine
-// loads a part of its layers, and then the tight one gives them up.
-func TestTightEngineIsRelieved(t *testing.T) {
+// A chain limited by one engine is relieved in two steps: a free engine loads a part of that
+// engine's layers, and then the engine drops them.
+func TestBottleneckIsRelieved(t *testing.T) {
 	m := testModel()
 	engines := apply(testFleet(), Plan(m, testFleet()))
 	engines = append(engines, Engine{ID: "new", Zone: "c", Kind: "middle"})
@@ -224,25 +223,25 @@
 			tight = i
 		}
 	}
-	engines[tight].Layers.To = min(80, engines[tight].Layers.From+7) // one layer more than its neighbour expects
+	engines[tight].Layers.To = min(80, engines[tight].Layers.From+7) // one layer more than planned
 	for step := range 6 {
 		moves := Repair(m, engines)
 		if len(moves) == 0 {
 			break
 		}
 		engines = apply(engines, moves)
-		check(t, m, engines)
+		checkWithinMemory(t, m, engines)
 		if step == 5 {
 			t.Fatalf("still changing after six steps: %v", moves)
 		}
 	}
-	if whole, _ := read(m, engines); whole < 3 {
+	if whole, _ := countChains(m, engines); whole < 3 {
 		t.Fatalf("%d whole chains", whole)
 	}
 }
 
-// No move brings an engine to what it holds: such a move would be planned again
-// in every round.
+// No move orders an engine to hold what it holds: such a move would be planned again in
+// every round.
 func TestNoMoveWithoutChange(t *testing.T) {
 	m := testModel()
 	for seed := range int64(40) {
@@ -262,7 +261,7 @@
 			moves := Repair(m, engines)
 			for _, move := range moves {
 				if held[move.Engine] == move.Layers {
-					t.Fatalf("seed %d: %v holds that already", seed, move)
+					t.Fatalf("seed %d: move %v is for layers that the engine holds", seed, move)
 				}
 			}
 			engines = apply(engines, moves)
@@ -270,9 +269,9 @@
 	}
 }
 
-// Chains over zones come back into one zone, when all are whole and nothing is
-// changing, and then stay.
-func TestChainsComeBackIntoTheirZone(t *testing.T) {
+// Once all chains are whole and nothing is changing, chains over several zones are moved
+// into one zone, and then the layout is stable.
+func TestChainsMoveBackIntoOneZone(t *testing.T) {
 	m := testModel()
 	m.Kinds["huge"] = spanrill.KindModel{Name: "huge", MemoryMB: 200000, Pace: 1, ReadFactor: 1}
 	half := func(id, zone string, from int) Engine {
@@ -281,15 +280,15 @@
 	engines := []Engine{half("a1", "a", 0), half("a2", "a", 0), half("b1", "b", 40), half("b2", "b", 40)}
 	for range 6 {
 		engines = apply(engines, Repair(m, engines))
-		check(t, m, engines)
+		checkWithinMemory(t, m, engines)
 	}
-	chains, _ := chainsOf(m, candidates(m, engines))
+	chains, _ := readChains(m, candidates(m, engines))
 	if len(chains) < 2 {
 		t.Fatalf("%d chains", len(chains))
 	}
 	for _, c := range chains {
-		if !c.Whole() || crosses(c) {
-			t.Fatalf("chain %v, holes %v", c.Parts(), c.Holes())
+		if !c.Whole() || spansZones(c) {
+			t.Fatalf("chain %v is not whole inside one zone, holes %v", c.Parts(), c.Holes())
 		}
 	}
 	if moves := Repair(m, engines); len(moves) != 0 {
@@ -297,22 +296,21 @@
 	}
 }
 
-// A chain is repaired while an engine of its zone changes to layers of another
-// chain.
-func TestChangeOfAnotherChainHoldsUpNothing(t *testing.T) {
+// A chain is repaired although an engine of its zone is changing to layers of another chain.
+func TestRepairIgnoresChangesOfOtherChains(t *testing.T) {
 	engines := []Engine{
 		quarter("a1", 0), quarter("a2", 20), quarter("a3", 40), quarter("a4", 60),
 		quarter("b1", 0), quarter("b2", 20), quarter("b3", 60), // the hole is 40-60
 	}
-	engines[0].Fixed = true // of the whole chain, or the copy of it in the other
+	engines[0].Changing = true // of the whole chain, or the copy of it in the other
 	moves := Repair(hugeModel(), engines)
 	if len(moves) == 0 {
-		t.Fatal("the chain waits for a change that is not its own")
+		t.Fatal("the chain waits for a change of another chain")
 	}
 }
 
-// First layout and repair of 975 engines: 4.9 s and 68 ms before, 0.38 s and 13 ms now. The
-// first layout of 39 engines takes 10 ms, 12 before.
+// Planning 975 engines takes 0.38 s and repairing them 13 ms, against 4.9 s and 68 ms when
+// every chain scanned all engines. Planning 39 engines takes 10 ms, against 12 ms.
 func BenchmarkPlan(b *testing.B) {
 	for _, times := range []int{1, 25} {
 		var engines []Engine
--- a/coordination/layout/many_test.go
+++ b/coordination/layout/many_test.go
@@ -7,7 +7,7 @@
 	"spanrill"
 )
 
-// manyEngines are engines of four kinds in five availability zones, most of them small.
+// manyEngines returns engines of four kinds, most of them small, in five availability zones.
 func manyEngines(n int) (*spanrill.EngineModel, []Engine) {
 	m := &spanrill.EngineModel{
 		Layers: 80, LayerMB: 1750, Slots: 192, TokenBytes: 492000, ActBytes: 24600, StepMillis: 0.85,
@@ -28,10 +28,9 @@
 	return m, engines
 }
 
-// Whoever holds the lease plans for all engines, and may have a fifth of a core. With 2,922
-// engines a first layout took 1,522 ms when each chain was divided by itself and copies were
-// counted engine by engine, and takes 322 ms now; a repair that changes nothing took 41 ms
-// and takes 18 to 26.
+// The lease holder plans for all engines and may use a fifth of a core. With 2,922 engines a
+// first layout takes 322 ms, and took 1,522 ms when each chain was divided separately and copies
+// were counted per engine. A repair that changes nothing takes 18 to 26 ms, and took 41 ms.
 func BenchmarkManyEngines(b *testing.B) {
 	for _, n := range []int{2922, 5844} {
 		m, engines := manyEngines(n)
@@ -50,9 +49,9 @@
 	}
 }
 
-// Of thousands of engines a first layout uses nearly all, and the next look leaves them as
-// they are.
-func TestLayoutOfManyEnginesRests(t *testing.T) {
+// A first layout of thousands of engines uses nearly all of them, and further rounds change
+// nothing.
+func TestLayoutOfManyEnginesIsStable(t *testing.T) {
 	m, engines := manyEngines(2922)
 	held := apply(engines, Plan(m, engines))
 	for range 3 {
--- a/coordination/layout/repair.go
+++ b/coordination/layout/repair.go
@@ -9,12 +9,12 @@
 	"spanrill/coordination/cost"
 )
 
-// Repair returns the changes that a fleet needs which holds layers already.
+// Repair returns the moves needed by a fleet that already holds layers.
 func Repair(m *spanrill.EngineModel, engines []Engine) []Move {
 	all := candidates(m, engines)
 	r := &repair{model: m, byID: map[string]candidate{}, taken: map[string]bool{}}
 	for _, e := range engines {
-		if e.Lost {
+		if e.Crashed {
 			r.crashed = append(r.crashed, e)
 		} else if e.Leaves {
 			r.leaving = append(r.leaving, e)
@@ -22,24 +22,24 @@
 	}
 	for _, e := range all {
 		r.byID[e.ID] = e
-		if e.Fixed {
-			r.fixed = append(r.fixed, e)
+		if e.Changing {
+			r.changing = append(r.changing, e)
 		}
-		if e.Layers.Len() == 0 && !e.Fixed && !e.Slow {
+		if e.Layers.Len() == 0 && !e.Changing && !e.Slow {
 			r.empty = append(r.empty, e)
 		}
 	}
-	chains, spares := chainsOf(m, all)
+	chains, spares := readChains(m, all)
 	if len(chains) == 0 {
-		return Plan(m, candidateList(without(all, fixed(all))).engines())
+		return Plan(m, candidateList(exclude(all, changingOf(all))).engines())
 	}
-	r.spares(spares)
-	r.fill(chains)
+	r.addSpares(spares)
+	r.repairChains(chains)
 	r.replaceSlow(chains)
-	r.bringHome(chains)
-	r.relieve(chains)
-	r.grow()
-	return append(r.moves, duplicates(m, r.free(r.empty), all, r.held(all))...)
+	r.consolidateZones(chains)
+	r.relieveBottlenecks(chains)
+	r.formFurtherChains()
+	return append(r.moves, planSpares(m, r.available(r.empty), all, r.plannedHoldings(all))...)
 }
 
 type candidateList []candidate
@@ -52,10 +52,10 @@
 	return out
 }
 
-func fixed(all []candidate) candidateList {
+func changingOf(all []candidate) candidateList {
 	var out candidateList
 	for _, e := range all {
-		if e.Fixed {
+		if e.Changing {
 			out = append(out, e)
 		}
 	}
@@ -63,41 +63,41 @@
 }
 
 type repair struct {
-	model *spanrill.EngineModel
-	byID  map[string]candidate
-	empty []candidate // hold nothing
-	spare []candidate // hold layers that no chain needs
-	fixed []candidate // are changing
-	taken map[string]bool
-	moves []Move
+	model    *spanrill.EngineModel
+	byID     map[string]candidate
+	empty    []candidate // hold nothing and may be assigned
+	spare    []candidate // hold layers that no chain needs, and may be assigned
+	changing []candidate // have an order that is not done
+	taken    map[string]bool
+	moves    []Move
 
-	outside []chain.Holder // belong to no chain
-	leaving []Engine
-	crashed []Engine
-	cut     bool // requests are lost by the hole that the moves that follow fill
+	unchained    []chain.Holder // belong to no chain
+	leaving      []Engine
+	crashed      []Engine
+	requestsLost bool // the hole being filled has lost the requests that ran there
 }
 
-// lost reports whether requests on a chain are lost because of its holes: an engine
-// that held a part of one has crashed. Engines that leave serve on what runs, and a
-// hole that neither has left comes of chains that are read anew, while requests run
-// on the paths of before.
-func (r *repair) lost(c *chain.Chain) bool {
+// hasLostRequests reports whether requests on a chain are lost because of its holes: an
+// engine that held a part of one has crashed. Leaving engines finish their running
+// requests. A hole that no engine left behind appears when the chains are derived anew,
+// and running requests stay on their previous paths.
+func (r *repair) hasLostRequests(c *chain.Chain) bool {
 	for _, hole := range c.Holes() {
-		if anyHolds(r.crashed, c.Zone(), hole) {
+		if anyHeldInZone(r.crashed, c.Zone(), hole) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayCut reports whether an order may cut what runs on an engine: nothing does, as far
-// as is known. What runs on the engines of a chain that has lost one may be on other
-// paths, which chains that are read anew do not show, and its daemons move it away.
-func (r *repair) mayCut(e candidate) bool { return r.cut && e.Tokens == 0 }
+// mayCut reports whether an order may break off requests on an engine: only if no request
+// is known to run there. Requests on engines of a broken chain may run on other paths,
+// which the derived chains do not show, and the daemons of these requests move them away.
+func (r *repair) mayCut(e candidate) bool { return r.requestsLost && e.Tokens == 0 }
 
-// anyHolds reports whether one of some engines is in a zone and holds layers of a
+// anyHeldInZone reports whether one of the engines is in the zone and holds layers of the
 // hole.
-func anyHolds(engines []Engine, zone string, hole spanrill.LayerRange) bool {
+func anyHeldInZone(engines []Engine, zone string, hole spanrill.LayerRange) bool {
 	for _, e := range engines {
 		if e.Zone == zone && overlapsAny(e.Layers, []spanrill.LayerRange{hole}) {
 			return true
@@ -106,68 +106,69 @@
 	return false
 }
 
-func (r *repair) spares(holders []chain.Holder) {
-	r.outside = holders
+func (r *repair) addSpares(holders []chain.Holder) {
+	r.unchained = holders
 	for _, h := range holders {
-		if e := r.byID[h.ID]; !e.Fixed && !e.Slow {
+		if e := r.byID[h.ID]; !e.Changing && !e.Slow {
 			r.spare = append(r.spare, e)
 		}
 	}
 }
 
-// give brings an engine to a range.
-func (r *repair) give(e candidate, layers spanrill.LayerRange, why string) {
+// assign plans a move of an engine to a range, unless it holds that range already.
+func (r *repair) assign(e candidate, layers spanrill.LayerRange, reason string) {
 	r.taken[e.ID] = true
 	if e.Layers == layers {
-		return // it holds them: nothing to order
+		return // nothing to order
 	}
-	r.moves = append(r.moves, Move{Engine: e.ID, Layers: layers, Why: why, Cut: r.mayCut(e)})
+	r.moves = append(r.moves, Move{Engine: e.ID, Layers: layers, Reason: reason, Cut: r.mayCut(e)})
 }
 
-// fill fills the holes of chains, those of the fullest chain first. Engines in
-// the chain's own availability zone go first; see fillNear. While some of them
-// are still changing, a chain waits for them. Only a chain that its zone cannot
-// restore gets engines of other zones, and in the end the chain that misses most
-// gives up its engines, if at least two chains have holes: one whole chain is
-// worth more than two broken ones.
-func (r *repair) fill(chains []*chain.Chain) {
-	broken := brokenOf(chains)
-	defer func() { r.cut = false }()
+// repairChains fills the holes of chains, those of the fullest chain first. It
+// prefers engines of the chain's own availability zone; see restoreFromZone. A chain
+// waits while engines that concern it are still changing. Only a chain that its zone
+// cannot restore gets engines of other zones. As a last resort the chain that misses
+// the most layers gives up its engines, if at least two chains have holes: one whole
+// chain serves more than two broken ones.
+func (r *repair) repairChains(chains []*chain.Chain) {
+	broken := brokenChains(chains)
+	defer func() { r.requestsLost = false }()
 	for i, c := range broken {
-		r.cut = r.lost(c)
-		if r.fillNear(c) || r.changing(c) {
+		r.requestsLost = r.hasLostRequests(c)
+		if r.restoreFromZone(c) || r.chainChanging(c) {
 			continue
 		}
 		moves := len(r.moves)
-		if !r.fillFar(c, i < len(broken)-1, broken[len(broken)-1]) {
-			r.takeBack(moves) // a chain with another hole serves nobody
+		if !r.restoreFromAnyZone(c, i < len(broken)-1, broken[len(broken)-1]) {
+			r.discardMovesFrom(moves) // a chain with any hole left serves no requests
 		}
 	}
 }
 
-// fillFar fills all holes of a chain from any availability zone, and, if allowed,
-// from the chain that misses most. It reports whether the chain is whole then.
-func (r *repair) fillFar(c *chain.Chain, giveUp bool, worst *chain.Chain) bool {
+// restoreFromAnyZone fills all holes of a chain from any availability zone and, if giveUp
+// is set, from the chain that misses the most layers. It reports whether the chain is
+// whole then.
+func (r *repair) restoreFromAnyZone(c *chain.Chain, giveUp bool, worst *chain.Chain) bool {
 	for _, hole := range c.Holes() {
-		if r.bridged(hole) {
+		if r.coveredOutsideChains(hole) {
 			continue
 		}
-		if r.fillFrom(r.free(r.empty), c, hole, leastRequests, "hole of a chain") || r.fillFrom(r.free(r.spare), c, hole, leastRequests, "hole of a chain, from a spare") {
+		if r.fillHole(r.available(r.empty), c, hole, minChainRequests, "hole of a chain") || r.fillHole(r.available(r.spare), c, hole, minChainRequests, "hole of a chain, from a spare") {
 			continue
 		}
-		if !giveUp || !r.fillFrom(r.free(r.partsOf(worst)), c, hole, leastRequests, "hole of a chain, from one that misses more") {
+		if !giveUp || !r.fillHole(r.available(r.movableParts(worst)), c, hole, minChainRequests, "hole of a chain, from one that misses more") {
 			return false
 		}
 	}
 	return true
 }
 
-// bridged reports whether engines that belong to no chain hold a hole's layers,
-// or are being brought to them. They may be of another availability zone, and
-// then the chain is not read as whole: requests reach them by bridges.
-func (r *repair) bridged(hole spanrill.LayerRange) bool {
+// coveredOutsideChains reports whether engines that belong to no chain hold a hole's
+// layers, or are being brought to hold them. They may be in another availability zone;
+// the chain is not derived as whole then, but requests are routed through them.
+func (r *repair) coveredOutsideChains(hole spanrill.LayerRange) bool {
 	var ranges []spanrill.LayerRange
-	for _, h := range r.outside {
+	for _, h := range r.unchained {
 		if !r.taken[h.ID] {
 			ranges = append(ranges, h.Layers)
 		}
@@ -178,22 +179,22 @@
 	return hole.CoveredBy(ranges)
 }
 
-// changing reports whether an engine of the chain is still changing, or one of
-// its zone to layers that the chain misses. Changes to other chains of the zone
-// say nothing of this one.
-func (r *repair) changing(c *chain.Chain) bool {
+// chainChanging reports whether an engine of the chain is changing, or an engine of its
+// zone is loading layers that the chain misses. Changes to other chains of the zone do
+// not count.
+func (r *repair) chainChanging(c *chain.Chain) bool {
 	for _, p := range c.Parts() {
-		if r.byID[p.ID].Fixed {
+		if r.byID[p.ID].Changing {
 			return true
 		}
 	}
 	zone, holes := c.Zone(), c.Holes()
-	return slices.ContainsFunc(r.fixed, func(e candidate) bool { return e.Zone == zone && overlapsAny(e.Layers, holes) })
+	return slices.ContainsFunc(r.changing, func(e candidate) bool { return e.Zone == zone && overlapsAny(e.Layers, holes) })
 }
 
-// changingIn reports whether any engine of a zone is changing.
-func (r *repair) changingIn(zone string) bool {
-	return slices.ContainsFunc(r.fixed, func(e candidate) bool { return e.Zone == zone })
+// zoneChanging reports whether any engine of a zone is changing.
+func (r *repair) zoneChanging(zone string) bool {
+	return slices.ContainsFunc(r.changing, func(e candidate) bool { return e.Zone == zone })
 }
 
 func overlapsAny(layers spanrill.LayerRange, holes []spanrill.LayerRange) bool {
@@ -205,7 +206,7 @@
 	return false
 }
 
-func brokenOf(chains []*chain.Chain) []*chain.Chain {
+func brokenChains(chains []*chain.Chain) []*chain.Chain {
 	var broken []*chain.Chain
 	for _, c := range chains {
 		if !c.Whole() {
@@ -216,39 +217,39 @@
 	return broken
 }
 
-func (r *repair) partsOf(c *chain.Chain) []candidate {
+func (r *repair) movableParts(c *chain.Chain) []candidate {
 	var out []candidate
 	for _, p := range c.Parts() {
-		if e := r.byID[p.ID]; !e.Fixed {
+		if e := r.byID[p.ID]; !e.Changing {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// grow makes further chains from engines that no chain needs, inside one
-// availability zone. What is left stays as spares.
-func (r *repair) grow() {
-	free := r.free(append(append([]candidate(nil), r.empty...), r.spare...))
+// formFurtherChains forms additional chains, each inside one availability zone, from
+// engines that no chain needs. The remaining engines stay spares.
+func (r *repair) formFurtherChains() {
+	free := r.available(append(append([]candidate(nil), r.empty...), r.spare...))
 	for _, zone := range zonesOf(free) {
-		for _, requests := range rooms[:goodRooms] {
-			c := take(r.model, free, requests*cost.Tokens(r.model), func(e *candidate) bool { return e.Zone == zone })
+		for _, requests := range requestCapacities[:sufficientCapacities] {
+			c := selectChain(r.model, free, requests*cost.Tokens(r.model), func(e *candidate) bool { return e.Zone == zone })
 			if c == nil {
 				continue
 			}
-			for i, part := range cut(r.model, c) {
+			for i, part := range divideModel(r.model, c) {
 				if part.Len() > 0 {
-					r.give(c[i], part, "further chain")
+					r.assign(c[i], part, "further chain")
 				}
 			}
-			free = without(free, c)
+			free = exclude(free, c)
 			break
 		}
 	}
 }
 
-// held returns what the engines will hold after the moves so far.
-func (r *repair) held(all []candidate) []Move {
+// plannedHoldings returns what the engines will hold after the moves so far.
+func (r *repair) plannedHoldings(all []candidate) []Move {
 	held := append([]Move(nil), r.moves...)
 	for _, e := range all {
 		if !r.taken[e.ID] && e.Layers.Len() > 0 {
--- /dev/null
+++ b/coordination/layout/restore.go
@@ -0,0 +1,181 @@
+package layout
+
+import (
+	"sort"
+
+	"spanrill"
+	"spanrill/coordination/chain"
+	"spanrill/coordination/cost"
+)
+
+// restoreFromZone restores a chain with engines of its own zone. It prefers free
+// engines while they keep sufficient memory, since that affects no running request;
+// then it redistributes the layers of the chain itself; then it tries both with less
+// memory, in descending order.
+func (r *repair) restoreFromZone(c *chain.Chain) bool {
+	for _, requests := range requestCapacities[:sufficientCapacities] {
+		if r.fillHoles(c, requests) {
+			return true
+		}
+	}
+	mayRedistribute := !r.chainChanging(c)
+	for _, requests := range requestCapacities[:sufficientCapacities] {
+		if mayRedistribute && r.redistributeChain(c, requests) {
+			return true
+		}
+	}
+	for _, requests := range requestCapacities[sufficientCapacities:] {
+		if r.fillHoles(c, requests) || mayRedistribute && r.redistributeChain(c, requests) {
+			return true
+		}
+	}
+	return false
+}
+
+// fillHoles fills all holes of a chain, or none, from free engines of its zone that
+// keep memory for the given number of requests.
+func (r *repair) fillHoles(c *chain.Chain, requests float64) bool {
+	moves := len(r.moves)
+	for _, hole := range c.Holes() {
+		empty, spare := r.inZone(r.available(r.empty), c.Zone()), r.inZone(r.available(r.spare), c.Zone())
+		if r.fillHole(empty, c, hole, requests, "hole of a chain") || r.fillHole(spare, c, hole, requests, "hole of a chain, from a spare") ||
+			r.fillHole(append(empty, spare...), c, hole, requests, "hole of a chain, from several") {
+			continue
+		}
+		r.discardMovesFrom(moves)
+		return false
+	}
+	return true
+}
+
+// discardMovesFrom discards all moves but the first n.
+func (r *repair) discardMovesFrom(n int) {
+	for _, m := range r.moves[n:] {
+		delete(r.taken, m.Engine)
+	}
+	r.moves = r.moves[:n]
+}
+
+// redistributeChain divides all layers anew among the engines of a chain and free engines
+// of its zone, which are placed at the hole. Running requests are not disturbed: an engine
+// drops layers only after the requests on them have ended.
+func (r *repair) redistributeChain(c *chain.Chain, requests float64) bool {
+	hole := c.Holes()[0]
+	var parts []candidate
+	freeAdded := false
+	addFree := func() {
+		if !freeAdded {
+			parts = append(parts, r.inZone(r.available(r.empty), c.Zone())...)
+			parts = append(parts, r.inZone(r.available(r.spare), c.Zone())...)
+			freeAdded = true
+		}
+	}
+	for _, p := range c.Parts() {
+		if p.Layers.From >= hole.To {
+			addFree()
+		}
+		parts = append(parts, r.byID[p.ID])
+	}
+	addFree()
+	ranges := redistribute(r.model, parts, requests)
+	if ranges == nil {
+		return false
+	}
+	for i, part := range ranges {
+		if part.Len() > 0 && part != parts[i].Layers {
+			r.assign(parts[i], part, "layers divided anew around a hole")
+		}
+	}
+	return true
+}
+
+func (r *repair) available(from []candidate) []candidate {
+	var out []candidate
+	for _, e := range from {
+		if !r.taken[e.ID] {
+			out = append(out, e)
+		}
+	}
+	return out
+}
+
+func (r *repair) inZone(from []candidate, zone string) []candidate {
+	var out []candidate
+	for _, e := range from {
+		if e.Zone == zone {
+			out = append(out, e)
+		}
+	}
+	return out
+}
+
+// fillHole fills a hole with one engine, or with several if none can hold it
+// beside memory for the given number of requests.
+func (r *repair) fillHole(from []candidate, c *chain.Chain, hole spanrill.LayerRange, requests float64, reason string) bool {
+	free := r.rankForHole(from, c.Zone(), hole, requests)
+	if len(free) == 0 {
+		return false
+	}
+	if r.fits(free[0], hole, requests) {
+		r.assign(free[0], hole, reason)
+		return true
+	}
+	var group []candidate
+	for _, e := range free {
+		group = append(group, e)
+		if ranges := divide(r.model, group, hole); ranges != nil && r.allFit(group, ranges, requests) {
+			for i, part := range ranges {
+				if part.Len() > 0 {
+					r.assign(group[i], part, reason)
+				}
+			}
+			return true
+		}
+	}
+	return false
+}
+
+// fits reports whether an engine can hold a range beside memory for the given
+// number of requests.
+func (r *repair) fits(e candidate, layers spanrill.LayerRange, requests float64) bool {
+	return cost.Most(r.model, e.kind, requests*cost.Tokens(r.model)) >= layers.Len()
+}
+
+// allFit reports whether all engines keep memory for the given number of requests.
+func (r *repair) allFit(group []candidate, ranges []spanrill.LayerRange, requests float64) bool {
+	for i, e := range group {
+		if n := ranges[i].Len(); n > 0 && cost.Capacity(r.model, e.kind, n) < requests*cost.Tokens(r.model) {
+			return false
+		}
+	}
+	return true
+}
+
+// rankForHole returns engines in order of preference for a hole: engines that can
+// hold it whole, then engines of the same availability zone, then the closest fit,
+// so that large engines are kept for large holes.
+func (r *repair) rankForHole(from []candidate, zone string, hole spanrill.LayerRange, requests float64) []candidate {
+	free := append([]candidate(nil), from...)
+	tokens := requests * cost.Tokens(r.model)
+	score := func(e candidate) int {
+		n := cost.Most(r.model, e.kind, tokens)
+		s := 0
+		if n >= hole.Len() {
+			s += wholeBonus - (n - hole.Len())
+		} else {
+			s += n
+		}
+		if e.Zone == zone {
+			s += zoneBonus
+		}
+		return s
+	}
+	sort.SliceStable(free, func(i, k int) bool { return score(free[i]) > score(free[k]) })
+	return free
+}
+
+// Weights of rankForHole, in layers.
+const (
+	wholeBonus = 10000
+	zoneBonus  = 100
+)
--- a/coordination/layout/spare_test.go
+++ b/coordination/layout/spare_test.go
@@ -8,7 +8,7 @@
 	"spanrill/coordination/cost"
 )
 
-// quarter returns an engine that holds 20 of the 80 layers and could hold all.
+// quarter returns an engine that holds 20 of the 80 layers and has memory for all.
 func quarter(id string, from int) Engine {
 	return Engine{ID: id, Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: from, To: from + 20}}
 }
@@ -19,7 +19,7 @@
 	return m
 }
 
-// wantNoCuts checks that a hole is filled, and that no order cuts what runs.
+// wantNoCuts checks that a hole is filled and that no order breaks off requests.
 func wantNoCuts(t *testing.T, moves []Move) {
 	t.Helper()
 	if len(moves) == 0 {
@@ -27,13 +27,13 @@
 	}
 	for _, move := range moves {
 		if move.Cut {
-			t.Errorf("%v cuts what runs", move)
+			t.Errorf("%v cuts running requests", move)
 		}
 	}
 }
 
-// Requests that run through engines that leave are not lost yet, also where two
-// of them leave side by side. What fills the hole may not cut any.
+// Requests on leaving engines still finish, also when two neighbours leave at once. Orders
+// that fill the hole must not break them off.
 func TestRequestsOfLeavingEnginesAreNotCut(t *testing.T) {
 	one, two := quarter("leaving-1", 20), quarter("leaving-2", 40)
 	one.Leaves, two.Leaves = true, true
@@ -42,9 +42,9 @@
 	wantNoCuts(t, moves)
 }
 
-// Two chains of a zone lose an engine each without a word, and what is left is read
-// as other chains than those that requests run on: nothing is cut.
-func TestRequestsAreNotCutWhereChainsAreReadAnew(t *testing.T) {
+// Two chains of a zone each lose an engine without a crash, and the remaining engines are
+// derived as chains that differ from the paths of running requests: nothing is cut.
+func TestRequestsAreNotCutWhenChainsAreDerivedAnew(t *testing.T) {
 	gone := Engine{ID: "leaving", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 0, To: 20}, Leaves: true}
 	overlap := Engine{ID: "overlap", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 12, To: 20}}
 	engines := []Engine{gone, overlap, quarter("a1", 0), quarter("a2", 20), quarter("a3", 40), quarter("a4", 60), quarter("b2", 20), quarter("b3", 40), quarter("b4", 60)}
@@ -52,20 +52,20 @@
 	wantNoCuts(t, moves)
 }
 
-// Where an engine of the hole has crashed, what ran there is lost, and nothing waits
-// for it although another engine leaves.
+// When an engine of the hole has crashed, its requests are lost, so orders need not wait for
+// them, although another engine is leaving.
 func TestRequestsOfACrashedEngineAreCut(t *testing.T) {
 	crash, leave := quarter("crashed", 20), quarter("leaving", 40)
-	crash.Lost, leave.Leaves = true, true
+	crash.Crashed, leave.Leaves = true, true
 	moves := Repair(hugeModel(), []Engine{quarter("first", 0), quarter("spare", 0), crash, leave, quarter("last", 60)})
 	if len(moves) == 0 || !moves[0].Cut {
-		t.Fatalf("moves %v, want ones that cut", moves)
+		t.Fatalf("moves %v, want the first to cut", moves)
 	}
 }
 
-// An engine leaves, and the zone's chains are read anew with a hole that it did not
-// hold: nothing has crashed, and what runs is not cut.
-func TestHolesThatNobodyLeftAreNotCut(t *testing.T) {
+// An engine leaves, and the chains of the zone are derived anew with a hole that it did not
+// hold. Nothing has crashed, so no running request is cut.
+func TestHolesWithoutCrashAreNotCut(t *testing.T) {
 	leaving := quarter("leaving", 0)
 	leaving.Leaves = true
 	engines := []Engine{leaving, quarter("a1", 0), quarter("a2", 20), quarter("spare", 0), quarter("a4", 60)}
@@ -73,22 +73,22 @@
 	wantNoCuts(t, moves)
 }
 
-// What runs on a spare is of other paths than those of the engine that has crashed.
+// Requests on a spare run on other paths than those of the crashed engine, and are not cut.
 func TestRequestsOnASpareAreNotCut(t *testing.T) {
 	crash, spare := quarter("crashed", 20), quarter("spare", 0)
-	crash.Lost, spare.Tokens = true, 5000
+	crash.Crashed, spare.Tokens = true, 5000
 	first := quarter("first", 0)
 	first.Tokens = 9000
 	moves := Repair(hugeModel(), []Engine{first, spare, crash, quarter("third", 40), quarter("last", 60)})
 	if len(moves) != 1 || moves[0].Engine != "spare" || moves[0].Cut {
-		t.Fatalf("moves %v, want one of the spare that cuts nothing", moves)
+		t.Fatalf("moves %v, want one move of the spare that cuts nothing", moves)
 	}
 }
 
-// Two chains of one zone, of which one loses an engine. Read anew, its engine with the
-// same layers belongs to the other chain, and the sound one has the hole: what runs on
-// either is not cut.
-func TestSoundPathsAreNotCut(t *testing.T) {
+// One of two chains of a zone loses an engine. When chains are derived anew, the other
+// chain's engine with the same layers may take its place, so that the intact chain shows the
+// hole: requests on neither chain are cut.
+func TestIntactPathsAreNotCut(t *testing.T) {
 	for _, crashed := range []string{"a2", "b2"} {
 		t.Run(crashed, func(t *testing.T) {
 			var engines []Engine
@@ -97,7 +97,7 @@
 					e := quarter(fmt.Sprintf("%s%d", name, i+1), from)
 					e.Tokens = 5000
 					if e.ID == crashed {
-						e.Lost, e.Tokens = true, 0
+						e.Crashed, e.Tokens = true, 0
 					}
 					engines = append(engines, e)
 				}
@@ -108,29 +108,29 @@
 	}
 }
 
-// An engine that is given more layers keeps memory for what runs on it.
-func TestEngineDoesNotGrowIntoWhatRuns(t *testing.T) {
+// An engine that is assigned more layers keeps memory for its running requests.
+func TestTargetKeepsMemoryForRunningRequests(t *testing.T) {
 	m := hugeModel()
 	for _, c := range []struct {
 		name   string
-		filled float64 // part of its memory that requests hold
+		filled float64 // share of its memory that requests hold
 		want   bool    // whether it may hold ten more layers
 	}{
 		{"nothing runs", 0, true},
-		{"it is nearly full", 0.98, false},
+		{"memory is nearly full", 0.98, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := candidate{Engine: quarter("e", 0), kind: m.Kinds["huge"]}
 			e.Tokens = int64(c.filled * cost.Capacity(m, e.kind, 20))
-			if got := mostBeside(m, e, leastRequests) >= 30; got != c.want {
-				t.Fatalf("up to %d layers", mostBeside(m, e, leastRequests))
+			if got := maxTargetLayers(m, e, minChainRequests) >= 30; got != c.want {
+				t.Fatalf("maxTargetLayers is %d", maxTargetLayers(m, e, minChainRequests))
 			}
 		})
 	}
 }
 
-// Of two engines with the same layers that one is moved which serves less.
-func TestTheLessUsedEngineMoves(t *testing.T) {
+// Of two engines with the same layers, the one with fewer reserved tokens is moved.
+func TestLessUsedEngineMoves(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		first, second     int64
--- a/coordination/layoutrun/carrier.go
+++ b/coordination/layoutrun/carrier.go
@@ -176,7 +176,7 @@
 }
 
 func (c *carrier) log(e events.Event, fields logrus.Fields) {
-	fields["upstream"], fields["layers"], fields["why"] = c.upstream.ID(), c.order.move.Layers, c.order.move.Why
+	fields["upstream"], fields["layers"], fields["why"] = c.upstream.ID(), c.order.move.Layers, c.order.move.Reason
 	fields["service"], fields["cut"] = c.service.Name, c.order.move.Cut
 	e.Log(c.placer.log, fields)
 }
--- a/coordination/layoutrun/placer.go
+++ b/coordination/layoutrun/placer.go
@@ -158,7 +158,7 @@
 	if len(moves) == 0 {
 		return
 	}
-	events.LayoutMade.Log(p.log, logrus.Fields{"service": s.Name, "engines": len(engines), "moves": len(moves), "first": moves[0].String(), "why": moves[0].Why, "view": p.table.View().Version()})
+	events.LayoutMade.Log(p.log, logrus.Fields{"service": s.Name, "engines": len(engines), "moves": len(moves), "first": moves[0].String(), "why": moves[0].Reason, "view": p.table.View().Version()})
 	for _, m := range moves {
 		p.give(ctx, s, m)
 	}
@@ -193,18 +193,18 @@
 			continue
 		}
 		if lost {
-			engines = append(engines, layout.Engine{ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers, Lost: true})
+			engines = append(engines, layout.Engine{ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers, Crashed: true})
 			continue
 		}
 		e := layout.Engine{
 			ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers,
-			Leaves: !u.Takes() || leaves, Slow: u.Slow(), Tokens: u.Tokens(), Joined: now-u.KnownAt() < joinTime,
+			Leaves: !u.Takes() || leaves, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.KnownAt() < joinTime,
 		}
 		if t := u.Target(); t != nil {
-			e.Layers, e.Fixed = t.Layers, !t.Done
+			e.Layers, e.Changing = t.Layers, !t.Done
 		}
 		if o, ok := p.ordered[e.ID]; ok {
-			e.Layers, e.Fixed = o.move.Layers, !o.done
+			e.Layers, e.Changing = o.move.Layers, !o.done
 		}
 		anyHeld = anyHeld || e.Layers.Len() > 0
 		engines = append(engines, e)
--- a/coordination/layoutrun/placer_test.go
+++ b/coordination/layoutrun/placer_test.go
@@ -207,7 +207,7 @@
 		joined := map[string]bool{}
 		engines, _ := p.look(t.Context(), &p.models()[0])
 		for _, e := range engines {
-			joined[e.ID] = joined[e.ID] || e.Joined // one that has gone serves on for a while
+			joined[e.ID] = joined[e.ID] || e.JustJoined // one that has gone serves on for a while
 		}
 		return joined
 	}
