--- a/coordination/layoutrun/doubt.go
+++ b/coordination/layoutrun/doubt.go
@@ -10,76 +10,75 @@
 	"spanrill/state/fleet"
 )
 
-// doubt is what the placer has found out itself about an engine that requests
-// found silent, or that refuses them. A repair cuts requests and moves engines,
-// so that the requests' word is not enough: they take an engine for dead after
-// some ten milliseconds of silence, and an engine that is full refuses as one
-// that leaves does.
-type doubt struct {
-	askedAt spanrill.Millis
-	asking  bool
-	room    bool            // said in its last report that it is not full
-	roomAt  spanrill.Millis // since when all reports have said so
-	lost    bool            // did not answer the placer either
-	leaves  bool            // has had room for a while, and refuses nevertheless
+// verification records what the placer has found out about an engine that requests
+// reported as silent or refusing. A repair cuts requests and moves engines, so it must
+// not rely on requests alone: they consider an engine dead after some ten milliseconds
+// of silence, and an engine whose memory is full refuses just as a leaving one does.
+type verification struct {
+	askedAt   spanrill.Millis
+	asking    bool
+	hasRoom   bool            // not full in its last report
+	roomSince spanrill.Millis // since when it was not full in all reports
+	lost      bool            // did not answer the placer either
+	leaving   bool            // refuses although it has had free memory for a while
 }
 
 const (
-	// doubtWait bounds the question: a hundred round trips, and half the time
+	// verifyTimeout bounds the report request: a hundred round trips, and half the time
 	// that loading the smallest part takes.
-	doubtWait spanrill.Millis = 150
-	// doubtTime is how long after a refusal an engine is doubted: requests are
-	// kept away for 1.2 s, and only a second refusal tells more.
-	doubtTime = 3 * spanrill.Second
-	// doubtGap is the pause between two questions about one engine.
-	doubtGap spanrill.Millis = 400
-	// roomTime is how long an engine must have had room before a refusal means
-	// that it leaves: reports lag, and memory that was full when it refused may be
-	// free when it reports.
-	roomTime spanrill.Millis = 2 * lagTime
-	// emptyEnough is the part of its memory up to which an engine is not full.
-	emptyEnough = 0.8
+	verifyTimeout spanrill.Millis = 150
+	// verifyWindow is how long after a refusal an engine is verified: the first refusal
+	// keeps requests away for 1.2 s, and only a second one shows more.
+	verifyWindow = 3 * spanrill.Second
+	// verifyInterval is the pause between two report requests to one engine.
+	verifyInterval spanrill.Millis = 400
+	// minRoomTime is how long an engine must have had free memory before a refusal means
+	// that it is leaving: reports lag, so memory that was full at the refusal may be free
+	// in the report.
+	minRoomTime spanrill.Millis = 2 * reportLag
+	// fullThreshold is the share of its memory from which an engine counts as full.
+	fullThreshold = 0.8
 )
 
-// judge returns whether an engine is lost, or leaves without a word, as far as
-// was found out, and asks it if there is a doubt and this daemon may give
-// orders. The caller holds the lock.
-func (p *Placer) judge(ctx context.Context, u *fleet.Upstream, now spanrill.Millis, may bool) (lost, leaves bool) {
+// verify returns whether the placer has found an engine lost, or leaving without notice.
+// If requests reported the engine as failing and mayAct is set, it also starts a new
+// report request, whose result later calls return. The caller holds the lock.
+func (p *Placer) verify(ctx context.Context, u *fleet.Upstream, now spanrill.Millis, mayAct bool) (lost, leaves bool) {
 	id := u.ID()
-	d := p.doubts[id]
-	if !u.Removed() && !u.Dead() && !u.Refusing(now) && (d == nil || now-u.RefusedAt() > doubtTime) {
-		delete(p.doubts, id)
+	v := p.verifications[id]
+	if !u.Removed() && !u.Dead() && !u.Refusing(now) && (v == nil || now-u.RefusedAt() > verifyWindow) {
+		delete(p.verifications, id)
 		return false, false
 	}
-	if d == nil {
-		d = &doubt{askedAt: now - doubtGap}
-		p.doubts[id] = d
+	if v == nil {
+		v = &verification{askedAt: now - verifyInterval}
+		p.verifications[id] = v
 	}
-	if may && !d.asking && now-d.askedAt >= doubtGap {
-		d.asking, d.askedAt = true, now
-		p.orders.Start(ctx, "ask about a doubt", func(ctx context.Context) error { return p.settle(ctx, u, d) })
+	if mayAct && !v.asking && now-v.askedAt >= verifyInterval {
+		v.asking, v.askedAt = true, now
+		p.tasks.Start(ctx, "verify upstream", func(ctx context.Context) error { return p.queryUpstream(ctx, u, v) })
 	}
-	return d.lost && (u.Dead() || u.Removed()), d.leaves
+	return v.lost && (u.Dead() || u.Removed()), v.leaving
 }
 
-// settle asks an engine for its report and notes what that says.
-func (p *Placer) settle(ctx context.Context, u *fleet.Upstream, d *doubt) error {
-	ctx, cancel := context.WithTimeout(ctx, doubtWait.Duration())
+// queryUpstream requests a report from an engine and records the result.
+func (p *Placer) queryUpstream(ctx context.Context, u *fleet.Upstream, v *verification) error {
+	ctx, cancel := context.WithTimeout(ctx, verifyTimeout.Duration())
 	defer cancel()
 	report, err := p.engines.Report(ctx, u.Addr())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d.asking = false
+	v.asking = false
 	if spanrill.OwnLack(err) {
-		return err // it says nothing of the engine
+		return err // the daemon lacks resources; says nothing about the engine
 	}
 	lost := err != nil
-	d.note(!lost && report.Waiting == 0 && report.KVUsed < emptyEnough*report.KVTotal, p.clock.Now())
-	leaves := d.room && u.RefusedAt() > d.roomAt+roomTime
-	if lost == d.lost && leaves == d.leaves {
+	v.recordRoom(!lost && report.Waiting == 0 && report.KVUsed < fullThreshold*report.KVTotal, p.clock.Now())
+	leaves := v.hasRoom && u.RefusedAt() > v.roomSince+minRoomTime
+	if lost == v.lost && leaves == v.leaving {
 		return nil
 	}
-	d.lost, d.leaves = lost, leaves
+	v.lost, v.leaving = lost, leaves
 	events.UpstreamDoubted.Log(p.log, logrus.Fields{
 		"upstream": u.ID(), "lost": lost, "leaves": leaves, "error": err,
 		"waiting": report.Waiting, "kv_used": report.KVUsed, "kv_total": report.KVTotal,
@@ -87,10 +86,10 @@
 	return nil
 }
 
-// note takes whether a report said that the engine is not full.
-func (d *doubt) note(room bool, now spanrill.Millis) {
-	if room && !d.room {
-		d.roomAt = now
+// recordRoom records whether a report shows an engine that is not full.
+func (v *verification) recordRoom(hasRoom bool, now spanrill.Millis) {
+	if hasRoom && !v.hasRoom {
+		v.roomSince = now
 	}
-	d.room = room
+	v.hasRoom = hasRoom
 }
--- a/coordination/layoutrun/doubt_test.go
+++ b/coordination/layoutrun/doubt_test.go
@@ -12,43 +12,43 @@
 	"spanrill/state/fleet"
 )
 
-// teller is an engine whose report a test sets.
-type teller struct {
+// reportingEngine is an engine whose report a test sets.
+type reportingEngine struct {
 	spanrill.LayerEngines
 	used   float64 // of a memory of 100
 	silent bool
 }
 
-func (e *teller) Report(context.Context, string) (spanrill.EngineReport, error) {
+func (e *reportingEngine) Report(context.Context, string) (spanrill.EngineReport, error) {
 	if e.silent {
 		return spanrill.EngineReport{}, errNoAnswer
 	}
 	return spanrill.EngineReport{KVUsed: e.used, KVTotal: 100, Pace: 1}, nil
 }
 
-// step is what happens to an engine before the placer looks again.
-type step struct {
+// verifyStep is what happens to an engine before the placer verifies it again.
+type verifyStep struct {
 	refuses bool
 	used    float64
 	silent  bool
-	dead    bool // requests take it for dead
+	dead    bool // requests report it as dead
 }
 
-// An engine that requests doubt is given up only if the placer finds the same:
-// one that is full for a moment refuses as one that leaves does.
-func TestDoubt(t *testing.T) {
+// An engine that requests report as failing is given up only if the placer finds the same:
+// an engine whose memory is full for a moment refuses just as a leaving one does.
+func TestVerify(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		steps        []step
+		steps        []verifyStep
 		lost, leaves bool
 	}{
-		{"full, then empty", []step{{refuses: true, used: 99}, {used: 99}, {used: 10}, {used: 10}, {used: 10}}, false, false},
-		{"refuses with room once", []step{{refuses: true, used: 10}, {used: 10}, {used: 10}}, false, false},
-		{"refuses after it had room for long", []step{{refuses: true, used: 10}, {used: 10}, {used: 10}, {refuses: true, used: 10}, {used: 10}}, false, true},
-		{"full again and again", []step{{refuses: true, used: 99}, {used: 10}, {refuses: true, used: 99}, {used: 10}, {refuses: true, used: 99}}, false, false},
-		{"silent for requests only", []step{{dead: true}, {dead: true}}, false, false},
-		{"silent for the placer too", []step{{dead: true, silent: true}, {dead: true, silent: true}}, true, false},
-		{"answers again", []step{{dead: true, silent: true}, {dead: true, silent: true}, {}}, false, false},
+		{"full, then empty", []verifyStep{{refuses: true, used: 99}, {used: 99}, {used: 10}, {used: 10}, {used: 10}}, false, false},
+		{"refuses once with free memory", []verifyStep{{refuses: true, used: 10}, {used: 10}, {used: 10}}, false, false},
+		{"refuses after it had free memory for a while", []verifyStep{{refuses: true, used: 10}, {used: 10}, {used: 10}, {refuses: true, used: 10}, {used: 10}}, false, true},
+		{"full repeatedly", []verifyStep{{refuses: true, used: 99}, {used: 10}, {refuses: true, used: 99}, {used: 10}, {refuses: true, used: 99}}, false, false},
+		{"silent for requests only", []verifyStep{{dead: true}, {dead: true}}, false, false},
+		{"silent for the placer too", []verifyStep{{dead: true, silent: true}, {dead: true, silent: true}}, true, false},
+		{"answers again", []verifyStep{{dead: true, silent: true}, {dead: true, silent: true}, {}}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			log := logrus.New()
@@ -59,21 +59,21 @@
 				return spanrill.EngineEntry{ID: "e", Service: "s", Addr: "e"}, nil
 			}, fleet.WithLogger(log))
 			table.Listed([]spanrill.Item{{Name: "e"}}, 1, 0)
-			u, engine := table.View().ByID("e"), &teller{}
-			p := New(always, engine, table, nil, manual, log)
+			u, engine := table.View().ByID("e"), &reportingEngine{}
+			p := New(mayAlwaysAct, engine, table, nil, manual, log)
 			var lost, leaves bool
 			for _, s := range c.steps {
-				manual.Advance(doubtGap)
+				manual.Advance(verifyInterval)
 				engine.used, engine.silent = s.used, s.silent
 				u.SetDead(s.dead)
 				if s.refuses {
 					u.Refused(manual.Now(), true)
 				}
-				for range 2 { // to ask, and to see the answer
+				for range 2 { // the second call returns the result of the first
 					p.mu.Lock()
-					lost, leaves = p.judge(context.Background(), u, manual.Now(), true)
+					lost, leaves = p.verify(context.Background(), u, manual.Now(), true)
 					p.mu.Unlock()
-					_ = p.orders.Wait()
+					_ = p.tasks.Wait()
 				}
 			}
 			if lost != c.lost || leaves != c.leaves {
@@ -83,16 +83,16 @@
 	}
 }
 
-// An engine whose entry has gone without a word serves on what runs there, so that
-// nothing is cut for its sake, unless it has crashed.
-func TestEngineLeavesWithoutAWord(t *testing.T) {
+// An engine whose entry has disappeared without notice still finishes its requests and counts
+// as leaving, so that none of them is cut, unless it has crashed.
+func TestEngineEntryDisappears(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		silent bool
-		want   int // leaving engines that the planner is told of
+		want   int // leaving engines in the input of the planner
 	}{
-		{"it serves on", false, 1},
-		{"it has crashed", true, 0},
+		{"still serves", false, 1},
+		{"has crashed", true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			log := logrus.New()
@@ -104,11 +104,11 @@
 			}, fleet.WithLogger(log))
 			table.Listed([]spanrill.Item{{Name: "stays"}, {Name: "goes"}}, 1, manual.Now())
 			table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: "goes"}, Gone: true}}, 2, manual.Now())
-			p := New(always, &teller{silent: c.silent}, table, nil, manual, log)
+			p := New(mayAlwaysAct, &reportingEngine{silent: c.silent}, table, nil, manual, log)
 			var leaving int
-			for range 2 { // to ask, and to see the answer
-				engines, _ := p.look(context.Background(), &spanrill.ServiceInfo{Name: "s"})
-				_ = p.orders.Wait()
+			for range 2 { // the second call sees the result of the first
+				engines, _ := p.planInput(context.Background(), &spanrill.ServiceInfo{Name: "s"})
+				_ = p.tasks.Wait()
 				leaving = 0
 				for _, e := range engines {
 					if e.Leaves {
--- a/coordination/layoutrun/look.go
+++ b/coordination/layoutrun/look.go
@@ -7,35 +7,35 @@
 	"spanrill/coordination/layout"
 )
 
-// lastLook is the engines of a service at the last look for which moves were worked out.
-type lastLook struct {
+// lastPlan records the engines of a service for which moves were planned last.
+type lastPlan struct {
 	engines []layout.Engine
 	at      spanrill.Millis
-	rests   bool // no moves were needed
+	noMoves bool // the plan was empty
 }
 
-// lookAgain is how long engines that are as they were need no other moves. What requests hold
-// changes all the time, and decides only which of engines that hold the same are spares, and
-// what a repair may cut, for which a change of the engines is needed anyway.
-const lookAgain = spanrill.Second
+// replanInterval is how long a result of no moves is reused for unchanged engines. The tokens
+// reserved by requests change all the time. They decide only which of several engines with the
+// same layers are spares and what a repair may cut, and both matter only once engines change.
+const replanInterval = spanrill.Second
 
-// needsNothing reports whether the engines are as they were when they needed no moves.
-func (p *Placer) needsNothing(service string, engines []layout.Engine) bool {
+// stillNeedsNoMoves reports whether the engines are as they were when they last needed no moves.
+func (p *Placer) stillNeedsNoMoves(service string, engines []layout.Engine) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	last := p.looks[service]
-	return last.rests && p.clock.Now()-last.at < lookAgain && slices.EqualFunc(last.engines, engines, sameEngine)
+	last := p.lastPlans[service]
+	return last.noMoves && p.clock.Now()-last.at < replanInterval && slices.EqualFunc(last.engines, engines, equalExceptTokens)
 }
 
-// noteLook notes the engines for which moves were worked out.
-func (p *Placer) noteLook(service string, engines []layout.Engine, rests bool) {
+// recordPlan records the engines for which moves were planned.
+func (p *Placer) recordPlan(service string, engines []layout.Engine, noMoves bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.looks[service] = lastLook{engines: engines, at: p.clock.Now(), rests: rests}
+	p.lastPlans[service] = lastPlan{engines: engines, at: p.clock.Now(), noMoves: noMoves}
 }
 
-// sameEngine reports whether two engines differ in nothing but what requests hold there.
-func sameEngine(a, b layout.Engine) bool {
+// equalExceptTokens reports whether two engines differ at most in their reserved tokens.
+func equalExceptTokens(a, b layout.Engine) bool {
 	a.Tokens, b.Tokens = 0, 0
 	return a == b
 }
--- a/coordination/layoutrun/look_test.go
+++ b/coordination/layoutrun/look_test.go
@@ -7,37 +7,37 @@
 	"spanrill/clock"
 )
 
-// Every daemon of a fleet looked at all engines each 150 ms, also those that may give no
-// orders: 18 in 100 of the processor of 60 daemons that start before 2,922 engines.
-func TestOnlyWhoMayOrderLooksAtEngines(t *testing.T) {
+// Only a daemon that may send orders checks the engines. When every daemon checked all engines
+// each 150 ms, that took 18 % of the CPU time of 60 daemons starting with 2,922 engines.
+func TestOnlyDaemonThatMayOrderChecksEngines(t *testing.T) {
 	now := clock.NewManual()
 	may := false
-	p, table := placerOf(t, 8, spanrill.LayerRange{From: 0, To: 6}, newCards(), func() (uint64, bool) { return 1, may }, now)
-	table.View().ByID("e3").SetDead(true) // which a look would notice
+	p, table := newTestPlacer(t, 8, spanrill.LayerRange{From: 0, To: 6}, newFakeEngines(), func() (uint64, bool) { return 1, may }, now)
+	table.View().ByID("e3").SetDead(true) // a check of the engines would verify it
 	p.Round(t.Context())
-	if len(p.doubts) != 0 || len(p.looks) != 0 {
-		t.Fatalf("%d doubts and %d looks of a daemon that may give no orders", len(p.doubts), len(p.looks))
+	if len(p.verifications) != 0 || len(p.lastPlans) != 0 {
+		t.Fatalf("%d verifications and %d plans by a daemon that may not send orders, want none", len(p.verifications), len(p.lastPlans))
 	}
-	now.Advance(settleTime)
+	now.Advance(quietTimeBeforeLayout)
 	may = true
 	p.Round(t.Context())
-	_ = p.orders.Wait()
-	if len(p.doubts) != 1 || len(p.looks) != 1 {
-		t.Fatalf("%d doubts and %d looks once it may", len(p.doubts), len(p.looks))
+	_ = p.tasks.Wait()
+	if len(p.verifications) != 1 || len(p.lastPlans) != 1 {
+		t.Fatalf("%d verifications and %d plans once it may send orders, want 1 and 1", len(p.verifications), len(p.lastPlans))
 	}
 }
 
-// While nothing changes, moves are not worked out again; after any change they are, and
-// also now and then.
-func TestMovesAreWorkedOutAfterChanges(t *testing.T) {
+// Moves are planned again after any change, and from time to time, but not while nothing
+// changes.
+func TestPlansAgainAfterChanges(t *testing.T) {
 	now := clock.NewManual()
 	now.Advance(100 * spanrill.Second)
-	p, table := placerOf(t, 8, spanrill.LayerRange{From: 0, To: 12}, newCards(), always, now)
-	now.Advance(joinTime)
+	p, table := newTestPlacer(t, 8, spanrill.LayerRange{From: 0, To: 12}, newFakeEngines(), mayAlwaysAct, now)
+	now.Advance(justJoinedTime)
 	round := func() spanrill.Millis {
 		p.Round(t.Context())
-		_ = p.orders.Wait()
-		return p.looks["s"].at
+		_ = p.tasks.Wait()
+		return p.lastPlans["s"].at
 	}
 	first := round()
 	for _, c := range []struct {
@@ -46,17 +46,17 @@
 		after  spanrill.Millis
 		again  bool
 	}{
-		{"nothing", func() {}, 150, false},
-		{"what requests hold", func() { table.View().ByID("e1").Reserve(500) }, 150, false},
-		{"an engine is slow", func() { table.View().ByID("e1").SetPace(5) }, 150, true},
-		{"nothing since", func() {}, 150, false},
-		{"time", func() {}, lookAgain, true},
+		{"no change", func() {}, 150, false},
+		{"reserved tokens", func() { table.View().ByID("e1").Reserve(500) }, 150, false},
+		{"an engine becomes slow", func() { table.View().ByID("e1").SetPace(5) }, 150, true},
+		{"no change since", func() {}, 150, false},
+		{"replanInterval has passed", func() {}, replanInterval, true},
 	} {
 		now.Advance(c.after)
 		c.change()
 		at := round()
 		if again := at != first; again != c.again {
-			t.Errorf("%s: worked out again %t, want %t", c.name, again, c.again)
+			t.Errorf("%s: planned again is %t, want %t", c.name, again, c.again)
 		}
 		first = at
 	}
--- a/coordination/layoutrun/many_test.go
+++ b/coordination/layoutrun/many_test.go
@@ -11,95 +11,92 @@
 	"spanrill/clock"
 )
 
-// What was seen: of 301 daemons before 2,997 engines one made 1,204 new connections a second,
-// had 3,895 at a time and used 0.69 of a core, all day; the others made 20 and had 542. It
-// holds the lease of placement.
-//
-// Order of events: it orders all engines at once, over a connection each, and asks all of them
-// at once for their pace every 5 s. A daemon may have 4,100 descriptors, of which 200 are
-// files: its own dials fail, for orders, questions and callers alike.
-//
-// Cause: nothing bounds what one daemon has open to all engines together. Evidence: 14 daemons
-// with 2,400 descriptors before 2,730 engines: in the eight seconds of the start 1,143 dials
-// fail with "too many open files", 573 orders for it. With 4,100 descriptors none does.
+// Guards against one daemon exhausting its descriptors with calls to all engines at once.
+// The lease holder of placement sent all orders at once, each over its own connection, and
+// queried the pace of all engines at once every 5 s. Of 301 daemons with 2,997 engines it
+// opened 1,204 connections per second, had up to 3,895 open and used 0.69 of a core all day;
+// the others opened 20 per second and had up to 542 open. Of 4,100 descriptors of a daemon 200
+// are files, so its own dials fail, for orders, queries and callers alike. With 14 daemons of
+// 2,400 descriptors and 2,730 engines, 1,143 dials failed with "too many open files" in the
+// first eight seconds, and with them 573 orders. With 4,100 descriptors none failed.
 
-// mostCalls is how many orders and questions may be under way: a thirtieth of the descriptors
-// of a daemon of today.
-const mostCalls = 128
+// wantMaxCalls is how many orders and report requests may be under way: a thirtieth of a
+// daemon's usual descriptors.
+const wantMaxCalls = 128
 
-// slowCards are engines that answer when the test lets them.
-type slowCards struct {
-	*cards
+// blockingEngines are engines whose calls block until the test releases them.
+type blockingEngines struct {
+	*fakeEngines
 	mu       sync.Mutex
-	now      int
-	most     int
+	current  int
+	peak     int
 	released chan struct{}
 }
 
-func (c *slowCards) enter() (leave func()) {
+func (c *blockingEngines) enter() (leave func()) {
 	c.mu.Lock()
-	c.now++
-	c.most = max(c.most, c.now)
+	c.current++
+	c.peak = max(c.peak, c.current)
 	c.mu.Unlock()
 	<-c.released
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.now--
+		c.current--
 	}
 }
 
-func (c *slowCards) Report(ctx context.Context, addr string) (spanrill.EngineReport, error) {
+func (c *blockingEngines) Report(ctx context.Context, addr string) (spanrill.EngineReport, error) {
 	defer c.enter()()
-	return c.cards.Report(ctx, addr)
+	return c.fakeEngines.Report(ctx, addr)
 }
 
-func (c *slowCards) Place(ctx context.Context, addr, id string, o spanrill.PlaceOrder) (spanrill.OrderState, error) {
+func (c *blockingEngines) Place(ctx context.Context, addr, id string, o spanrill.PlaceOrder) (spanrill.OrderState, error) {
 	defer c.enter()()
-	return c.cards.Place(ctx, addr, id, o)
+	return c.fakeEngines.Place(ctx, addr, id, o)
 }
 
-func TestOrdersToManyEngines(t *testing.T) {
+func TestConcurrentCallsAreBounded(t *testing.T) {
 	const engines = 600
-	c := &slowCards{cards: newCards(), released: make(chan struct{})}
-	p, _ := place(t, engines, c, always)
+	c := &blockingEngines{fakeEngines: newFakeEngines(), released: make(chan struct{})}
+	p, _ := newStablePlacer(t, engines, c, mayAlwaysAct)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		rounds(t, p, c.covered)
+		runRounds(t, p, c.covered)
 	}()
 	for {
 		for range engines {
-			runtime.Gosched() // whoever may call does
+			runtime.Gosched() // let every call start that may
 		}
 		select {
 		case c.released <- struct{}{}:
 		case <-ended:
-			if c.most > mostCalls {
-				t.Errorf("%d calls were under way at a time, at most %d may be", c.most, mostCalls)
+			if c.peak > wantMaxCalls {
+				t.Errorf("%d calls were under way at a time, want at most %d", c.peak, wantMaxCalls)
 			}
 			return
 		}
 	}
 }
 
-// countingCards are engines that count how often each was asked.
-type countingCards struct {
-	*cards
+// countingEngines count the report requests to each engine.
+type countingEngines struct {
+	*fakeEngines
 	asked map[string]int
 }
 
-func (c *countingCards) Report(ctx context.Context, addr string) (spanrill.EngineReport, error) {
+func (c *countingEngines) Report(ctx context.Context, addr string) (spanrill.EngineReport, error) {
 	c.mu.Lock()
 	c.asked[addr]++
 	c.mu.Unlock()
-	return c.cards.Report(ctx, addr)
+	return c.fakeEngines.Report(ctx, addr)
 }
 
-// Engines are asked for their pace in turn, each every 5 s if they are few, and never more than
-// a hundred a second.
-func TestPacesOfManyEngines(t *testing.T) {
-	const mostASecond, seconds = 100, 20
+// Engines are queried for their pace in turn, each every 5 s if they are few, and at most 100
+// per second in total.
+func TestPaceQueryRateIsBounded(t *testing.T) {
+	const maxPerSecond, seconds = 100, 20
 	for _, c := range []struct{ engines, least, most int }{
 		{1, 3, 5},
 		{39, 3, 5},
@@ -107,23 +104,23 @@
 		{3000, 0, 1},
 	} {
 		t.Run(fmt.Sprint(c.engines, " engines"), func(t *testing.T) {
-			cards := &countingCards{cards: newCards(), asked: map[string]int{}}
+			engines := &countingEngines{fakeEngines: newFakeEngines(), asked: map[string]int{}}
 			now := clock.NewManual()
-			p, _ := placerOf(t, c.engines, spanrill.LayerRange{From: 0, To: 5}, cards, always, now)
-			for range seconds * int(spanrill.Second) / int(round) {
-				p.askPaces(context.Background())
-				_ = p.orders.Wait() // their errors are logged where they happen
-				now.Advance(round)
+			p, _ := newTestPlacer(t, c.engines, spanrill.LayerRange{From: 0, To: 5}, engines, mayAlwaysAct, now)
+			for range seconds * int(spanrill.Second) / int(roundInterval) {
+				p.pollPaces(context.Background())
+				_ = p.tasks.Wait() // errors are logged where they occur
+				now.Advance(roundInterval)
 			}
-			sum := 0
+			total := 0
 			for i := range c.engines {
-				n := cards.asked[fmt.Sprint("e", i)]
-				if sum += n; n < c.least || n > c.most {
-					t.Fatalf("engine %d was asked %d times, want %d to %d", i, n, c.least, c.most)
+				n := engines.asked[fmt.Sprint("e", i)]
+				if total += n; n < c.least || n > c.most {
+					t.Fatalf("engine %d was queried %d times, want %d to %d", i, n, c.least, c.most)
 				}
 			}
-			if sum > mostASecond*seconds+mostASecond {
-				t.Errorf("%d questions in %d s, at most %d a second are wanted", sum, seconds, mostASecond)
+			if total > maxPerSecond*seconds+maxPerSecond {
+				t.Errorf("%d queries in %d s, want at most %d per second", total, seconds, maxPerSecond)
 			}
 		})
 	}
--- a/coordination/layoutrun/pace.go
+++ b/coordination/layoutrun/pace.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	// paceGap is the pause between two questions to one engine about its pace. Each question
-	// is paid for; an engine that turns slow does so for several seconds.
-	paceGap = 5 * spanrill.Second
-	// pacesASecond bounds these questions, which up to 500 engines do not reach. One daemon
-	// before 2,997 engines that asked all of them at once used up its 4,100 descriptors and made
-	// 1,204 connections a second. Before 2,730 engines the busiest of 14 daemons uses 0.0237 of
-	// a core in the first 22 s with it, and 0.0283 without (one play each).
-	pacesASecond = 100
+	// paceInterval is the pause between two pace queries to one engine. Each query has a cost,
+	// and an engine that becomes slow stays so for several seconds.
+	paceInterval = 5 * spanrill.Second
+	// maxPaceQueriesPerSecond bounds the pace queries; up to 500 engines stay below it. Without
+	// it, one daemon querying 2,997 engines at once used up its 4,100 descriptors and opened
+	// 1,204 connections per second. With 2,730 engines, the busiest of 14 daemons uses 0.0237
+	// of a core in the first 22 s with the bound and 0.0283 without it (one run each).
+	maxPaceQueriesPerSecond = 100
 )
 
-// paces is how far the questions about paces have come.
-type paces struct {
-	next   int             // engine in the turn
-	begun  spanrill.Millis // the turn
-	looked spanrill.Millis
+// pacePoll is the progress of the pace queries, which go through all engines in cycles.
+type pacePoll struct {
+	next           int             // index of the next engine in the cycle
+	cycleStartedAt spanrill.Millis // start of the current cycle
+	polledAt       spanrill.Millis
 }
 
-// due returns which of that many engines are to be asked now: the next ones in the turn, which
-// begins anew at the earliest paceGap after it began.
-func (p *paces) due(engines int, now spanrill.Millis) (from, to int) {
-	since := min(now-p.looked, spanrill.Second) // after a pause engines are not asked all at once
-	p.looked = now
+// due returns the indices of the engines to query now: the next ones of the cycle. A cycle
+// starts at the earliest paceInterval after the previous one started.
+func (p *pacePoll) due(engines int, now spanrill.Millis) (from, to int) {
+	elapsed := min(now-p.polledAt, spanrill.Second) // no burst of queries after a pause
+	p.polledAt = now
 	if p.next >= engines {
-		if now-p.begun < paceGap {
+		if now-p.cycleStartedAt < paceInterval {
 			return 0, 0
 		}
-		p.next, p.begun = 0, now
+		p.next, p.cycleStartedAt = 0, now
 	}
 	from = p.next
-	p.next = min(engines, from+int(max(1, pacesASecond*since/spanrill.Second)))
+	p.next = min(engines, from+int(max(1, maxPaceQueriesPerSecond*elapsed/spanrill.Second)))
 	return from, p.next
 }
 
-// askPaces asks engines in turn how slow they are. The answers reach the other daemons with
-// the news.
-func (p *Placer) askPaces(ctx context.Context) {
+// pollPaces queries the engines that are due for their pace. Other daemons learn the answers
+// in rounds with their peers.
+func (p *Placer) pollPaces(ctx context.Context) {
 	var engines []*fleet.Upstream
 	for _, s := range p.models() {
 		if s.Model == nil {
@@ -58,33 +58,33 @@
 			}
 		}
 	}
-	from, to := p.paces.due(len(engines), p.clock.Now())
+	from, to := p.pacePoll.due(len(engines), p.clock.Now())
 	for _, u := range engines[from:to] {
-		p.orders.Start(ctx, "ask for pace", func(ctx context.Context) error { return p.askPace(ctx, u) })
+		p.tasks.Start(ctx, "query pace", func(ctx context.Context) error { return p.pollPace(ctx, u) })
 	}
 }
 
-func (p *Placer) askPace(ctx context.Context, u *fleet.Upstream) error {
-	if err := p.calls.enter(ctx); err != nil {
+func (p *Placer) pollPace(ctx context.Context, u *fleet.Upstream) error {
+	if err := p.calls.acquire(ctx); err != nil {
 		return err
 	}
-	defer p.calls.leave()
-	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
+	defer p.calls.release()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	report, err := p.engines.Report(ctx, u.Addr())
 	if err != nil {
-		return err // whether the engine is dead is for the requests that wait for it
+		return err // requests that wait for the engine decide whether it is dead
 	}
 	before := u.Slow()
 	if u.SetPace(report.Pace); u.Slow() != before {
-		p.noteSlow(u)
+		p.slowChanged(u)
 	}
 	return nil
 }
 
-// noteSlow logs that an engine has turned slow, or is well again, and lets the
-// chains be read anew.
-func (p *Placer) noteSlow(u *fleet.Upstream) {
+// slowChanged logs that an engine has become slow or has recovered, and has the chains
+// read anew.
+func (p *Placer) slowChanged(u *fleet.Upstream) {
 	event := events.UpstreamBack
 	if u.Slow() {
 		event = events.UpstreamSlow
--- a/coordination/layoutrun/placer.go
+++ b/coordination/layoutrun/placer.go
@@ -1,23 +1,23 @@
-// Package layoutrun carries out the layouts of package layout.
+// Package layoutrun carries out the layouts that package layout plans.
 //
-// One daemon at a time does so, under a lease. Engines need not check who
-// orders them: each order names the count of orders that the engine has taken
-// so far, so that an order which arrives late, after a newer one, no longer
-// fits and changes nothing. What the engines hold is all the state there is:
-// another daemon that takes the lease goes on from it.
+// One daemon at a time does so, under a lease. Engines need not check who sends an
+// order: each order carries the sequence of the engine's state that it is meant
+// for. An order that arrives late, after a newer one, no longer matches and changes
+// nothing. The layers that the engines hold are the only state, so a daemon that
+// takes over the lease continues from them.
 //
-// While no daemon can reach the store, nobody can hold the lease, and engines
-// fail nevertheless. Then the first daemon in rank acts without it: two daemons
-// that order at the same time can undo one another's work, but no order can
-// exceed an engine's memory, and every path is checked by its engines.
+// While no daemon can reach the store, none can hold the lease, yet engines still
+// fail. Then the first daemon in rank acts without the lease: two daemons that send
+// orders at the same time can undo each other's work, but no order can exceed an
+// engine's memory, and engines check every path.
 //
-// The store shows what an engine holds up to a heartbeat late, and not at all
-// while it is down. The placer therefore asks the engines that it has ordered,
-// and tells the other daemons what they answer.
+// The store shows an engine's layers up to a heartbeat late, and not at all while it
+// is down. The placer therefore asks the engines that it has ordered, and passes
+// their answers on to the other daemons.
 //
 // # Usage
 //
-//	p := layoutrun.New(may, engines, table, models, clock, log)
+//	p := layoutrun.New(mayAct, engines, table, models, clock, log)
 //	err := p.Run(ctx)
 package layoutrun
 
@@ -37,25 +37,25 @@
 // Models returns the services whose engines hold parts of a model.
 type Models func() []spanrill.ServiceInfo
 
-// MayAct returns the fencing token under which orders may be given now, or
-// false. A token of 0 means that none could be had.
+// MayAct returns the fencing token under which orders may be sent now, or false if
+// none may be sent. A token of 0 means that no token was available.
 type MayAct func() (term uint64, ok bool)
 
 const (
-	// round is the pause between two looks at the engines: a hole is seen when
-	// the next look comes, and loading takes a second or more.
-	round spanrill.Millis = 150
-	// idleRound is the same for a daemon that may give no orders, and looks whether it
-	// may by now: a lease is taken over after seconds.
-	idleRound = 3 * round
-	// settleTime is how long no engine was added before the first layout is
-	// made: engines that start together appear over two or three seconds.
-	settleTime spanrill.Millis = 1200
-	// settleMost bounds the wait for the first layout.
-	settleMost spanrill.Millis = 5000
+	// roundInterval is the pause between two rounds. A hole is detected in the next
+	// round; loading layers takes a second or more.
+	roundInterval spanrill.Millis = 150
+	// idleRoundInterval is the pause of a daemon that may not send orders, until it checks
+	// again whether it may: a lease is taken over after seconds.
+	idleRoundInterval = 3 * roundInterval
+	// quietTimeBeforeLayout is how long no engine must have been added before the first
+	// layout is planned: engines started together appear over two or three seconds.
+	quietTimeBeforeLayout spanrill.Millis = 1200
+	// maxWaitForLayout bounds the wait for the first layout.
+	maxWaitForLayout spanrill.Millis = 5000
 )
 
-// Placer gives orders while it may.
+// Placer plans the layouts of all services and orders the moves while it may act.
 type Placer struct {
 	mayAct  MayAct
 	engines spanrill.LayerEngines
@@ -64,42 +64,42 @@
 	clock   spanrill.Clock
 	log     logrus.FieldLogger
 
-	mu      sync.Mutex
-	ordered map[string]*order // by engine
-	known   map[string]int    // engines seen of a service
-	grewAt  map[string]spanrill.Millis
-	firstAt map[string]spanrill.Millis
-	orders  task.Group
-	spread  func() spanrill.Millis // how long news takes to all daemons
-	doubts  map[string]*doubt      // by engine
-	paces   paces
-	calls   calls
-	looks   map[string]lastLook // by service
+	mu            sync.Mutex
+	orders        map[string]*order          // by upstream id
+	engineCounts  map[string]int             // most engines seen, by service
+	lastAddedAt   map[string]spanrill.Millis // by service
+	firstSeenAt   map[string]spanrill.Millis // by service
+	tasks         task.Group
+	propagation   func() spanrill.Millis   // time in which an update reaches all daemons
+	verifications map[string]*verification // by upstream id
+	pacePoll      pacePoll
+	calls         callSlots
+	lastPlans     map[string]lastPlan // by service
 }
 
-// order is a change that an engine is being brought to.
+// order is the state of a move that is being carried out, or was.
 type order struct {
-	move layout.Move
-	done bool            // the engine has answered that it holds the range
-	drop spanrill.Millis // when to forget it, if over 0
+	move     layout.Move
+	done     bool            // the engine has reported that it holds the range
+	forgetAt spanrill.Millis // when to forget it, if not 0
 }
 
 // Option changes a default of New.
 type Option func(*Placer)
 
-// WithSpread sets where it is read how long news takes to all daemons.
-func WithSpread(spread func() spanrill.Millis) Option {
-	return func(p *Placer) { p.spread = spread }
+// WithSpread sets the source of the time in which an update reaches all daemons.
+func WithSpread(propagation func() spanrill.Millis) Option {
+	return func(p *Placer) { p.propagation = propagation }
 }
 
-// New returns a placer.
+// New returns a Placer that plans the services of models from the engines in table.
 func New(mayAct MayAct, engines spanrill.LayerEngines, table *fleet.Table, models Models, clock spanrill.Clock, log logrus.FieldLogger, opts ...Option) *Placer {
 	p := &Placer{
 		mayAct: mayAct, engines: engines, table: table, models: models, clock: clock, log: log,
-		ordered: map[string]*order{}, known: map[string]int{},
-		grewAt: map[string]spanrill.Millis{}, firstAt: map[string]spanrill.Millis{},
-		spread: func() spanrill.Millis { return usualSpread }, doubts: map[string]*doubt{}, looks: map[string]lastLook{},
-		calls: newCalls(),
+		orders: map[string]*order{}, engineCounts: map[string]int{},
+		lastAddedAt: map[string]spanrill.Millis{}, firstSeenAt: map[string]spanrill.Millis{},
+		propagation: func() spanrill.Millis { return defaultPropagation }, verifications: map[string]*verification{}, lastPlans: map[string]lastPlan{},
+		calls: newCallSlots(),
 	}
 	for _, o := range opts {
 		o(p)
@@ -107,87 +107,87 @@
 	return p
 }
 
-// Run looks at the engines until the context ends.
+// Run performs rounds until the context ends, and then waits for its calls.
 func (p *Placer) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.Round(ctx)
 		select {
 		case <-ctx.Done():
-		case <-p.clock.After(p.pause()):
+		case <-p.clock.After(p.nextInterval()):
 		}
 	}
-	_ = p.orders.Wait() // their errors are logged where they happen
+	_ = p.tasks.Wait() // errors are logged where they occur
 	return ctx.Err()
 }
 
-// pause returns how long to wait for the next look.
-func (p *Placer) pause() spanrill.Millis {
-	if _, may := p.mayAct(); may {
-		return round
+// nextInterval returns how long to wait for the next round.
+func (p *Placer) nextInterval() spanrill.Millis {
+	if _, mayAct := p.mayAct(); mayAct {
+		return roundInterval
 	}
-	return idleRound
+	return idleRoundInterval
 }
 
-// Round looks at all services once. A daemon that may give no orders notes only how many
-// engines there are.
+// Round checks all services once. A daemon that may not send orders only counts their
+// engines.
 func (p *Placer) Round(ctx context.Context) {
-	p.forgetOld()
-	_, may := p.mayAct()
-	if may {
-		p.askPaces(ctx)
+	p.forgetFinished()
+	_, mayAct := p.mayAct()
+	if mayAct {
+		p.pollPaces(ctx)
 	}
 	for _, s := range p.models() {
 		if s.Model == nil {
 			continue
 		}
-		settled := p.settled(s.Name, len(p.table.View().Of(s.Name)))
-		if may {
-			p.place(ctx, s, settled)
+		allAppeared := p.allAppeared(s.Name, len(p.table.View().Of(s.Name)))
+		if mayAct {
+			p.planAndOrder(ctx, s, allAppeared)
 		}
 	}
 }
 
-// place gives the orders that a service needs.
-func (p *Placer) place(ctx context.Context, s spanrill.ServiceInfo, settled bool) {
-	engines, anyHeld := p.look(ctx, &s)
-	if !anyHeld && !settled || p.needsNothing(s.Name, engines) {
+// planAndOrder plans the moves that a service needs and starts to carry them out.
+func (p *Placer) planAndOrder(ctx context.Context, s spanrill.ServiceInfo, allAppeared bool) {
+	engines, anyHeld := p.planInput(ctx, &s)
+	if !anyHeld && !allAppeared || p.stillNeedsNoMoves(s.Name, engines) {
 		return
 	}
 	moves := layout.Repair(s.Model, engines)
-	p.noteLook(s.Name, engines, len(moves) == 0)
+	p.recordPlan(s.Name, engines, len(moves) == 0)
 	if len(moves) == 0 {
 		return
 	}
 	events.LayoutMade.Log(p.log, logrus.Fields{"service": s.Name, "engines": len(engines), "moves": len(moves), "first": moves[0].String(), "why": moves[0].Reason, "view": p.table.View().Version()})
 	for _, m := range moves {
-		p.give(ctx, s, m)
+		p.startOrder(ctx, s, m)
 	}
 }
 
-// settled reports whether the engines of a service have all appeared, as far
-// as can be told.
-func (p *Placer) settled(service string, n int) bool {
+// allAppeared reports whether the engines of a service have presumably all appeared: none
+// was added for quietTimeBeforeLayout, or the first was seen maxWaitForLayout ago.
+func (p *Placer) allAppeared(service string, n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if n > p.known[service] {
-		if p.known[service] == 0 {
-			p.firstAt[service] = now
+	if n > p.engineCounts[service] {
+		if p.engineCounts[service] == 0 {
+			p.firstSeenAt[service] = now
 		}
-		p.known[service], p.grewAt[service] = n, now
+		p.engineCounts[service], p.lastAddedAt[service] = n, now
 	}
-	return n > 0 && (now-p.grewAt[service] >= settleTime || now-p.firstAt[service] >= settleMost)
+	return n > 0 && (now-p.lastAddedAt[service] >= quietTimeBeforeLayout || now-p.firstSeenAt[service] >= maxWaitForLayout)
 }
 
-// look returns the engines of a service as the planner needs them, and whether
-// any of them holds layers.
-func (p *Placer) look(ctx context.Context, s *spanrill.ServiceInfo) (engines []layout.Engine, anyHeld bool) {
+// planInput returns the engines of a service as input for the planner, and whether any
+// of them holds layers. An engine with an order counts with the layers ordered.
+func (p *Placer) planInput(ctx context.Context, s *spanrill.ServiceInfo) (engines []layout.Engine, anyHeld bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, upstreams := p.clock.Now(), p.table.View().Of(s.Name)
 	engines = make([]layout.Engine, 0, len(upstreams))
 	for _, u := range upstreams {
-		lost, leaves := p.judge(ctx, u, now, true)
+		lost, leaves := p.verify(ctx, u, now, true)
 		entry := u.Entry()
 		if u.Removed() {
 			continue
@@ -198,36 +198,36 @@
 		}
 		e := layout.Engine{
 			ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers,
-			Leaves: !u.Takes() || leaves, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.KnownAt() < joinTime,
+			Leaves: !u.Takes() || leaves, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.KnownAt() < justJoinedTime,
 		}
 		if t := u.Target(); t != nil {
 			e.Layers, e.Changing = t.Layers, !t.Done
 		}
-		if o, ok := p.ordered[e.ID]; ok {
+		if o, ok := p.orders[e.ID]; ok {
 			e.Layers, e.Changing = o.move.Layers, !o.done
 		}
 		anyHeld = anyHeld || e.Layers.Len() > 0
 		engines = append(engines, e)
 	}
-	return append(engines, p.departed(ctx, s, now)...), anyHeld
+	return append(engines, p.departedEngines(ctx, s, now)...), anyHeld
 }
 
-// joinTime is how long an engine that has joined is kept for holes alone, before it
-// becomes a spare: where engines are replaced one by one, the old one leaves about a
-// second after the new one has come, and a large engine that is given the wrong
-// layers meanwhile is busy with them for up to 6 s.
-const joinTime spanrill.Millis = 2000
+// justJoinedTime is how long an engine that has joined is reserved for holes before it
+// may become a spare. When engines are replaced one by one, the old one leaves about a
+// second after the new one has come, and a large engine that was assigned other layers
+// meanwhile is busy loading them for up to 6 s.
+const justJoinedTime spanrill.Millis = 2000
 
-// departed returns the engines of a service whose entries have gone and that serve
-// on what runs there. Those that do not answer have crashed. The caller holds the
-// lock.
-func (p *Placer) departed(ctx context.Context, s *spanrill.ServiceInfo, now spanrill.Millis) []layout.Engine {
+// departedEngines returns the engines of a service whose entries are gone while they
+// still finish running requests. Engines that do not answer have crashed and are left
+// out. The caller holds the lock.
+func (p *Placer) departedEngines(ctx context.Context, s *spanrill.ServiceInfo, now spanrill.Millis) []layout.Engine {
 	var engines []layout.Engine
 	for _, u := range p.table.Departed() {
 		if u.Service() != s.Name || u.Dead() {
 			continue
 		}
-		if lost, _ := p.judge(ctx, u, now, true); !lost {
+		if lost, _ := p.verify(ctx, u, now, true); !lost {
 			entry := u.Entry()
 			engines = append(engines, layout.Engine{ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers, Leaves: true})
 		}
@@ -235,63 +235,63 @@
 	return engines
 }
 
-// forgetOld forgets orders that the store shows, and those of engines that are
-// gone.
-func (p *Placer) forgetOld() {
+// forgetFinished removes orders that the store shows as done, failed orders, and what is
+// recorded of engines that are gone.
+func (p *Placer) forgetFinished() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, view := p.clock.Now(), p.table.View()
-	left := map[string]bool{}
+	departed := map[string]bool{}
 	for _, u := range p.table.Departed() {
-		left[u.ID()] = true
+		departed[u.ID()] = true
 	}
-	for id := range p.doubts {
-		if view.ByID(id) == nil && !left[id] {
-			delete(p.doubts, id)
+	for id := range p.verifications {
+		if view.ByID(id) == nil && !departed[id] {
+			delete(p.verifications, id)
 		}
 	}
-	for id, o := range p.ordered {
+	for id, o := range p.orders {
 		u := view.ByID(id)
-		if u == nil || o.drop > 0 && now >= o.drop || o.done && u.Entry().Layers == o.move.Layers {
-			delete(p.ordered, id)
+		if u == nil || o.forgetAt > 0 && now >= o.forgetAt || o.done && u.Entry().Layers == o.move.Layers {
+			delete(p.orders, id)
 		}
 	}
 }
 
-// Targets returns what engines are being ordered to hold, by id.
+// Targets returns the layers that engines have been ordered to hold, by upstream id.
 func (p *Placer) Targets() map[string]fleet.Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	targets := make(map[string]fleet.Target, len(p.ordered))
-	for id, o := range p.ordered {
+	targets := make(map[string]fleet.Target, len(p.orders))
+	for id, o := range p.orders {
 		targets[id] = fleet.Target{Layers: o.move.Layers, Done: o.done}
 	}
 	return targets
 }
 
-// give starts to bring an engine to a range.
-func (p *Placer) give(ctx context.Context, s spanrill.ServiceInfo, m layout.Move) {
+// startOrder starts to carry out a move in a goroutine of its own.
+func (p *Placer) startOrder(ctx context.Context, s spanrill.ServiceInfo, m layout.Move) {
 	u := p.table.View().ByID(m.Engine)
 	if u == nil {
 		return
 	}
 	o := &order{move: m}
 	p.mu.Lock()
-	p.ordered[m.Engine] = o
+	p.orders[m.Engine] = o
 	p.mu.Unlock()
-	p.orders.Start(ctx, "order", func(ctx context.Context) error {
-		c := &carrier{placer: p, service: s, upstream: u, order: o}
-		c.run(ctx)
+	p.tasks.Start(ctx, "order", func(ctx context.Context) error {
+		x := &orderExecutor{placer: p, service: s, upstream: u, order: o}
+		x.run(ctx)
 		return nil
 	})
 }
 
-// end notes what became of an order.
-func (p *Placer) end(o *order, done bool) {
+// finishOrder records whether an order succeeded.
+func (p *Placer) finishOrder(o *order, done bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	o.done = done
 	if !done {
-		o.drop = 1 // at the next look
+		o.forgetAt = 1 // in the next round
 	}
 }
--- a/coordination/layoutrun/placer_test.go
+++ b/coordination/layoutrun/placer_test.go
@@ -22,20 +22,20 @@
 	Kinds: map[string]spanrill.KindModel{"card": {Name: "card", MemoryMB: 600, Pace: 1, ReadFactor: 1}},
 }
 
-// cards are engines that take orders, with faults.
-type cards struct {
-	mu       sync.Mutex
-	held     map[string]spanrill.LayerRange
-	sequence map[string]uint64
-	orders   map[string]int
-	lose     int // the next n orders are taken and not answered
-	drop     int // the next n orders are neither taken nor answered
-	dead     map[string]bool
+// fakeEngines are engines that apply orders, with injected faults.
+type fakeEngines struct {
+	mu          sync.Mutex
+	held        map[string]spanrill.LayerRange
+	sequence    map[string]uint64
+	orders      map[string]int
+	loseReplies int // the next n orders are applied, and their replies lost
+	loseOrders  int // the next n orders are lost
+	dead        map[string]bool
 }
 
 var errNoAnswer = errors.New("no answer")
 
-func (c *cards) Report(_ context.Context, addr string) (spanrill.EngineReport, error) {
+func (c *fakeEngines) Report(_ context.Context, addr string) (spanrill.EngineReport, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dead[addr] {
@@ -44,12 +44,12 @@
 	return spanrill.EngineReport{Layers: c.held[addr], Sequence: c.sequence[addr], Pace: 1}, nil
 }
 
-func (c *cards) Place(_ context.Context, addr, _ string, o spanrill.PlaceOrder) (spanrill.OrderState, error) {
+func (c *fakeEngines) Place(_ context.Context, addr, _ string, o spanrill.PlaceOrder) (spanrill.OrderState, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.orders[addr]++
-	if c.drop > 0 {
-		c.drop--
+	if c.loseOrders > 0 {
+		c.loseOrders--
 		return 0, errNoAnswer
 	}
 	if o.Sequence != c.sequence[addr] {
@@ -57,26 +57,26 @@
 	}
 	c.sequence[addr]++
 	c.held[addr] = o.Layers
-	if c.lose > 0 {
-		c.lose--
+	if c.loseReplies > 0 {
+		c.loseReplies--
 		return 0, errNoAnswer
 	}
 	return spanrill.OrderBegun, nil
 }
 
-func (c *cards) Repath(context.Context, string, string, []spanrill.PathPart) error { return nil }
+func (c *fakeEngines) Repath(context.Context, string, string, []spanrill.PathPart) error { return nil }
 
-// place runs a placer over n engines until every one of them is done, and
-// returns the engines and the table.
-func place(t *testing.T, n int, c spanrill.LayerEngines, may MayAct) (*Placer, *fleet.Table) {
+// newStablePlacer returns a placer over n empty engines that have been there for long enough
+// for a first layout, and its table.
+func newStablePlacer(t *testing.T, n int, c spanrill.LayerEngines, may MayAct) (*Placer, *fleet.Table) {
 	t.Helper()
-	p, table := placerOf(t, n, spanrill.LayerRange{}, c, may, clock.NewSystem())
-	p.known["s"], p.grewAt["s"] = n, -settleMost // all engines have been there for long
+	p, table := newTestPlacer(t, n, spanrill.LayerRange{}, c, may, clock.NewSystem())
+	p.engineCounts["s"], p.lastAddedAt["s"] = n, -maxWaitForLayout // all engines appeared long ago
 	return p, table
 }
 
-// placerOf returns a placer of n engines that hold the same layers.
-func placerOf(t *testing.T, n int, held spanrill.LayerRange, c spanrill.LayerEngines, may MayAct, now spanrill.Clock) (*Placer, *fleet.Table) {
+// newTestPlacer returns a placer over n engines that hold the same layers, and its table.
+func newTestPlacer(t *testing.T, n int, held spanrill.LayerRange, c spanrill.LayerEngines, may MayAct, now spanrill.Clock) (*Placer, *fleet.Table) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -98,39 +98,39 @@
 	return New(may, c, table, models, now, log), table
 }
 
-func newCards() *cards {
-	return &cards{held: map[string]spanrill.LayerRange{}, sequence: map[string]uint64{}, orders: map[string]int{}, dead: map[string]bool{}}
+func newFakeEngines() *fakeEngines {
+	return &fakeEngines{held: map[string]spanrill.LayerRange{}, sequence: map[string]uint64{}, orders: map[string]int{}, dead: map[string]bool{}}
 }
 
-func always() (uint64, bool) { return 3, true }
+func mayAlwaysAct() (uint64, bool) { return 3, true }
 
 // maxRounds is many times the rounds that any of the tests needs.
 const maxRounds = 50
 
-// rounds lets the placer look and carry out its orders until a condition holds.
-func rounds(t *testing.T, p *Placer, ok func() bool) {
+// runRounds performs rounds with their orders until a condition holds.
+func runRounds(t *testing.T, p *Placer, ok func() bool) {
 	t.Helper()
 	for range maxRounds {
 		if ok() {
 			return
 		}
 		p.Round(context.Background())
-		_ = p.orders.Wait() // their errors are logged where they happen
+		_ = p.tasks.Wait() // errors are logged where they occur
 	}
-	t.Fatal("the layout did not come about")
+	t.Fatal("the condition did not hold within maxRounds rounds")
 }
 
-// covered reports whether engines hold all layers.
-func (c *cards) covered() bool {
+// covered reports whether the engines together hold all layers.
+func (c *fakeEngines) covered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var at [12]bool
+	var held [12]bool
 	for _, l := range c.held {
 		for i := l.From; i < l.To; i++ {
-			at[i] = true
+			held[i] = true
 		}
 	}
-	for _, ok := range at {
+	for _, ok := range held {
 		if !ok {
 			return false
 		}
@@ -141,52 +141,52 @@
 func TestOrders(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fault func(*cards)
+		fault func(*fakeEngines)
 	}{
-		{"answered", func(*cards) {}},
-		{"taken and not answered", func(c *cards) { c.lose = 3 }},
-		{"neither taken nor answered", func(c *cards) { c.drop = 3 }},
-		{"one engine is dead", func(c *cards) { c.dead["e1"] = true }},
+		{"answered", func(*fakeEngines) {}},
+		{"applied and not answered", func(c *fakeEngines) { c.loseReplies = 3 }},
+		{"neither applied nor answered", func(c *fakeEngines) { c.loseOrders = 3 }},
+		{"one engine is dead", func(c *fakeEngines) { c.dead["e1"] = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			engines := newCards()
+			engines := newFakeEngines()
 			c.fault(engines)
-			p, _ := place(t, 8, engines, always)
-			rounds(t, p, engines.covered)
+			p, _ := newStablePlacer(t, 8, engines, mayAlwaysAct)
+			runRounds(t, p, engines.covered)
 		})
 	}
 }
 
-// Without the lease nothing is ordered.
+// Without the lease no orders are sent.
 func TestNoLeaseNoOrders(t *testing.T) {
-	engines := newCards()
-	p, _ := place(t, 8, engines, func() (uint64, bool) { return 0, false })
+	engines := newFakeEngines()
+	p, _ := newStablePlacer(t, 8, engines, func() (uint64, bool) { return 0, false })
 	for range 5 {
 		p.Round(context.Background())
 	}
-	if _ = p.orders.Wait(); len(engines.orders) != 0 {
-		t.Fatalf("orders were given: %v", engines.orders)
+	if _ = p.tasks.Wait(); len(engines.orders) != 0 {
+		t.Fatalf("orders were sent without the lease: %v", engines.orders)
 	}
 }
 
-// An engine that does not answer the placer counts as dead, so that the next
-// round plans without it.
+// An engine that does not answer the placer is marked dead, so that the next round plans
+// without it.
 func TestDeadEngineIsNotOrderedAgain(t *testing.T) {
-	engines := newCards()
+	engines := newFakeEngines()
 	engines.dead["e1"] = true
-	p, table := place(t, 8, engines, always)
-	rounds(t, p, func() bool { return table.View().ByID("e1").Dead() })
+	p, table := newStablePlacer(t, 8, engines, mayAlwaysAct)
+	runRounds(t, p, func() bool { return table.View().ByID("e1").Dead() })
 	if n := engines.orders["e1"]; n != 0 {
-		t.Fatalf("it got %d orders", n)
+		t.Fatalf("the dead engine got %d orders", n)
 	}
 }
 
-// What an engine has answered is told before its entry shows it.
-func TestDoneIsTold(t *testing.T) {
-	engines := newCards()
-	p, _ := place(t, 8, engines, always)
-	rounds(t, p, func() bool {
+// Targets contains what an engine has confirmed before its entry shows it.
+func TestTargetsReportDoneOrders(t *testing.T) {
+	engines := newFakeEngines()
+	p, _ := newStablePlacer(t, 8, engines, mayAlwaysAct)
+	runRounds(t, p, func() bool {
 		done := 0
 		for _, target := range p.Targets() {
 			if target.Done {
@@ -197,35 +197,35 @@
 	})
 }
 
-// An engine counts as just joined from when it is first heard of, for a while, and again
-// when it comes back under another id.
-func TestJoined(t *testing.T) {
+// An engine counts as just joined for a while after it is first seen, and again when it comes
+// back under another id.
+func TestJustJoined(t *testing.T) {
 	now := clock.NewManual()
 	now.Advance(100 * spanrill.Second)
-	p, table := placerOf(t, 2, spanrill.LayerRange{}, newCards(), always, now)
+	p, table := newTestPlacer(t, 2, spanrill.LayerRange{}, newFakeEngines(), mayAlwaysAct, now)
 	look := func() map[string]bool {
 		joined := map[string]bool{}
-		engines, _ := p.look(t.Context(), &p.models()[0])
+		engines, _ := p.planInput(t.Context(), &p.models()[0])
 		for _, e := range engines {
-			joined[e.ID] = joined[e.ID] || e.JustJoined // one that has gone serves on for a while
+			joined[e.ID] = joined[e.ID] || e.JustJoined // a departed engine is in the input for a while
 		}
 		return joined
 	}
 	if got := look(); !got["e0"] || !got["e1"] {
-		t.Fatalf("at first sight: %v", got)
+		t.Fatalf("when first seen: just joined are %v, want both", got)
 	}
-	now.Advance(joinTime)
+	now.Advance(justJoinedTime)
 	if got := look(); got["e0"] || got["e1"] {
-		t.Fatalf("after %d ms: %v", joinTime, got)
+		t.Fatalf("after %d ms: just joined are %v, want none", justJoinedTime, got)
 	}
 	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}, {ID: "new", Service: "s", Addr: "e1"}}, At: 2}, now.Now())
 	if got := look(); got["e0"] || !got["new"] {
-		t.Fatalf("one of them new: %v", got)
+		t.Fatalf("one replaced: just joined are %v, want the new one only", got)
 	}
 	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}}, At: 3}, now.Now())
-	now.Advance(joinTime)
+	now.Advance(justJoinedTime)
 	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}, {ID: "e1", Service: "s", Addr: "e1"}}, At: 4}, now.Now())
 	if got := look(); !got["e1"] {
-		t.Fatalf("one that has come back: %v", got)
+		t.Fatalf("one came back: just joined are %v, want it too", got)
 	}
 }
