--- a/coordination/placement/placer.go
+++ b/coordination/placement/placer.go
@@ -12,64 +12,64 @@
 	"spanrill/state/load"
 )
 
-// Site is what a placer needs to know of its site.
+// Site is the part of the configuration that the placer of a site works from.
 type Site struct {
 	Models      []Model
 	HasZone     func(zone string) bool
 	ChecksFence func(upstream string) bool
 }
 
-// Placer plans and orders for one site.
+// Placer plans the placement of one site's models and sends the orders for it.
 type Placer struct {
-	lease   *lease.Lease
-	engines spanrill.Engines
-	table   *load.Table
-	clock   spanrill.Clock
-	log     logrus.FieldLogger
-	site    func() *Site
-	limits  Limits
-	round   spanrill.Millis
-
-	holding map[string]holding // by engine name
+	lease         *lease.Lease
+	engines       spanrill.Engines
+	table         *load.Table
+	clock         spanrill.Clock
+	log           logrus.FieldLogger
+	site          func() *Site
+	limits        Limits
+	roundInterval spanrill.Millis
+
+	states map[string]engineState // by engine name
 }
 
-// holding is what an engine was seen to hold, and the order given to it last.
-type holding struct {
-	layers  spanrill.LayerRange
-	model   string
-	since   spanrill.Millis
-	ordered spanrill.Millis // 0: no order is on its way
+// engineState is what an engine last reported to hold, and when an order was last sent to it.
+type engineState struct {
+	layers    spanrill.LayerRange
+	model     string
+	since     spanrill.Millis
+	orderedAt spanrill.Millis // 0 if no order was sent since the layers changed
 }
 
 // Option changes a default of New.
 type Option func(*Placer)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(p *Placer) { p.log = log }
 }
 
-// WithLimits sets what one round may change.
+// WithLimits sets the limits of what one round may change.
 func WithLimits(l Limits) Option {
 	return func(p *Placer) { p.limits = l }
 }
 
 const (
-	defaultRound = spanrill.Second
-	// orderLimit bounds one order.
-	orderLimit = 2 * spanrill.Second
-	// orderAge is how long an order may take to show in the engine's report.
-	orderAge = 5 * spanrill.Second
-	// goneAge is the age of a report after which an engine counts as lost.
-	goneAge = 3 * spanrill.Second
+	defaultRoundInterval = spanrill.Second
+	// orderTimeout bounds one order.
+	orderTimeout = 2 * spanrill.Second
+	// orderVisibleTime is how long an order may take to show in the engine's report.
+	orderVisibleTime = 5 * spanrill.Second
+	// maxReportAge is the age of a report after which an engine counts as lost.
+	maxReportAge = 3 * spanrill.Second
 )
 
-// New returns a placer. Site returns nil while there is no configuration.
+// New returns a placer. site returns nil while there is no configuration.
 func New(l *lease.Lease, engines spanrill.Engines, table *load.Table, clock spanrill.Clock, site func() *Site, opts ...Option) *Placer {
 	p := &Placer{
 		lease: l, engines: engines, table: table, clock: clock, site: site,
-		log: logrus.StandardLogger(), limits: DefaultLimits, round: defaultRound,
-		holding: map[string]holding{},
+		log: logrus.StandardLogger(), limits: DefaultLimits, roundInterval: defaultRoundInterval,
+		states: map[string]engineState{},
 	}
 	for _, o := range opts {
 		o(p)
@@ -77,48 +77,48 @@
 	return p
 }
 
-// Run plans and orders while the lease is held, until the context ends.
+// Run performs rounds until the context ends.
 func (p *Placer) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.Round(ctx)
 		select {
 		case <-ctx.Done():
-		case <-p.clock.After(p.round):
+		case <-p.clock.After(p.roundInterval):
 		}
 	}
 	return ctx.Err()
 }
 
-// Round looks at the engines and orders what is to change.
+// Round records what the engines hold and, while the lease is held, orders the planned changes.
 func (p *Placer) Round(ctx context.Context) {
 	site := p.site()
 	if site == nil {
 		return
 	}
-	engines := p.look(site)
+	engines := p.liveEngines(site)
 	if _, ok := p.lease.Held(); !ok {
 		return
 	}
 	for _, m := range Plan(site.Models, engines, p.limits) {
-		p.order(ctx, site, m)
+		p.sendOrder(ctx, site, m)
 	}
 }
 
-// look returns the live engines of the site, and notes since when each holds
+// liveEngines returns the live engines of the site, and records since when each holds
 // its layers.
-func (p *Placer) look(site *Site) []Engine {
+func (p *Placer) liveEngines(site *Site) []Engine {
 	now := p.clock.Now()
 	var engines []Engine
 	for _, u := range p.table.Upstreams() {
 		r := u.Report()
-		if u.Service() != "" || !site.HasZone(u.Zone()) || r == nil || p.table.Leaving(u) || u.ReportAge(now) > goneAge {
+		if u.Service() != "" || !site.HasZone(u.Zone()) || r == nil || p.table.Leaving(u) || u.ReportAge(now) > maxReportAge {
 			continue
 		}
-		h := p.note(u.Name(), r, now)
+		h := p.recordState(u.Name(), r, now)
 		engines = append(engines, Engine{
 			Name: u.Name(), Model: r.Model, Version: r.Version, Layers: r.Layers, Slots: r.Slots,
-			Step: float64(r.StepMicros), Token: float64(r.TokenNanos) / nanosPerMicro, MemLayer: r.MemLayers,
-			Held: now - h.since, Busy: r.Loading || h.ordered > 0 && now-h.ordered < orderAge,
+			StepMicros: float64(r.StepMicros), TokenMicros: float64(r.TokenNanos) / nanosPerMicro, MaxLayers: r.MemLayers,
+			HeldFor: now - h.since, Busy: r.Loading || h.orderedAt > 0 && now-h.orderedAt < orderVisibleTime,
 		})
 	}
 	return engines
@@ -126,23 +126,23 @@
 
 const nanosPerMicro = 1000
 
-func (p *Placer) note(name string, r *spanrill.UpstreamStatus, now spanrill.Millis) holding {
-	h, known := p.holding[name]
+func (p *Placer) recordState(name string, r *spanrill.UpstreamStatus, now spanrill.Millis) engineState {
+	h, known := p.states[name]
 	if !known || h.layers != r.Layers || h.model != r.Model {
-		h = holding{layers: r.Layers, model: r.Model, since: now}
+		h = engineState{layers: r.Layers, model: r.Model, since: now}
 	}
-	p.holding[name] = h
+	p.states[name] = h
 	return h
 }
 
-// order gives one order, if the lease is held in this moment.
-func (p *Placer) order(ctx context.Context, site *Site, m Move) {
+// sendOrder sends the order for a move, unless the lease has been lost meanwhile.
+func (p *Placer) sendOrder(ctx context.Context, site *Site, m Move) {
 	term, ok := p.lease.Held()
 	if !ok {
 		return
 	}
-	fields := logrus.Fields{"upstream": m.Engine, "model": m.Model.Name, "layers": m.Layers, "term": term, "why": m.Why}
-	if !site.ChecksFence(m.Engine) && !p.lease.Settled(orderLimit+orderLimit/2) {
+	fields := logrus.Fields{"upstream": m.Engine, "model": m.Model.Name, "layers": m.Layers, "term": term, "why": m.Reason}
+	if !site.ChecksFence(m.Engine) && !p.lease.Settled(orderTimeout+orderTimeout/2) {
 		events.OrderWaits.Log(p.log, fields)
 		return
 	}
@@ -150,22 +150,22 @@
 	if u == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderLimit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
 	err := p.engines.Order(ctx, u.Addr(), spanrill.Order{
 		Kind: spanrill.OrderLoad, Duty: p.lease.Duty(), Term: term,
 		Model: m.Model.Name, Version: m.Model.Version, Layers: m.Layers, LayerNum: m.Model.Layers,
 	})
-	p.after(m, fields, err)
+	p.recordResult(m, fields, err)
 }
 
-func (p *Placer) after(m Move, fields logrus.Fields, err error) {
+func (p *Placer) recordResult(m Move, fields logrus.Fields, err error) {
 	var refusal *spanrill.RunError
 	switch {
 	case err == nil:
-		h := p.holding[m.Engine]
-		h.ordered = p.clock.Now()
-		p.holding[m.Engine] = h
+		h := p.states[m.Engine]
+		h.orderedAt = p.clock.Now()
+		p.states[m.Engine] = h
 		events.OrderGiven.Log(p.log, fields)
 	case errors.As(err, &refusal) && refusal.Code == spanrill.CodeFenced:
 		p.lease.GiveUp()
--- a/coordination/placement/plan.go
+++ b/coordination/placement/plan.go
@@ -1,22 +1,22 @@
-// Package placement decides which engine holds which layers of which model, and
-// gives the orders.
+// Package placement decides which engine of a site holds which layers of which model,
+// and orders the engines to load them.
 //
-// One daemon of each site holds the lease for it. In every round it looks at
-// what the engines hold, plans at most a few changes and orders them under the
-// lease's term. An order names the state wanted, so that giving it twice is
-// harmless, and the next round reads back what the engines hold.
+// One daemon of each site holds the lease for it. In every round it reads what the
+// engines hold, plans a few changes at most and sends orders for them under the term
+// of the lease. An order names the desired state, so sending it twice is harmless,
+// and the next round reads back what the engines hold.
 //
-// Three rules, in this order:
+// Plan applies three rules, in this order:
 //
-//  1. A model that no chain covers gets the missing layers first, from engines
-//     that hold nothing, else from the stage that has most to spare.
-//  2. An engine that holds nothing is given to the slowest stage.
-//  3. An engine moves from a stage with much to spare to the slowest stage, but
-//     only if it has held its layers for a while and the gain is worth it.
+//  1. The missing layers of a model that no chain covers are loaded first, by engines
+//     that hold nothing, else by an engine of the stage with the most spare capacity.
+//  2. An engine that holds nothing is assigned to the slowest stage.
+//  3. An engine moves from a fast stage to the slowest one, but only if it has held
+//     its layers for some time and the gain is large enough.
 //
 // # Usage
 //
-//	p := placement.New(lease, engines, table, clock, models)
+//	p := placement.New(lease, engines, table, clock, site)
 //	err := p.Run(ctx)
 package placement
 
@@ -31,29 +31,29 @@
 	Name     string
 	Version  string
 	Layers   int
-	Priority int // the highest among the accounts that use it
+	Priority int // highest priority of the client accounts that use it
 }
 
-// Engine is an engine as the planner sees it.
+// Engine is the state of an engine that the planner works from.
 type Engine struct {
-	Name     string
-	Model    string
-	Version  string
-	Layers   spanrill.LayerRange
-	Slots    int
-	Step     float64 // microseconds, base time of a batch step
-	Token    float64 // microseconds, added time of a position and layer
-	MemLayer int     // layers that fit
-	Held     spanrill.Millis
-	Busy     bool // loading, or an order is on its way
+	Name        string
+	Model       string
+	Version     string
+	Layers      spanrill.LayerRange
+	Slots       int
+	StepMicros  float64         // base time of a batch step
+	TokenMicros float64         // additional time per batch position and layer
+	MaxLayers   int             // layers that fit into its memory
+	HeldFor     spanrill.Millis // time since its layers last changed
+	Busy        bool            // loading, or an order is in flight
 }
 
-// rate returns the tokens a second of an engine that holds n layers.
-func (e *Engine) rate(n int) float64 {
+// tokenRate returns the tokens per second of an engine that holds n layers.
+func (e *Engine) tokenRate(n int) float64 {
 	if e.Slots == 0 || n == 0 {
 		return 0
 	}
-	step := e.Step + e.Token*float64(n)*float64(e.Slots)
+	step := e.StepMicros + e.TokenMicros*float64(n)*float64(e.Slots)
 	return float64(e.Slots) * microsPerSecond / max(1, step)
 }
 
@@ -63,33 +63,33 @@
 	return e.Model == m.Name && e.Version == m.Version && e.Layers.Len() > 0
 }
 
-// Move is a change that the planner wants.
+// Move assigns layers of a model to an engine.
 type Move struct {
 	Engine string
 	Model  Model
 	Layers spanrill.LayerRange
-	Why    string
+	Reason string
 }
 
 // Limits bounds what one plan may change.
 type Limits struct {
-	Moves        int             // changes in one round: the weight store's reads are limited
-	MinResidency spanrill.Millis // before an engine is taken from a stage that works
-	Gain         float64         // factor by which the slowest stage must gain
+	MaxMoves     int             // moves per round; reads from the weight store are limited
+	MinResidency spanrill.Millis // before an engine is moved away from a working stage
+	MinGain      float64         // factor by which the slowest stage must become faster
 }
 
-// DefaultLimits are the limits of a placer that is given none.
-var DefaultLimits = Limits{Moves: 2, MinResidency: 30 * spanrill.Second, Gain: 1.2}
+// DefaultLimits are the limits of a placer without WithLimits.
+var DefaultLimits = Limits{MaxMoves: 2, MinResidency: 30 * spanrill.Second, MinGain: 1.2}
 
-// Plan returns the changes of one round, the most urgent first.
+// Plan returns the moves of one round, the most urgent first.
 func Plan(models []Model, engines []Engine, limits Limits) []Move {
 	p := &planner{engines: append([]Engine(nil), engines...), limits: limits}
 	sort.Slice(models, func(i, k int) bool { return models[i].Priority > models[k].Priority })
 	for i := range models {
-		p.restore(&models[i])
+		p.coverGaps(&models[i])
 	}
 	for i := range models {
-		p.spread(&models[i])
+		p.balance(&models[i])
 	}
 	return p.moves
 }
@@ -100,18 +100,18 @@
 	moves   []Move
 }
 
-func (p *planner) full() bool { return len(p.moves) >= p.limits.Moves }
+func (p *planner) atMoveLimit() bool { return len(p.moves) >= p.limits.MaxMoves }
 
-// move notes a change, and lets the rest of the plan see it as made.
-func (p *planner) move(e *Engine, m *Model, layers spanrill.LayerRange, why string) {
-	p.moves = append(p.moves, Move{Engine: e.Name, Model: *m, Layers: layers, Why: why})
-	e.Model, e.Version, e.Layers, e.Busy, e.Held = m.Name, m.Version, layers, true, 0
+// addMove adds a move and changes the engine, so that the rest of the plan counts with it.
+func (p *planner) addMove(e *Engine, m *Model, layers spanrill.LayerRange, reason string) {
+	p.moves = append(p.moves, Move{Engine: e.Name, Model: *m, Layers: layers, Reason: reason})
+	e.Model, e.Version, e.Layers, e.Busy, e.HeldFor = m.Name, m.Version, layers, true, 0
 }
 
-// restore gives a model that no chain covers its missing layers.
-func (p *planner) restore(m *Model) {
-	for !p.full() {
-		gap, ok := p.gap(m)
+// coverGaps adds moves for the layers of a model that no chain covers.
+func (p *planner) coverGaps(m *Model) {
+	for !p.atMoveLimit() {
+		gap, ok := p.firstGap(m)
 		if !ok {
 			return
 		}
@@ -119,12 +119,12 @@
 		if e == nil {
 			return
 		}
-		p.move(e, m, layers, "no engine holds these layers")
+		p.addMove(e, m, layers, "no engine holds these layers")
 	}
 }
 
-// gap returns the first layers of a model that no chain covers.
-func (p *planner) gap(m *Model) (spanrill.LayerRange, bool) {
+// firstGap returns the first range of a model that no chain covers.
+func (p *planner) firstGap(m *Model) (spanrill.LayerRange, bool) {
 	reached := 0
 	for reached < m.Layers {
 		next := reached
@@ -142,7 +142,7 @@
 	return spanrill.LayerRange{}, false
 }
 
-// nextStart returns the first layer behind from at which an engine starts.
+// nextStart returns the first layer after from at which the range of an engine starts.
 func (p *planner) nextStart(m *Model, from int) int {
 	next := m.Layers
 	for i := range p.engines {
@@ -154,22 +154,22 @@
 	return next
 }
 
-// donor returns the engine that can best be given for a gap, and the part of
-// the gap that fits: an engine that holds nothing, else the one whose stage
-// keeps the most without it.
+// donor returns the best engine to load a gap, and the part of the gap that it should
+// hold. It prefers engines that hold nothing, then those whose stage stays fastest
+// without them, and weights both by the engine's speed and by how much of the gap fits.
 func (p *planner) donor(m *Model, gap spanrill.LayerRange) (*Engine, spanrill.LayerRange) {
 	var best *Engine
 	var bestScore float64
 	for i := range p.engines {
 		e := &p.engines[i]
-		if e.Busy || e.MemLayer == 0 {
+		if e.Busy || e.MaxLayers == 0 {
 			continue
 		}
-		score, ok := p.spare(e)
+		score, ok := p.spareScore(e)
 		if !ok {
 			continue
 		}
-		score *= float64(min(e.MemLayer, gap.Len())) * e.rate(gap.Len())
+		score *= float64(min(e.MaxLayers, gap.Len())) * e.tokenRate(gap.Len())
 		if best == nil || score > bestScore {
 			best, bestScore = e, score
 		}
@@ -177,19 +177,20 @@
 	if best == nil {
 		return nil, gap
 	}
-	return best, p.fit(m, best, gap)
+	return best, p.partFor(m, best, gap)
 }
 
-// emptyBonus makes an engine that holds nothing the first choice.
-const emptyBonus = 1e6
+// emptyEngineScore ranks an engine that holds nothing before all others.
+const emptyEngineScore = 1e6
 
-// spare says how well an engine can be missed where it is.
-func (p *planner) spare(e *Engine) (float64, bool) {
+// spareScore returns the rate that the stage of an engine keeps without it, and whether the
+// engine can be spared.
+func (p *planner) spareScore(e *Engine) (float64, bool) {
 	if e.Model == "" {
-		return emptyBonus, true
+		return emptyEngineScore, true
 	}
-	rest := p.stageRate(e.Model, e.Version, e.Layers) - e.rate(e.Layers.Len())
-	return rest, rest > 0
+	remaining := p.stageRate(e.Model, e.Version, e.Layers) - e.tokenRate(e.Layers.Len())
+	return remaining, remaining > 0
 }
 
 func (p *planner) stageRate(model, version string, layers spanrill.LayerRange) float64 {
@@ -197,17 +198,17 @@
 	for i := range p.engines {
 		e := &p.engines[i]
 		if e.Model == model && e.Version == version && e.Layers == layers {
-			total += e.rate(layers.Len())
+			total += e.tokenRate(layers.Len())
 		}
 	}
 	return total
 }
 
-// fit returns the part of a gap that an engine should take. A gap that is too
-// large for one engine is split so that the slowest of those that can be had is
-// as fast as it can be.
-func (p *planner) fit(_ *Model, first *Engine, gap spanrill.LayerRange) spanrill.LayerRange {
-	if first.MemLayer >= gap.Len() {
+// partFor returns the part of a gap that the first engine should take. A gap too large
+// for it is split among it and the engines that hold nothing, so that the slowest of
+// them is as fast as possible.
+func (p *planner) partFor(_ *Model, first *Engine, gap spanrill.LayerRange) spanrill.LayerRange {
+	if first.MaxLayers >= gap.Len() {
 		return gap
 	}
 	group := []Engine{*first}
@@ -220,17 +221,17 @@
 	if ranges := Split(gap, group); ranges != nil && ranges[0].Len() > 0 {
 		return ranges[0]
 	}
-	return spanrill.LayerRange{From: gap.From, To: gap.From + first.MemLayer}
+	return spanrill.LayerRange{From: gap.From, To: gap.From + first.MaxLayers}
 }
 
-// stage is the engines that hold the same layers.
+// stage is a group of engines that hold the same layers.
 type stage struct {
 	layers  spanrill.LayerRange
 	rate    float64
 	engines []*Engine
 }
 
-// stages returns a model's stages, the slowest first.
+// stages returns the stages of a model, slowest first.
 func (p *planner) stages(m *Model) []*stage {
 	byRange := map[spanrill.LayerRange]*stage{}
 	var all []*stage
@@ -245,55 +246,55 @@
 			byRange[e.Layers] = s
 			all = append(all, s)
 		}
-		s.rate += e.rate(e.Layers.Len())
+		s.rate += e.tokenRate(e.Layers.Len())
 		s.engines = append(s.engines, e)
 	}
 	sort.Slice(all, func(i, k int) bool { return all[i].rate < all[k].rate })
 	return all
 }
 
-// spread gives engines that hold nothing to the slowest stage, and evens out
-// stages that differ too much.
-func (p *planner) spread(m *Model) {
-	for !p.full() {
+// balance assigns engines that hold nothing to the slowest stage, and moves engines
+// from the fastest stage to it if their rates differ too much.
+func (p *planner) balance(m *Model) {
+	for !p.atMoveLimit() {
 		all := p.stages(m)
 		if len(all) == 0 {
 			return
 		}
 		slowest := all[0]
-		if e := p.empty(slowest.layers.Len()); e != nil {
-			p.move(e, m, slowest.layers, "engine held nothing")
+		if e := p.fastestEmpty(slowest.layers.Len()); e != nil {
+			p.addMove(e, m, slowest.layers, "engine held nothing")
 			continue
 		}
-		e := p.surplus(all, slowest)
+		e := p.surplusEngine(all, slowest)
 		if e == nil {
 			return
 		}
-		p.move(e, m, slowest.layers, "stage is the slowest")
+		p.addMove(e, m, slowest.layers, "stage is the slowest")
 	}
 }
 
-func (p *planner) empty(layers int) *Engine {
+func (p *planner) fastestEmpty(layers int) *Engine {
 	var best *Engine
 	for i := range p.engines {
 		e := &p.engines[i]
-		if e.Model == "" && !e.Busy && e.MemLayer >= layers && (best == nil || e.rate(layers) > best.rate(layers)) {
+		if e.Model == "" && !e.Busy && e.MaxLayers >= layers && (best == nil || e.tokenRate(layers) > best.tokenRate(layers)) {
 			best = e
 		}
 	}
 	return best
 }
 
-// surplus returns an engine whose move would speed up the slowest stage by
-// enough, without making its own stage slower than that.
-func (p *planner) surplus(all []*stage, slowest *stage) *Engine {
+// surplusEngine returns an engine of the fastest stage whose move speeds up the slowest
+// stage by more than the factor MinGain and leaves its own stage above that rate, too.
+func (p *planner) surplusEngine(all []*stage, slowest *stage) *Engine {
 	fastest := all[len(all)-1]
 	for _, e := range fastest.engines {
-		if e.Busy || e.Held < p.limits.MinResidency || e.MemLayer < slowest.layers.Len() || fastest == slowest {
+		if e.Busy || e.HeldFor < p.limits.MinResidency || e.MaxLayers < slowest.layers.Len() || fastest == slowest {
 			continue
 		}
-		after := min(slowest.rate+e.rate(slowest.layers.Len()), fastest.rate-e.rate(e.Layers.Len()))
-		if after > slowest.rate*p.limits.Gain {
+		after := min(slowest.rate+e.tokenRate(slowest.layers.Len()), fastest.rate-e.tokenRate(e.Layers.Len()))
+		if after > slowest.rate*p.limits.MinGain {
 			return e
 		}
 	}
--- a/coordination/placement/split.go
+++ b/coordination/placement/split.go
@@ -6,14 +6,14 @@
 	"spanrill"
 )
 
-// Split divides layers among engines in the given order so that the slowest of
-// them is as fast as it can be. It returns one range for each engine, or nil if
-// the layers do not fit. An engine may get no layers.
+// Split divides layers among engines in the given order so that the slowest of them is
+// as fast as possible. It returns one range per engine, which may be empty, or nil if
+// the layers do not fit.
 //
-// The time of a stage grows with its layers, so that the best bound on it is
-// found by bisection: for a bound, each engine takes as many layers as it can.
+// The time of a stage grows with its layers, so the smallest bound on it is found by
+// bisection: for a given bound, each engine takes as many layers as it can.
 func Split(layers spanrill.LayerRange, engines []Engine) []spanrill.LayerRange {
-	low, high := 0.0, slowestWith(engines, layers.Len())
+	low, high := 0.0, maxTokenMicros(engines, layers.Len())
 	if !fits(layers.Len(), engines, high) {
 		return nil
 	}
@@ -28,31 +28,31 @@
 	return assign(layers, engines, high)
 }
 
-// bisections is enough to tell any two stage times apart.
+// bisections is enough to distinguish any two stage times.
 const bisections = 60
 
-// stageMicros returns the time of a full batch step with n layers.
+// stageMicros returns the time of a full batch step over n layers.
 func stageMicros(e *Engine, n int) float64 {
-	return e.Step + e.Token*float64(n)*float64(e.Slots)
+	return e.StepMicros + e.TokenMicros*float64(n)*float64(e.Slots)
 }
 
-// perToken returns the time a token of a full batch costs with n layers.
-func perToken(e *Engine, n int) float64 {
+// tokenMicros returns the time per token of a full batch over n layers.
+func tokenMicros(e *Engine, n int) float64 {
 	return stageMicros(e, n) / float64(max(1, e.Slots))
 }
 
-func slowestWith(engines []Engine, n int) float64 {
+func maxTokenMicros(engines []Engine, n int) float64 {
 	worst := 0.0
 	for i := range engines {
-		worst = math.Max(worst, perToken(&engines[i], n))
+		worst = math.Max(worst, tokenMicros(&engines[i], n))
 	}
 	return worst
 }
 
-// most returns how many layers an engine takes within a bound.
-func most(e *Engine, bound float64) int {
+// maxLayersWithin returns how many layers an engine can take within a bound on its tokenMicros.
+func maxLayersWithin(e *Engine, bound float64) int {
 	n := 0
-	for n < e.MemLayer && perToken(e, n+1) <= bound {
+	for n < e.MaxLayers && tokenMicros(e, n+1) <= bound {
 		n++
 	}
 	return n
@@ -60,7 +60,7 @@
 
 func fits(layers int, engines []Engine, bound float64) bool {
 	for i := range engines {
-		layers -= most(&engines[i], bound)
+		layers -= maxLayersWithin(&engines[i], bound)
 	}
 	return layers <= 0
 }
@@ -69,7 +69,7 @@
 	ranges := make([]spanrill.LayerRange, len(engines))
 	next := layers.From
 	for i := range engines {
-		n := min(most(&engines[i], bound), layers.To-next)
+		n := min(maxLayersWithin(&engines[i], bound), layers.To-next)
 		ranges[i] = spanrill.LayerRange{From: next, To: next + n}
 		next += n
 	}
