--- a/coordination/layout/copies_test.go
+++ b/coordination/layout/copies_test.go
@@ -57,7 +57,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			after := apply(c.fleet, Repair(spareModel(), c.fleet))
 			for _, e := range after {
-				if want, asked := c.want[e.ID]; asked && e.Layers != want {
+				if want, listed := c.want[e.ID]; listed && e.Layers != want {
 					t.Errorf("%s holds %v, want %v", e.ID, e.Layers, want)
 				}
 			}
--- a/coordination/layout/repair.go
+++ b/coordination/layout/repair.go
@@ -62,6 +62,7 @@
 	return out
 }
 
+// repair is the state of one call of Repair.
 type repair struct {
 	model    *spanrill.EngineModel
 	byID     map[string]candidate
@@ -79,7 +80,7 @@
 
 // hasLostRequests reports whether requests on a chain are lost because of its holes: an
 // engine that held a part of one has crashed. Leaving engines finish their running
-// requests. A hole that no engine left behind appears when the chains are derived anew,
+// requests. A hole that no engine left behind appears when the chains are derived again,
 // and running requests stay on their previous paths.
 func (r *repair) hasLostRequests(c *chain.Chain) bool {
 	for _, hole := range c.Holes() {
--- a/coordination/layout/restore.go
+++ b/coordination/layout/restore.go
@@ -56,7 +56,7 @@
 	r.moves = r.moves[:n]
 }
 
-// redistributeChain divides all layers anew among the engines of a chain and free engines
+// redistributeChain redistributes all layers among the engines of a chain and free engines
 // of its zone, which are placed at the hole. Running requests are not disturbed: an engine
 // drops layers only after the requests on them have ended.
 func (r *repair) redistributeChain(c *chain.Chain, requests float64) bool {
@@ -83,7 +83,7 @@
 	}
 	for i, part := range ranges {
 		if part.Len() > 0 && part != parts[i].Layers {
-			r.assign(parts[i], part, "layers divided anew around a hole")
+			r.assign(parts[i], part, "layers redistributed around a hole")
 		}
 	}
 	return true
--- a/coordination/layout/spare_test.go
+++ b/coordination/layout/spare_test.go
@@ -44,7 +44,7 @@
 
 // Two chains of a zone each lose an engine without a crash, and the remaining engines are
 // derived as chains that differ from the paths of running requests: nothing is cut.
-func TestRequestsAreNotCutWhenChainsAreDerivedAnew(t *testing.T) {
+func TestRequestsAreNotCutWhenChainsAreDerivedAgain(t *testing.T) {
 	gone := Engine{ID: "leaving", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 0, To: 20}, Leaves: true}
 	overlap := Engine{ID: "overlap", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 12, To: 20}}
 	engines := []Engine{gone, overlap, quarter("a1", 0), quarter("a2", 20), quarter("a3", 40), quarter("a4", 60), quarter("b2", 20), quarter("b3", 40), quarter("b4", 60)}
@@ -63,7 +63,7 @@
 	}
 }
 
-// An engine leaves, and the chains of the zone are derived anew with a hole that it did not
+// An engine leaves, and the chains of the zone are derived again with a hole that it did not
 // hold. Nothing has crashed, so no running request is cut.
 func TestHolesWithoutCrashAreNotCut(t *testing.T) {
 	leaving := quarter("leaving", 0)
@@ -85,7 +85,7 @@
 	}
 }
 
-// One of two chains of a zone loses an engine. When chains are derived anew, the other
+// One of two chains of a zone loses an engine. When chains are derived again, the other
 // chain's engine with the same layers may take its place, so that the intact chain shows the
 // hole: requests on neither chain are cut.
 func TestIntactPathsAreNotCut(t *testing.T) {
