--- a/coordination/layoutrun/many_test.go
+++ b/coordination/layoutrun/many_test.go
@@ -108,7 +108,7 @@
 			now := clock.NewManual()
 			p, _ := newTestPlacer(t, c.engines, spanrill.LayerRange{From: 0, To: 5}, engines, mayAlwaysAct, now)
 			for range seconds * int(spanrill.Second) / int(roundInterval) {
-				p.pollPaces(context.Background())
+				p.queryPaces(context.Background())
 				_ = p.tasks.Wait() // errors are logged where they occur
 				now.Advance(roundInterval)
 			}
--- a/coordination/layoutrun/pace.go
+++ b/coordination/layoutrun/pace.go
@@ -21,18 +21,18 @@
 	maxPaceQueriesPerSecond = 100
 )
 
-// pacePoll is the progress of the pace queries, which go through all engines in cycles.
-type pacePoll struct {
+// paceSchedule is the progress of the pace queries, which go through all engines in cycles.
+type paceSchedule struct {
 	next           int             // index of the next engine in the cycle
 	cycleStartedAt spanrill.Millis // start of the current cycle
-	polledAt       spanrill.Millis
+	lastDueAt      spanrill.Millis
 }
 
 // due returns the indices of the engines to query now: the next ones of the cycle. A cycle
 // starts at the earliest paceInterval after the previous one started.
-func (p *pacePoll) due(engines int, now spanrill.Millis) (from, to int) {
-	elapsed := min(now-p.polledAt, spanrill.Second) // no burst of queries after a pause
-	p.polledAt = now
+func (p *paceSchedule) due(engines int, now spanrill.Millis) (from, to int) {
+	elapsed := min(now-p.lastDueAt, spanrill.Second) // no burst of queries after a pause
+	p.lastDueAt = now
 	if p.next >= engines {
 		if now-p.cycleStartedAt < paceInterval {
 			return 0, 0
@@ -44,9 +44,9 @@
 	return from, p.next
 }
 
-// pollPaces queries the engines that are due for their pace. Other daemons learn the answers
+// queryPaces queries the engines that are due for their pace. Other daemons learn the answers
 // in rounds with their peers.
-func (p *Placer) pollPaces(ctx context.Context) {
+func (p *Placer) queryPaces(ctx context.Context) {
 	var engines []*fleet.Upstream
 	for _, s := range p.models() {
 		if s.Model == nil {
@@ -58,13 +58,13 @@
 			}
 		}
 	}
-	from, to := p.pacePoll.due(len(engines), p.clock.Now())
+	from, to := p.paceSchedule.due(len(engines), p.clock.Now())
 	for _, u := range engines[from:to] {
-		p.tasks.Start(ctx, "query pace", func(ctx context.Context) error { return p.pollPace(ctx, u) })
+		p.tasks.Start(ctx, "query pace", func(ctx context.Context) error { return p.queryPace(ctx, u) })
 	}
 }
 
-func (p *Placer) pollPace(ctx context.Context, u *fleet.Upstream) error {
+func (p *Placer) queryPace(ctx context.Context, u *fleet.Upstream) error {
 	if err := p.calls.acquire(ctx); err != nil {
 		return err
 	}
@@ -77,14 +77,14 @@
 	}
 	before := u.Slow()
 	if u.SetPace(report.Pace); u.Slow() != before {
-		p.slowChanged(u)
+		p.handleSlowChange(u)
 	}
 	return nil
 }
 
-// slowChanged logs that an engine has become slow or has recovered, and has the chains
-// read anew.
-func (p *Placer) slowChanged(u *fleet.Upstream) {
+// handleSlowChange logs that an engine has become slow or has recovered, and has the chains
+// derived again.
+func (p *Placer) handleSlowChange(u *fleet.Upstream) {
 	event := events.UpstreamBack
 	if u.Slow() {
 		event = events.UpstreamSlow
--- a/coordination/layoutrun/placer.go
+++ b/coordination/layoutrun/placer.go
@@ -72,7 +72,7 @@
 	tasks         task.Group
 	propagation   func() spanrill.Millis   // time in which an update reaches all daemons
 	verifications map[string]*verification // by upstream id
-	pacePoll      pacePoll
+	paceSchedule  paceSchedule
 	calls         callSlots
 	lastPlans     map[string]lastPlan // by service
 }
@@ -134,7 +134,7 @@
 	p.forgetFinished()
 	_, mayAct := p.mayAct()
 	if mayAct {
-		p.pollPaces(ctx)
+		p.queryPaces(ctx)
 	}
 	for _, s := range p.models() {
 		if s.Model == nil {
--- a/coordination/layoutrun/verify.go
+++ b/coordination/layoutrun/verify.go
@@ -15,8 +15,8 @@
 // not rely on requests alone: they consider an engine dead after some ten milliseconds
 // of silence, and an engine whose memory is full refuses just as a leaving one does.
 type verification struct {
-	askedAt   spanrill.Millis
-	asking    bool
+	queriedAt spanrill.Millis
+	querying  bool
 	hasRoom   bool            // not full in its last report
 	roomSince spanrill.Millis // since when it was not full in all reports
 	lost      bool            // did not answer the placer either
@@ -51,11 +51,11 @@
 		return false, false
 	}
 	if v == nil {
-		v = &verification{askedAt: now - verifyInterval}
+		v = &verification{queriedAt: now - verifyInterval}
 		p.verifications[id] = v
 	}
-	if mayAct && !v.asking && now-v.askedAt >= verifyInterval {
-		v.asking, v.askedAt = true, now
+	if mayAct && !v.querying && now-v.queriedAt >= verifyInterval {
+		v.querying, v.queriedAt = true, now
 		p.tasks.Start(ctx, "verify upstream", func(ctx context.Context) error { return p.queryUpstream(ctx, u, v) })
 	}
 	return v.lost && (u.Dead() || u.Removed()), v.leaving
@@ -68,7 +68,7 @@
 	report, err := p.engines.Report(ctx, u.Addr())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v.asking = false
+	v.querying = false
 	if spanrill.OwnLack(err) {
 		return err // the daemon lacks resources; says nothing about the engine
 	}
