--- a/coordination/exchange/apply.go
+++ b/coordination/exchange/apply.go
@@ -9,50 +9,50 @@
 	"spanrill/state/fleet"
 )
 
-// apply notes what the requests of other daemons hold at each upstream, and what
-// these daemons have said.
+// apply updates the upstreams and the retry budgets from what peers have reported.
 func (e *Exchange) apply() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	for name, h := range e.heard {
-		if now-h.at > keep {
-			delete(e.heard, name)
+	for name, last := range e.newsByPeer {
+		if now-last.askedAt > newsTTL {
+			delete(e.newsByPeer, name)
 		}
 	}
-	others, heard := e.held(now)
+	others, known := e.peerSum(now)
 	e.state.Budgets.Round(others.retries, retry.Fleet{
-		Heard: heard, Daemons: max(heard, 1+int(e.others.Load())), Rounds: e.Rounds(), Settled: e.Settled(),
+		Heard: known, Daemons: max(known, 1+int(e.otherCount.Load())), Rounds: e.Rounds(), Settled: e.Settled(),
 	})
-	e.forgetShown()
+	e.dropReportedTargets()
 	e.applyPaces()
 	e.applyRefusals(now)
-	if others.rest == nil {
-		e.applyRest(nil) // before those that are named again
+	if others.unnamed == nil {
+		e.applyUnnamed(nil) // before applyUses, which sets those that are named now
 	}
 	e.applyUses(others.uses)
-	if others.rest != nil {
-		e.applyRest(others.rest)
+	if others.unnamed != nil {
+		e.applyUnnamed(others.unnamed)
 	}
-	if e.applyTargets(e.targetsNow(now)) {
+	if e.applyTargets(e.currentTargets(now)) {
 		e.state.Fleet.Touch()
 	}
 }
 
-// shown is the upstreams, by key, that have something of other daemons' words: in each
-// round those alone are gone over, and not all.
-type shown struct {
-	used     map[uint32]use
-	targeted map[uint32]told
+// appliedState records which upstreams, by key, were last updated from peers' reports. A round
+// visits those and the newly reported ones instead of the whole fleet.
+type appliedState struct {
+	uses    map[uint32]use
+	targets map[uint32]knownTarget
 
-	parts map[zoneService]use // of upstreams of other availability zones
-	view  uint64              // version of the view in which these were applied
+	zoneShares  map[zoneService]use // shares of upstreams in other availability zones
+	viewVersion uint64              // version of the view to which zoneShares were applied
 }
 
-// applyUses notes what the requests of other daemons hold. The caller holds the lock.
+// applyUses sets what the requests of other daemons hold at each upstream. The caller must hold
+// e.mu.
 func (e *Exchange) applyUses(uses map[uint32]use) {
 	view := e.state.Fleet.View()
-	for key := range e.shown.used {
+	for key := range e.applied.uses {
 		if _, still := uses[key]; still {
 			continue
 		}
@@ -65,14 +65,14 @@
 			u.SetPeers(max(0, s.tokens), max(0, s.calls))
 		}
 	}
-	e.shown.used = uses
+	e.applied.uses = uses
 }
 
-// applyTargets notes what engines are being ordered to hold, and reports whether that is
-// news. The caller holds the lock.
-func (e *Exchange) applyTargets(targets map[uint32]told) (changed bool) {
+// applyTargets sets the layers that engines are being ordered to hold, and reports whether any
+// changed. The caller must hold e.mu.
+func (e *Exchange) applyTargets(targets map[uint32]knownTarget) (changed bool) {
 	view := e.state.Fleet.View()
-	for key := range e.shown.targeted {
+	for key := range e.applied.targets {
 		if _, still := targets[key]; still {
 			continue
 		}
@@ -86,26 +86,26 @@
 			continue
 		}
 		var target *fleet.Target
-		if t.said >= u.RestartedAt() {
+		if t.reportedAt >= u.RestartedAt() {
 			target = &t.target
 		}
 		changed = u.SetTarget(target) || changed
 	}
-	e.shown.targeted = targets
+	e.applied.targets = targets
 	return changed
 }
 
-// held is the sum over all other daemons, and of how many daemons something is
-// known, this one included. The caller holds the lock.
-func (e *Exchange) held(now spanrill.Millis) (others sum, daemons int) {
+// peerSum returns the sum over all other daemons, and how many daemons are known, this one
+// included. The caller must hold e.mu.
+func (e *Exchange) peerSum(now spanrill.Millis) (others sum, daemons int) {
 	if e.Rounds() > 1 {
-		return e.othersSum(now)
+		return e.peerSumFromTrees(now)
 	}
 	others, daemons = newSum(), 1
-	for _, h := range e.heard {
-		s := sumOf(&peermsg.Sum{Uses: h.news.Uses, Retries: h.news.Retries})
-		if now-h.at > budgetFresh {
-			s.retries = nil // counts that are this old are taken as unknown
+	for _, last := range e.newsByPeer {
+		s := sumFromMessage(&peermsg.Sum{Uses: last.news.Uses, Retries: last.news.Retries})
+		if now-last.askedAt > retryCountTTL {
+			s.retries = nil // older counts are treated as unknown
 		} else {
 			daemons++
 		}
@@ -114,19 +114,18 @@
 	return others, daemons
 }
 
-// budgetFresh is how old the counts of a daemon may be: a few rounds.
-const budgetFresh spanrill.Millis = 900
+// retryCountTTL is how old the retry counts of a daemon may be: a few rounds.
+const retryCountTTL spanrill.Millis = 900
 
-// applyRefusals takes from other daemons which upstreams refuse their requests,
-// so that not every daemon finds out by requests of its own. The caller holds
-// the lock.
+// applyRefusals marks the upstreams that refuse the requests of other daemons, so that each
+// daemon need not find out by requests of its own. The caller must hold e.mu.
 func (e *Exchange) applyRefusals(now spanrill.Millis) {
 	refusing := map[uint32]bool{}
-	for _, h := range e.heard {
-		if now-h.at > refusalFresh {
+	for _, last := range e.newsByPeer {
+		if now-last.askedAt > refusalTTL {
 			continue
 		}
-		for _, id := range h.news.Refusing {
+		for _, id := range last.news.Refusing {
 			refusing[id] = true
 		}
 	}
@@ -138,27 +137,26 @@
 	}
 }
 
-// refusalFresh is how old such news may be: two rounds.
-const refusalFresh spanrill.Millis = 500
+// refusalTTL is how old reported refusals may be: two rounds.
+const refusalTTL spanrill.Millis = 500
 
-// targetsNow returns what engines are being ordered to hold, as this daemon
-// does it or a holder of the lease has said. What a holder has said is believed
-// for a while after it is no longer heard of: its orders are carried out, and
-// entries follow them late, or not at all while the store is away. The caller
-// holds the lock.
-func (e *Exchange) targetsNow(now spanrill.Millis) map[uint32]told {
-	if e.fresh(&e.placement) {
+// currentTargets returns the layers that engines are being ordered to hold, by this daemon or by
+// a lease holder. A holder's targets stay valid for a while after the last news of it: its
+// orders are still carried out, and the entries show that late, or not at all while the store is
+// unavailable. The caller must hold e.mu.
+func (e *Exchange) currentTargets(now spanrill.Millis) map[uint32]knownTarget {
+	if e.isFresh(&e.placement) {
 		for key, t := range e.placement.orders.targets {
-			e.remember(key, t.target, e.placement.at)
+			e.recordTarget(key, t.target, e.placement.reportedAt)
 		}
 	}
-	for id, target := range e.state.Targets() {
-		e.remember(fleet.KeyOf(id), target, now)
+	for key, target := range e.state.Targets() {
+		e.recordTarget(fleet.KeyOf(key), target, now)
 	}
-	targets := make(map[uint32]told, len(e.told))
-	for id, t := range e.told {
-		if now >= t.until {
-			delete(e.told, id)
+	targets := make(map[uint32]knownTarget, len(e.knownTargets))
+	for id, t := range e.knownTargets {
+		if now >= t.expiresAt {
+			delete(e.knownTargets, id)
 			continue
 		}
 		targets[id] = t
@@ -166,35 +164,37 @@
 	return targets
 }
 
-// told is a target, when it was said, and until when it is believed. It says nothing of an
-// engine that has started again since.
-type told struct {
-	target fleet.Target
-	said   spanrill.Millis
-	until  spanrill.Millis
+// knownTarget is an engine's target with the time of its report and its expiry. It does not
+// apply to an engine that has restarted since.
+type knownTarget struct {
+	target     fleet.Target
+	reportedAt spanrill.Millis
+	expiresAt  spanrill.Millis
 }
 
 const (
-	// pendingTime is how long an order is believed to be on its way after it was
-	// last heard of: an order, a load and a report take about as long.
-	pendingTime spanrill.Millis = 2500
-	// doneTime is how long an engine's own answer goes before its entry, which
-	// follows within a heartbeat once the store is back.
-	doneTime = 15 * spanrill.Second
+	// pendingTargetTTL is how long an order counts as in progress after the last report of it: an
+	// order, a load and a report take about as long.
+	pendingTargetTTL spanrill.Millis = 2500
+	// doneTargetTTL is how long an engine's own answer takes precedence over its entry, which
+	// follows within a heartbeat once the store is available.
+	doneTargetTTL = 15 * spanrill.Second
 )
 
-func (e *Exchange) remember(id uint32, target fleet.Target, at spanrill.Millis) {
-	until := at + pendingTime
+// recordTarget stores a target with its expiry. The caller must hold e.mu.
+func (e *Exchange) recordTarget(id uint32, target fleet.Target, at spanrill.Millis) {
+	until := at + pendingTargetTTL
 	if target.Done {
-		until = at + doneTime
+		until = at + doneTargetTTL
 	}
-	e.told[id] = told{target: target, said: at, until: until}
+	e.knownTargets[id] = knownTarget{target: target, reportedAt: at, expiresAt: until}
 }
 
-// forgetShown forgets targets that the entries show.
-func (e *Exchange) forgetShown() {
+// dropReportedTargets drops completed targets that the engines' entries show by now. The caller
+// must hold e.mu.
+func (e *Exchange) dropReportedTargets() {
 	view := e.state.Fleet.View()
-	maps.DeleteFunc(e.told, func(key uint32, t told) bool {
+	maps.DeleteFunc(e.knownTargets, func(key uint32, t knownTarget) bool {
 		u := view.ByKey(key)
 		return u != nil && t.target.Done && u.Entry().Layers == t.target.Layers
 	})
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -1,21 +1,20 @@
-// Package exchange shares news between the daemons of a fleet: what their
-// requests hold at each upstream, and how fresh their configuration is.
+// Package exchange spreads state between the daemons of a fleet: the tokens and calls that
+// their requests hold at each upstream, the configuration, the entries of upstreams, placement
+// orders and what follows from them.
 //
-// Each daemon asks others, and counts the age of an answer from before it
-// asked. A message that was delayed, or a daemon that stood still, can
-// therefore make knowledge look older than it is, never younger. A daemon that
-// the platform's store turns away proves its configuration in this way, and
-// fetches a newer one from the peer that has it.
+// Daemons poll each other. The age of an answer counts from before the request was sent, so
+// that a delayed message or a stalled daemon makes data look older than it is, never younger.
+// A daemon that cannot read the platform's store confirms its configuration in this way, and
+// fetches a newer one from a peer that has it.
 //
-// In a small fleet each daemon asks all others in every round. In a larger one
-// it asks two parents in trees over all daemons (tree.go) and a few others. What
-// the daemons at the roots read from the platform's store goes down the trees,
-// and sums over all daemons go up and come down again (sums.go), so that the
-// price for each daemon does not grow with the fleet.
+// In a small fleet each daemon asks all others in every round. In a larger one it asks its
+// parents in two trees over all daemons (tree.go) and a few others. What the roots read from the
+// platform's store travels down the trees. Sums over all daemons travel up and down again
+// (sums.go), so that the cost for each daemon does not grow with the fleet.
 //
 // # Usage
 //
-//	e := exchange.New(peers, exchange.State{...}, clock)
+//	e := exchange.New(peers, exchange.State{...}, clock, log, random)
 //	err := e.Run(ctx)
 package exchange
 
@@ -40,61 +39,61 @@
 	"spanrill/task"
 )
 
-// Peers is how other daemons are reached.
+// Peers lists the other daemons and sends requests to them.
 type Peers interface {
-	// Others returns the daemons that are alive, without this one.
+	// Others returns the live daemons, without this one.
 	Others() []peermsg.Member
-	// Ranked returns all daemons that are alive, with this one, in the order in
-	// which they ask the platform's store.
+	// Ranked returns all live daemons, with this one, in the order in which they ask the
+	// platform's store.
 	Ranked() []peermsg.Member
 	// Ask sends a request to a peer and decodes its reply.
 	Ask(ctx context.Context, addr string, kind uint8, req, reply any) error
 }
 
-// State is what news are made of.
+// State is the local state that an exchange reads, reports to peers and updates from them.
 type State struct {
 	Name      string
 	Zone      string   // availability zone of this daemon
-	Seeds     []string // peer addresses of daemons that it was told of, without this one
+	Seeds     []string // configured peer addresses, without this daemon's own
 	Config    *routes.Current
 	Fleet     *fleet.Table
-	Placement func() bool // holds the lease of placement
+	Placement func() bool // reports whether this daemon holds the placement lease
 	Leaving   func() bool
 	// StoreSilent reports whether the platform's store does not answer this daemon.
 	StoreSilent func() bool
-	// Late returns for how many rounds the entries have been older than they are where the
-	// trees hand on what the first in rank reads.
+	// Late returns for how many rounds the entries have been older than they should be in a
+	// fleet where the trees carry what the first daemon in rank reads.
 	Late     func() int
 	Budgets  *retry.Budgets
-	Lease    *lease.Lease // of placement
+	Lease    *lease.Lease // the placement lease
 	Suspects *suspect.Ledger
-	// Targets returns what this daemon is ordering engines to hold, by id.
+	// Targets returns the layers that this daemon is ordering engines to hold, by engine id.
 	Targets func() map[string]fleet.Target
-	// Decode decodes a configuration as it lies in the store.
+	// Decode decodes a configuration from the form in which the store holds it.
 	Decode func(value []byte) (*spanrill.RouteConfig, error)
 }
 
 const (
-	// Gap is the pause between two rounds. What other daemons hold is this old
-	// in the worst case; in that time a daemon of today starts two requests.
-	Gap spanrill.Millis = 250
-	gap                 = Gap
-	// askWait bounds one question: many times a round trip of 1 ms.
-	askWait spanrill.Millis = 400
-	// fanout is up to how many peers are all asked in each round, and how many
-	// daemons ask the same parent in a larger fleet.
+	// Gap is the pause between two rounds. The figures of other daemons are at most this old; in
+	// that time a daemon starts two requests at the current load.
+	Gap           spanrill.Millis = 250
+	roundInterval                 = Gap
+	// askTimeout bounds one request to a peer: many times a round trip of 1 ms.
+	askTimeout spanrill.Millis = 400
+	// fanout is the number of peers up to which a daemon asks all of them in each round, and the
+	// number of children of a daemon in the trees of a larger fleet.
 	fanout = 8
-	// asked is how many peers are asked in a round in a larger fleet.
-	asked = 4
-	// mostLate is after how many late rounds the number of peers that a daemon asks rises no
-	// more.
-	mostLate = 3
-	// keep is how long the figures of a peer that does not answer are counted.
-	// Its requests go on for about as long as a usual answer takes.
-	keep = 2 * spanrill.Second
+	// askedPerRound is how many peers a daemon asks in each round in a larger fleet.
+	askedPerRound = 4
+	// maxLateRounds is the number of late rounds beyond which a daemon asks no more additional
+	// peers.
+	maxLateRounds = 3
+	// newsTTL is how long the figures of a peer that does not answer count. Its requests continue
+	// for about as long as a usual answer takes.
+	newsTTL = 2 * spanrill.Second
 )
 
-// Exchange asks for news and answers questions.
+// Exchange polls peers in rounds and answers their requests.
 type Exchange struct {
 	peers  Peers
 	state  State
@@ -102,51 +101,51 @@
 	log    logrus.FieldLogger
 	random *rng.Source
 
-	mu    sync.Mutex
-	heard map[string]heard // by name of the peer
-	told  map[uint32]told  // by key of the engine
-	shown shown
+	mu           sync.Mutex
+	newsByPeer   map[string]peerNews
+	knownTargets map[uint32]knownTarget // by key of the engine
+	applied      appliedState
 
-	asking  map[string]bool            // peers with a question under way
-	askedAt map[string]spanrill.Millis // by name of the peer, when it was asked last
-	mute    map[string]bool            // peers that did not answer their last question
-	asks    task.Group
+	pending      map[string]bool            // peers with a request in flight
+	askedAt      map[string]spanrill.Millis // when each peer was last asked, by name
+	unresponsive map[string]bool            // peers that did not answer the last request
+	askTasks     task.Group
 
-	placement placement              // what the holder of the lease said last
-	own       placement              // what this daemon says as the holder
-	peerKnows map[string]knownOrders // by name of a peer, what it knew when it answered last
+	placement    placement              // as the lease holder last reported it
+	ownPlacement placement              // what this daemon reports as the lease holder
+	peerOrders   map[string]knownOrders // by peer, the orders that it knew when it last answered
 
-	sums      sums         // in a large fleet
-	trees     *topology    // at the last look
-	others    atomic.Int64 // daemons that are alive, without this one, at the last round
-	grewAt    atomic.Int64 // when a daemon was added last
-	startedAt spanrill.Millis
-	early     int // rounds of a daemon that did not know what the store holds
-	// wasSettled is whether the fleet was known at the last round.
+	sums           treeSums     // used in a large fleet only
+	cachedTopology *topology    // rebuilt when the members change
+	otherCount     atomic.Int64 // live daemons, without this one, in the last round
+	lastAddedAt    atomic.Int64 // when a daemon last joined
+	startedAt      spanrill.Millis
+	startRounds    int // rounds made before this daemon had a configuration and entries
+	// wasSettled is the result of Settled in the last round.
 	wasSettled atomic.Bool
-	// deepest is the levels of the trees at the last round, in a large fleet.
-	deepest atomic.Int64
+	// depth is the number of levels of the trees in the last round.
+	depth atomic.Int64
 
-	fetching chan struct{} // holds one token while something large is fetched
-	config   packed        // as peers fetch it
-	entries  packed        // of upstreams
+	fetchSlot     chan struct{} // one token: one large fetch at a time
+	packedConfig  packedCache   // for peers that fetch it
+	packedEntries packedCache   // of upstreams, for peers that fetch them
 }
 
-// heard is the last news of a peer.
-type heard struct {
-	news peermsg.News
-	at   spanrill.Millis // before it was asked
+// peerNews is the last news from a peer.
+type peerNews struct {
+	news    peermsg.News
+	askedAt spanrill.Millis // when the request was sent
 }
 
-// New returns an exchange.
+// New returns an exchange. Run or Round starts its polling.
 func New(peers Peers, state State, clock spanrill.Clock, log logrus.FieldLogger, random *rng.Source) *Exchange {
-	e := &Exchange{peers: peers, state: state, clock: clock, log: log, random: random, heard: map[string]heard{}, told: map[uint32]told{}, asking: map[string]bool{}, peerKnows: map[string]knownOrders{}, askedAt: map[string]spanrill.Millis{}, fetching: make(chan struct{}, 1), mute: map[string]bool{}}
+	e := &Exchange{peers: peers, state: state, clock: clock, log: log, random: random, newsByPeer: map[string]peerNews{}, knownTargets: map[uint32]knownTarget{}, pending: map[string]bool{}, peerOrders: map[string]knownOrders{}, askedAt: map[string]spanrill.Millis{}, fetchSlot: make(chan struct{}, 1), unresponsive: map[string]bool{}}
 	e.startedAt = clock.Now()
-	e.grewAt.Store(int64(e.startedAt))
+	e.lastAddedAt.Store(int64(e.startedAt))
 	return e
 }
 
-// Run asks for news until the context ends.
+// Run polls peers in rounds until the context ends.
 func (e *Exchange) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		e.Round(ctx)
@@ -155,147 +154,147 @@
 		case <-e.clock.After(e.Pause()):
 		}
 	}
-	_ = e.asks.Wait() // a peer that did not answer was asked again
+	_ = e.askTasks.Wait() // peers that failed are asked again in later rounds
 	return ctx.Err()
 }
 
-// Round asks some peers at the same time and takes what they say. It waits a
-// little for their answers, and not for a peer that is cut off: that one is
-// asked again when its question has ended, and what others say goes on.
+// Round asks some peers concurrently and applies their answers. It waits at most answerTimeout.
+// A peer whose request is still in flight is not asked again until that ends, so that an
+// unreachable peer does not delay the news of others.
 func (e *Exchange) Round(ctx context.Context) {
 	var waiting sync.WaitGroup
-	for _, t := range e.targets() {
-		if !e.begin(t.member.Name) {
+	for _, to := range e.recipients() {
+		if !e.beginAsk(to.member.Name) {
 			continue
 		}
 		waiting.Add(1)
-		e.asks.Start(ctx, "ask for news", func(ctx context.Context) error {
+		e.askTasks.Start(ctx, "ask for news", func(ctx context.Context) error {
 			defer waiting.Done()
-			defer e.end(t.member.Name)
-			return e.ask(ctx, t)
+			defer e.endAsk(to.member.Name)
+			return e.askNews(ctx, to)
 		})
 	}
-	all := make(chan struct{})
+	answered := make(chan struct{})
 	go func() {
 		waiting.Wait()
-		close(all)
+		close(answered)
 	}()
 	select {
-	case <-all:
-	case <-time.After(answerWait.Duration()):
+	case <-answered:
+	case <-time.After(answerTimeout.Duration()):
 	}
 	e.apply()
 }
 
-// answerWait is how long a round waits for answers: many times a round trip.
-const answerWait spanrill.Millis = 60
+// answerTimeout is how long a round waits for answers: many times a round trip.
+const answerTimeout spanrill.Millis = 60
 
-// begin notes that a peer is being asked, and reports false if it already is.
-func (e *Exchange) begin(name string) bool {
+// beginAsk marks a request to a peer as in flight. It returns false if one already is.
+func (e *Exchange) beginAsk(name string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.asking[name] {
+	if e.pending[name] {
 		return false
 	}
-	e.asking[name] = true
+	e.pending[name] = true
 	e.askedAt[name] = e.clock.Now()
 	return true
 }
 
-func (e *Exchange) end(name string) {
+func (e *Exchange) endAsk(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.asking, name)
+	delete(e.pending, name)
 }
 
-func (e *Exchange) ask(ctx context.Context, t target) error {
-	m := t.member
-	ctx, cancel := context.WithTimeout(ctx, askWait.Duration())
+func (e *Exchange) askNews(ctx context.Context, to recipient) error {
+	m := to.member
+	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
 	sent := e.clock.Now()
 	var news peermsg.News
-	err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindNews), e.question(t), &news)
-	e.noteMute(m.Name, err != nil)
+	err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindNews), e.newsRequest(to), &news)
+	e.setUnresponsive(m.Name, err != nil)
 	if err != nil {
 		return err
 	}
-	e.takeFleet(news.Fleet, sent)
-	e.takeAnswered(&news, sent)
+	e.mergeFleetSums(news.Fleet, sent)
+	e.mergeStoreAnswered(&news, sent)
 	e.TakeSuspects(news.Suspects)
 	ratelimit.TakeNews(e.state.Fleet, news.Limits, sent)
 	e.mu.Lock()
-	e.heard[cmp.Or(news.Name, m.Name)] = heard{news: news, at: sent}
+	e.newsByPeer[cmp.Or(news.Name, m.Name)] = peerNews{news: news, askedAt: sent}
 	e.mu.Unlock()
-	e.notePeerKnows(m.Name, news.Placement)
+	e.recordPeerOrders(m.Name, news.Placement)
 	if news.Placement == nil {
-		e.forgetPlacement(m.Name, sent)
+		e.clearPlacement(m.Name, sent)
 	}
-	e.takePlacement(news.Placement, sent)
-	if err := e.catchUpConfig(ctx, m, news.Revision); err != nil {
+	e.mergePlacement(news.Placement, sent)
+	if err := e.syncConfig(ctx, m, news.Revision); err != nil {
 		return err
 	}
 	e.state.Config.Prove(news.Revision, sent-news.ProofAge)
-	return e.catchUpEntries(ctx, m, &news, sent)
+	return e.syncEntries(ctx, m, &news, sent)
 }
 
-// takeAnswered notes that the platform's store has answered a peer or others that it
-// heard of. A span that begins later than it did, because the answer took its time, says
-// less, and one that ends earlier too.
-func (e *Exchange) takeAnswered(news *peermsg.News, sent spanrill.Millis) {
+// mergeStoreAnswered records the time span in which the platform's store answered the peer or
+// other daemons that it knows of. The delay of the answer can only make the recorded span start
+// later and end earlier than the real one, which claims less.
+func (e *Exchange) mergeStoreAnswered(news *peermsg.News, sent spanrill.Millis) {
 	if news.UpstreamsAt != 0 {
 		e.state.Fleet.Answered(e.clock.Now()-news.StoreAnswered, sent-news.UpstreamsAge)
 	}
 }
 
-// answeredMost is more than an entry can have gone unheard of at a daemon that is still
-// among the members, and takes three bytes of a message.
-const answeredMost = 30 * spanrill.Second
+// maxStoreAnswered exceeds the time for which a daemon that is still a member can have had no
+// news of an entry, and takes three bytes in a message.
+const maxStoreAnswered = 30 * spanrill.Second
 
-// SaysStoreSilent reports whether a peer has said lately that the platform's store
-// does not answer it, so that others ask the store in its place.
+// SaysStoreSilent reports whether a peer recently reported that the platform's store does not
+// answer it, so that other daemons ask the store in its place.
 func (e *Exchange) SaysStoreSilent(peer string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h, ok := e.heard[peer]
-	return ok && h.news.StoreSilent && e.clock.Now()-h.at <= keep
+	last, ok := e.newsByPeer[peer]
+	return ok && last.news.StoreSilent && e.clock.Now()-last.askedAt <= newsTTL
 }
 
-// StoreSilentToSome reports whether a peer has said lately that the platform's store does
+// StoreSilentToSome reports whether any peer recently reported that the platform's store does
 // not answer it.
 func (e *Exchange) StoreSilentToSome() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	for _, h := range e.heard {
-		if h.news.StoreSilent && now-h.at <= keep {
+	for _, last := range e.newsByPeer {
+		if last.news.StoreSilent && now-last.askedAt <= newsTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// News answers a question for news.
-func (e *Exchange) News(asked *peermsg.AskNews) *peermsg.News {
-	n := &peermsg.News{
+// News answers a peer's request for news.
+func (e *Exchange) News(req *peermsg.AskNews) *peermsg.News {
+	reply := &peermsg.News{
 		Name: e.state.Name, Revision: e.state.Config.Revision(), ProofAge: e.state.Config.Age(),
-		Placement: e.placementNews(knownOrders{asked.Holder, asked.Sequence}), Leaving: e.state.Leaving(), StoreSilent: e.state.StoreSilent(),
+		Placement: e.placementNews(knownOrders{req.Holder, req.Sequence}), Leaving: e.state.Leaving(), StoreSilent: e.state.StoreSilent(),
 	}
-	n.UpstreamsAt, n.UpstreamsChange, n.UpstreamsAge = e.state.Fleet.Proof()
-	n.StoreAnswered = min(e.state.Fleet.AnsweredFor(), answeredMost)
-	n.Suspects = e.suspectNews(asked.Suspects)
-	n.Limits = ratelimit.News(e.state.Fleet, e.clock, asked.Limits)
-	e.takeBelow(asked)
-	e.takePlacement(asked.Placement, e.clock.Now())
-	n.Fleet = e.fleetNews(asked)
+	reply.UpstreamsAt, reply.UpstreamsChange, reply.UpstreamsAge = e.state.Fleet.Proof()
+	reply.StoreAnswered = min(e.state.Fleet.AnsweredFor(), maxStoreAnswered)
+	reply.Suspects = e.suspectNews(req.Suspects)
+	reply.Limits = ratelimit.News(e.state.Fleet, e.clock, req.Limits)
+	e.storeChildSums(req)
+	e.mergePlacement(req.Placement, e.clock.Now())
+	reply.Fleet = e.fleetSums(req)
 	if e.Rounds() == 1 {
 		own := e.ownSum().message()
-		n.Uses, n.Retries = own.Uses, own.Retries
+		reply.Uses, reply.Retries = own.Uses, own.Retries
 	}
 	now := e.clock.Now()
 	e.state.Fleet.EachActive(func(u *fleet.Upstream) {
 		if u.RefusedHere(now) {
-			n.Refusing = append(n.Refusing, u.Key())
+			reply.Refusing = append(reply.Refusing, u.Key())
 		}
 	})
-	return n
+	return reply
 }
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -21,13 +21,13 @@
 	"spanrill/state/routes"
 )
 
-// peer is one other daemon that answers from its own exchange.
+// peer is the only other daemon. It answers requests from its own exchange.
 type peer struct {
 	clock    *clock.Manual
 	exchange *Exchange
-	takes    spanrill.Millis // time that an answer is on its way
+	latency  spanrill.Millis // of its answers
 	silent   bool
-	asked    *peermsg.AskNews
+	asked    *peermsg.AskNews // the request for news that it answers
 }
 
 var errSilent = errors.New("no answer")
@@ -52,7 +52,7 @@
 	case uint8(peermsg.KindEntries):
 		answer = p.exchange.Entries(req.(*peermsg.AskEntries))
 	}
-	p.clock.Advance(p.takes)
+	p.clock.Advance(p.latency)
 	data, err := peermsg.Encode(answer)
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 	return peermsg.Decode(data, reply)
 }
 
-// daemon is the state that an exchange works with.
+// daemon is an exchange with the state that it works on.
 type daemon struct {
 	config      *routes.Current
 	table       *fleet.Table
@@ -97,10 +97,10 @@
 	return d
 }
 
-func pair(takes spanrill.Millis) (c *clock.Manual, here, there *daemon, wire *peer) {
+func pair(latency spanrill.Millis) (c *clock.Manual, here, there *daemon, wire *peer) {
 	c = clock.NewManual()
 	c.Advance(100_000)
-	wire = &peer{clock: c, takes: takes}
+	wire = &peer{clock: c, latency: latency}
 	here, there = newDaemon(c, "here", wire), newDaemon(c, "peer", wire)
 	wire.exchange = there.exchange
 	return c, here, there, wire
@@ -116,24 +116,24 @@
 	d.config.Prove(revision, at)
 }
 
-// A daemon that the store turns away takes a newer configuration from a peer,
-// with its proof, which counts from before the question was asked.
-func TestConfigOfPeer(t *testing.T) {
+// A daemon that cannot read the store takes a newer configuration from a peer, and with it the
+// time at which the peer last confirmed it, counted from before the request was sent.
+func TestNewerConfigIsFetchedFromPeer(t *testing.T) {
 	c, here, there, _ := pair(120)
 	there.take(5, 50, c.Now()-400)
 	here.take(4, 40, c.Now()-3000)
 	asked := c.Now()
 	here.exchange.Round(context.Background())
 	if got := here.config.Table().Version(); got != 5 {
-		t.Fatalf("version %d is in force, want 5", got)
+		t.Fatalf("active version %d, want 5", got)
 	}
 	if got := here.config.ProvedAt(); got != asked-400 {
-		t.Fatalf("proved at %d, want %d: 400 ms before it was asked", got, asked-400)
+		t.Fatalf("proved at %d, want %d: 400 ms before the request", got, asked-400)
 	}
 }
 
-// A peer that is behind proves nothing and changes nothing.
-func TestConfigOfPeerThatIsBehind(t *testing.T) {
+// A peer with an older configuration changes neither the configuration here nor its proof.
+func TestOlderConfigOfPeerIsIgnored(t *testing.T) {
 	c, here, there, _ := pair(1)
 	there.take(4, 40, c.Now())
 	here.take(5, 50, c.Now()-3000)
@@ -144,7 +144,7 @@
 	}
 }
 
-func entries(c *clock.Manual, d *daemon, at uint64, layers spanrill.LayerRange) {
+func listEntry(c *clock.Manual, d *daemon, at uint64, layers spanrill.LayerRange) {
 	value, err := json.Marshal(spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Layers: layers, Revision: at})
 	if err != nil {
 		panic(err)
@@ -152,11 +152,11 @@
 	d.table.Listed([]spanrill.Item{{Name: "e", Value: value}}, at, c.Now())
 }
 
-// Entries of upstreams come from a peer too, and what its requests hold there is
-// counted, until nothing was heard of it for a while.
-func TestUpstreamsOfPeer(t *testing.T) {
+// Entries of upstreams are fetched from a peer, and what its requests hold there counts until
+// there has been no news of the peer for newsTTL.
+func TestEntriesAndUseOfPeer(t *testing.T) {
 	c, here, there, wire := pair(1)
-	entries(c, there, 9, spanrill.LayerRange{From: 0, To: 4})
+	listEntry(c, there, 9, spanrill.LayerRange{From: 0, To: 4})
 	there.table.View().ByID("e").Reserve(700)
 	here.exchange.Round(context.Background())
 	here.exchange.Round(context.Background())
@@ -165,20 +165,20 @@
 		t.Fatalf("upstream %v", u)
 	}
 	wire.silent = true
-	c.Advance(keep + 1)
+	c.Advance(newsTTL + 1)
 	here.exchange.Round(context.Background())
 	if got := u.Tokens(); got != 0 {
-		t.Fatalf("%d tokens of a silent peer are counted", got)
+		t.Fatalf("%d tokens of a silent peer still count, want 0", got)
 	}
 }
 
-// What an engine has answered to the holder of the lease goes before its entry,
-// also after another daemon holds the lease, until the entry shows it.
-func TestTargetsOutliveTheHolder(t *testing.T) {
+// The layers that an engine has confirmed to the lease holder take precedence over its entry
+// until the entry shows them, also after the holder has given up the lease.
+func TestTargetsOutlastLeaseHolder(t *testing.T) {
 	c, here, there, _ := pair(1)
 	old, next := spanrill.LayerRange{From: 0, To: 4}, spanrill.LayerRange{From: 4, To: 8}
-	entries(c, there, 9, old)
-	entries(c, here, 9, old)
+	listEntry(c, there, 9, old)
+	listEntry(c, here, 9, old)
 	there.placement, there.targets["e"] = true, fleet.Target{Layers: next, Done: true}
 	here.exchange.Round(context.Background())
 	u := here.table.View().ByID("e")
@@ -189,22 +189,22 @@
 	c.Advance(3000)
 	here.exchange.Round(context.Background())
 	if u.Layers() != next {
-		t.Fatalf("layers %v after the holder changed, want %v", u.Layers(), next)
+		t.Fatalf("layers %v after the holder gave up the lease, want %v", u.Layers(), next)
 	}
-	entries(c, here, 12, next)
+	listEntry(c, here, 12, next)
 	here.exchange.Round(context.Background())
 	if here.table.View().ByID("e").Target() != nil {
-		t.Fatal("the target is kept although the entry shows it")
+		t.Fatal("the target is still set although the entry shows it")
 	}
 }
 
-// What was said of an engine before it started again is not believed of it, also where it
-// tells no start by which peers could know it apart.
-func TestTargetsOfAnEngineThatStartedAgain(t *testing.T) {
+// A target reported before an engine restarted does not apply to it any more, also if its entry
+// has no start time by which peers could detect the restart.
+func TestTargetsOfRestartedEngineAreDropped(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		first, next int64 // start that it tells
-	}{{"its start is told", 1000, 2000}, {"no start is told", 0, 0}} {
+		first, next int64 // start time in the entry
+	}{{"entry with a start time", 1000, 2000}, {"entry without a start time", 0, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			now, here, there, _ := pair(1)
 			held := spanrill.LayerRange{From: 4, To: 8}
@@ -224,15 +224,14 @@
 			list(here, 12, c.next, 1)
 			here.exchange.Round(context.Background())
 			if got := here.table.View().ByAddr("1:1").Layers(); got.Len() != 0 {
-				t.Fatalf("layers %v are believed of an engine that has just started", got)
+				t.Fatalf("layers %v of an engine that has just restarted, want none", got)
 			}
 		})
 	}
 }
 
-// The retries that a peer has made are taken off what may be spent here: half
-// of what is left of 0.95 x 200.
-func TestRetriesOfPeer(t *testing.T) {
+// Retries made by a peer reduce the budget here, which is half of what is left of 0.95 x 200.
+func TestRetriesOfPeerReduceBudget(t *testing.T) {
 	c, here, there, _ := pair(1)
 	here.exchange.Round(context.Background())
 	c.Advance(settleTime)
@@ -245,32 +244,32 @@
 	here.budgets.Of("s")
 	here.exchange.Round(context.Background())
 	if got, want := here.budgets.Of("s").Left(), (190-float64(spent))/2; got != want || spent == 0 {
-		t.Fatalf("%v retries may be spent after a peer made %d, want %v", got, spent, want)
+		t.Fatalf("%v retries left after a peer made %d, want %v", got, spent, want)
 	}
 }
 
-// stuck is two peers, of which one never answers until it is let go.
-type stuck struct {
+// stuckPeers is two peers, one of which does not answer until it is released.
+type stuckPeers struct {
 	*peer
-	let chan struct{}
+	release chan struct{}
 }
 
-func (s stuck) Others() []peermsg.Member {
+func (s stuckPeers) Others() []peermsg.Member {
 	return []peermsg.Member{{Name: "stuck", PeerAddr: "stuck"}, {Name: "peer", PeerAddr: "peer"}}
 }
 
-func (s stuck) Ask(ctx context.Context, addr string, kind uint8, req, reply any) error {
+func (s stuckPeers) Ask(ctx context.Context, addr string, kind uint8, req, reply any) error {
 	if addr == "stuck" {
-		<-s.let
+		<-s.release
 		return errSilent
 	}
 	return s.peer.Ask(ctx, addr, kind, req, reply)
 }
 
-// A peer that is cut off does not hold up the news of the others.
-func TestSilentPeerHoldsUpNothing(t *testing.T) {
+// An unreachable peer does not delay the news of the others.
+func TestSilentPeerDoesNotDelayOthers(t *testing.T) {
 	c, _, there, wire := pair(1)
-	both := stuck{peer: wire, let: make(chan struct{})}
+	both := stuckPeers{peer: wire, release: make(chan struct{})}
 	here := newDaemon(c, "here", both)
 	there.take(5, 50, c.Now())
 	ended := make(chan struct{})
@@ -285,15 +284,15 @@
 	case <-time.After(10 * time.Second):
 		t.Error("the round waits for the silent peer")
 	}
-	close(both.let)
+	close(both.release)
 	<-ended
 }
 
-// A daemon that the store does not answer says so, and is asked for nothing in its
-// rank until it takes that back or is not heard of any more.
-func TestStoreSilenceIsTold(t *testing.T) {
+// A daemon that the store does not answer reports that. Peers take it for silent until it
+// reports otherwise, or until there has been no news of it for newsTTL.
+func TestStoreSilenceIsReported(t *testing.T) {
 	c := clock.NewManual()
-	p := &peer{clock: c, takes: 1}
+	p := &peer{clock: c, latency: 1}
 	other := newDaemon(c, "peer", nil)
 	p.exchange = other.exchange
 	d := newDaemon(c, "here", p)
@@ -301,21 +300,21 @@
 		silent bool
 		wait   spanrill.Millis
 		want   bool
-	}{{false, 0, false}, {true, 0, true}, {true, keep + 1, false}} {
+	}{{false, 0, false}, {true, 0, true}, {true, newsTTL + 1, false}} {
 		other.storeSilent = step.silent
 		d.exchange.Round(context.Background())
 		c.Advance(step.wait)
 		if got := d.exchange.SaysStoreSilent("peer"); got != step.want {
-			t.Fatalf("silent %t, %d ms ago: taken for silent %t", step.silent, step.wait, got)
+			t.Fatalf("reported silence %t, %d ms ago: considered silent %t", step.silent, step.wait, got)
 		}
 	}
 }
 
-// A daemon is told for how long the store has answered its peer. Answers that take their
-// time make that look shorter, never longer.
-func TestStoreAnswersPeer(t *testing.T) {
+// A daemon learns from a peer for how long the store has answered. Slow answers make that time
+// look shorter, never longer.
+func TestStoreAnsweredIsLearntFromPeer(t *testing.T) {
 	c, here, there, wire := pair(200)
-	entries(c, there, 9, spanrill.LayerRange{From: 0, To: 4})
+	listEntry(c, there, 9, spanrill.LayerRange{From: 0, To: 4})
 	wire.silent = true
 	for range 20 {
 		c.Advance(1000)
@@ -325,6 +324,6 @@
 	before := there.table.AnsweredFor()
 	here.exchange.Round(context.Background())
 	if got := here.table.AnsweredFor(); got > before+200 || got < before {
-		t.Fatalf("the store has answered for %d ms, the peer says %d", got, before)
+		t.Fatalf("the store has answered for %d ms here, %d ms at the peer", got, before)
 	}
 }
--- a/coordination/exchange/fetch.go
+++ b/coordination/exchange/fetch.go
@@ -13,59 +13,59 @@
 	"spanrill/state/routes"
 )
 
-// catchUpConfig fetches a peer's configuration if it is newer. Several peers that
-// are asked at the same time have the same one, so that one fetch waits for the
-// other: large messages side by side would fill a slow link.
-func (e *Exchange) catchUpConfig(ctx context.Context, m peermsg.Member, revision uint64) error {
+// syncConfig fetches a peer's configuration if it is newer. Peers that are asked concurrently
+// usually have the same one, so fetches run one at a time: several large messages at once would
+// fill a slow link.
+func (e *Exchange) syncConfig(ctx context.Context, m peermsg.Member, revision uint64) error {
 	if e.state.Config.Seen(revision) {
 		return nil
 	}
-	if err := e.lock(ctx); err != nil {
+	if err := e.acquireFetch(ctx); err != nil {
 		return err
 	}
-	defer e.unlock()
+	defer e.releaseFetch()
 	if e.state.Config.Seen(revision) {
 		return nil
 	}
-	return e.fetch(ctx, m)
+	return e.fetchConfig(ctx, m)
 }
 
-// catchUpEntries does the same for the entries of upstreams.
-func (e *Exchange) catchUpEntries(ctx context.Context, m peermsg.Member, news *peermsg.News, sent spanrill.Millis) error {
-	proved := func() bool {
+// syncEntries does the same for the entries of upstreams.
+func (e *Exchange) syncEntries(ctx context.Context, m peermsg.Member, news *peermsg.News, sent spanrill.Millis) error {
+	upToDate := func() bool {
 		return news.UpstreamsAt == 0 || e.state.Fleet.Prove(news.UpstreamsAt, news.UpstreamsChange, sent-news.UpstreamsAge)
 	}
-	if proved() {
+	if upToDate() {
 		return nil
 	}
-	if err := e.lock(ctx); err != nil {
+	if err := e.acquireFetch(ctx); err != nil {
 		return err
 	}
-	defer e.unlock()
-	if proved() {
+	defer e.releaseFetch()
+	if upToDate() {
 		return nil
 	}
 	return e.fetchEntries(ctx, m)
 }
 
-// lock waits until nothing large is being fetched.
-func (e *Exchange) lock(ctx context.Context) error {
+// acquireFetch waits until no other large fetch is running.
+func (e *Exchange) acquireFetch(ctx context.Context) error {
 	select {
-	case e.fetching <- struct{}{}:
+	case e.fetchSlot <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("wait to fetch: %w", ctx.Err())
+		return fmt.Errorf("wait for another fetch: %w", ctx.Err())
 	}
 }
 
-func (e *Exchange) unlock() { <-e.fetching }
+func (e *Exchange) releaseFetch() { <-e.fetchSlot }
 
-// fetchEntries takes newer entries of upstreams from a peer.
+// fetchEntries fetches newer entries of upstreams from a peer.
 func (e *Exchange) fetchEntries(ctx context.Context, m peermsg.Member) error {
 	sent := e.clock.Now()
 	var r peermsg.Entries
-	asked := &peermsg.AskEntries{After: e.state.Fleet.At()}
-	if err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindEntries), asked, &r); err != nil {
+	req := &peermsg.AskEntries{After: e.state.Fleet.At()}
+	if err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindEntries), req, &r); err != nil {
 		return err
 	}
 	value, err := unpack(r.Packed)
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// fetch takes a newer configuration from a peer.
-func (e *Exchange) fetch(ctx context.Context, m peermsg.Member) error {
+// fetchConfig fetches a newer configuration from a peer.
+func (e *Exchange) fetchConfig(ctx context.Context, m peermsg.Member) error {
 	var c peermsg.RouteConfig
 	if err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindRouteConfig), nil, &c); err != nil {
 		return err
--- a/coordination/exchange/loans.go
+++ b/coordination/exchange/loans.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// lenders is how many daemons are asked for a loan, one after the other. After the
-	// loss of an engine in ten about a third of the daemons have no retry to lend.
-	lenders = 4
-	// loanWait bounds one such question: many times a round trip of 1 ms between
-	// availability zones. A stream that waits for a retry stands still.
-	loanWait spanrill.Millis = 20
+	// maxLenders is how many daemons are asked for a loan, one after the other. After the loss of
+	// an engine in ten, about a third of the daemons have no retry to lend.
+	maxLenders = 4
+	// loanTimeout bounds one such request: many times a round trip of 1 ms between availability
+	// zones. A stream that waits for a retry makes no progress.
+	loanTimeout spanrill.Millis = 20
 )
 
-// Borrow asks a few daemons at random, those of the own availability zone first, for
-// retries of a service, and returns how many they gave up.
+// Borrow asks a few random daemons, those of the own availability zone first, to give up retries
+// of a service, and returns how many they gave.
 func (e *Exchange) Borrow(ctx context.Context, service string, want float64) float64 {
 	got, asked := 0.0, 0
 	for _, m := range e.lenders() {
@@ -36,14 +36,14 @@
 	return got
 }
 
-// borrowFrom asks one daemon. What it gives beyond what it was asked for, or less than
-// nothing, is no loan: it would change the sum of all parts.
+// borrowFrom asks one daemon for retries. A loan that is negative or larger than requested is
+// rejected, because it would change the sum of all daemons' parts.
 func (e *Exchange) borrowFrom(ctx context.Context, m peermsg.Member, service string, want float64) float64 {
-	ctx, cancel := context.WithTimeout(ctx, loanWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, loanTimeout.Duration())
 	defer cancel()
 	var loan peermsg.Loan
 	if err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindLoan), &peermsg.AskLoan{Service: service, Want: want}, &loan); err != nil {
-		return 0 // the next one is asked; what it gave up, if its answer was late, lapses
+		return 0 // the next daemon is asked; retries lent in a late answer expire unused
 	}
 	if math.IsNaN(loan.Retries) || loan.Retries < 0 || loan.Retries > want {
 		events.BadLoan.Log(e.log, logrus.Fields{"peer": m.Name, "service": service, "want": want, "loan": loan.Retries})
@@ -52,7 +52,7 @@
 	return loan.Retries
 }
 
-// lenders returns whom to ask.
+// lenders returns the daemons to ask, in this order.
 func (e *Exchange) lenders() []peermsg.Member {
 	others, zone := e.peers.Others(), e.state.Zone
 	for i := len(others) - 1; i > 0; i-- {
@@ -63,15 +63,15 @@
 	defer e.mu.Unlock()
 	sort.SliceStable(others, func(i, k int) bool {
 		a, b := others[i], others[k]
-		if e.mute[a.Name] != e.mute[b.Name] {
-			return e.mute[b.Name]
+		if e.unresponsive[a.Name] != e.unresponsive[b.Name] {
+			return e.unresponsive[b.Name]
 		}
 		return a.Zone == zone && b.Zone != zone
 	})
-	return others[:min(lenders, len(others))]
+	return others[:min(maxLenders, len(others))]
 }
 
-// Lend answers a question for a loan.
-func (e *Exchange) Lend(asked *peermsg.AskLoan) *peermsg.Loan {
-	return &peermsg.Loan{Retries: e.state.Budgets.Lend(asked.Service, asked.Want)}
+// Lend answers a peer's request for a loan.
+func (e *Exchange) Lend(req *peermsg.AskLoan) *peermsg.Loan {
+	return &peermsg.Loan{Retries: e.state.Budgets.Lend(req.Service, req.Want)}
 }
--- a/coordination/exchange/loans_test.go
+++ b/coordination/exchange/loans_test.go
@@ -10,7 +10,7 @@
 	"spanrill/protocol/peermsg"
 )
 
-// lender is a peer whose answer to a question for a loan a test sets.
+// lender is a peer that answers loan requests as the test sets.
 type lender struct {
 	*peer
 	loan  float64
@@ -30,7 +30,7 @@
 	return peermsg.Decode(data, reply)
 }
 
-// A loan is taken as it was asked for; what makes no sense is no loan.
+// A loan counts up to the requested amount; invalid loans and failed requests count as none.
 func TestBorrow(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -38,13 +38,13 @@
 		fails bool
 		want  float64
 	}{
-		{"all that is wanted", 2, false, 2},
-		{"a part of it", 0.5, false, 0.5},
-		{"nothing", 0, false, 0},
-		{"more than was asked for", 3, false, 0},
-		{"less than nothing", -1, false, 0},
-		{"no number", math.NaN(), false, 0},
-		{"without end", math.Inf(1), false, 0},
+		{"full amount", 2, false, 2},
+		{"part of the amount", 0.5, false, 0.5},
+		{"zero", 0, false, 0},
+		{"more than requested", 3, false, 0},
+		{"negative", -1, false, 0},
+		{"not a number", math.NaN(), false, 0},
+		{"infinite", math.Inf(1), false, 0},
 		{"no answer", 2, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -55,13 +55,14 @@
 				t.Fatalf("%v retries, want %v", got, c.want)
 			}
 			if !c.fails && (len(from.asked) != 1 || from.asked[0].Service != "s" || from.asked[0].Want != 2) {
-				t.Fatalf("asked for %+v", from.asked)
+				t.Fatalf("requested %+v", from.asked)
 			}
 		})
 	}
 }
 
-// What a daemon lends is no longer its own, and absurd questions are lent nothing.
+// What a daemon lends is taken off its own budget. Invalid requests and unknown services get
+// nothing.
 func TestLend(t *testing.T) {
 	_, _, there, _ := pair(1)
 	there.budgets.Of("s")
@@ -69,15 +70,15 @@
 	before := there.budgets.Of("s").Left()
 	for _, want := range []float64{-5, 0, math.NaN(), math.Inf(-1)} {
 		if got := there.exchange.Lend(&peermsg.AskLoan{Service: "s", Want: want}).Retries; got != 0 {
-			t.Fatalf("lent %v for a want of %v", got, want)
+			t.Fatalf("lent %v for a request of %v, want 0", got, want)
 		}
 	}
-	if got := there.exchange.Lend(&peermsg.AskLoan{Service: "unheard of", Want: 1}).Retries; got != 0 {
-		t.Fatalf("lent %v of a service that is not known", got)
+	if got := there.exchange.Lend(&peermsg.AskLoan{Service: "unknown", Want: 1}).Retries; got != 0 {
+		t.Fatalf("lent %v of an unknown service, want 0", got)
 	}
 	got := there.exchange.Lend(&peermsg.AskLoan{Service: "s", Want: math.Inf(1)}).Retries
 	if left := there.budgets.Of("s").Left(); got <= 0 || got > 2 || left != before-got {
-		t.Fatalf("lent %v of %v, %v are left", got, before, left)
+		t.Fatalf("lent %v of %v, %v left", got, before, left)
 	}
 }
 
@@ -88,24 +89,24 @@
 	return nil
 }
 
-// nobody is peers of which none has been heard.
-type nobody struct{ *peer }
+// noPeers is a fleet in which no other daemon is known.
+type noPeers struct{ *peer }
 
-func (nobody) Others() []peermsg.Member { return nil }
+func (noPeers) Others() []peermsg.Member { return nil }
 
-// A daemon that was told of others and has heard of none does not take itself for the
-// fleet, unless that lasts.
-func TestAloneIsNotSettled(t *testing.T) {
+// A daemon with seeds that has heard of no other daemon does not consider the fleet settled
+// until seedWait is over.
+func TestSettledWithoutPeers(t *testing.T) {
 	for _, seeded := range []bool{false, true} {
 		c, here, _, wire := pair(1)
-		e := New(nobody{wire}, State{Name: "here", Seeds: seedsIf(seeded), Config: here.config, Fleet: here.table, Budgets: here.budgets, Suspects: suspect.New(c)}, c, here.exchange.log, here.exchange.random)
+		e := New(noPeers{wire}, State{Name: "here", Seeds: seedsIf(seeded), Config: here.config, Fleet: here.table, Budgets: here.budgets, Suspects: suspect.New(c)}, c, here.exchange.log, here.exchange.random)
 		c.Advance(settleTime)
 		if e.Settled() == seeded {
 			t.Errorf("seeded %v: settled after %d ms alone", seeded, settleTime)
 		}
-		c.Advance(aloneTime)
+		c.Advance(seedWait)
 		if !e.Settled() {
-			t.Errorf("seeded %v: not settled after %d ms alone", seeded, settleTime+aloneTime)
+			t.Errorf("seeded %v: not settled after %d ms alone", seeded, settleTime+seedWait)
 		}
 	}
 }
--- a/coordination/exchange/orders.go
+++ b/coordination/exchange/orders.go
@@ -6,33 +6,32 @@
 	"spanrill/state/fleet"
 )
 
-// orders is what engines are being ordered to hold, as the holder of the lease of placement
-// has said it, with what has changed of it when. A first layout orders thousands of engines
-// within seconds, and daemons that know the rest are told of the changes alone.
+// orders is what the holder of the placement lease is ordering engines to hold, with the
+// sequence of each change. A first layout orders thousands of engines within seconds, so daemons
+// that know the rest receive the changes only.
 type orders struct {
-	sequence uint64             // rises with each change
-	since    uint64             // all that was dropped behind this sequence is known
-	targets  map[uint32]ordered // by key of the engine
-	dropped  map[uint32]uint64  // sequences, by key
+	sequence     uint64                   // increases with each change
+	droppedSince uint64                   // all drops after this sequence are in dropped
+	targets      map[uint32]orderedTarget // by key of the engine
+	dropped      map[uint32]uint64        // sequence of each drop, by key of the engine
 }
 
-// ordered is a target, and the sequence by which it was said.
-type ordered struct {
+// orderedTarget is a target and the sequence of the change that set it.
+type orderedTarget struct {
 	target   fleet.Target
 	sequence uint64
 }
 
-// knownOrders is up to what a daemon knows the orders of which holder.
+// knownOrders identifies how far a daemon knows the orders, and of which holder.
 type knownOrders struct {
 	holder   string
 	sequence uint64
 }
 
-// droppedKept bounds what is remembered of targets that were dropped: a third more than the
-// engines of the design size.
-const droppedKept = 4800
+// maxDropped bounds the recorded drops: a third more than the engines of the design size.
+const maxDropped = 4800
 
-// set makes the targets those given, and raises the sequence if that is a change.
+// set replaces the targets, and increases the sequence if any of them changes.
 func (o *orders) set(targets map[uint32]fleet.Target) {
 	next := o.sequence + 1
 	changed := o.sequence == 0
@@ -55,9 +54,9 @@
 
 func (o *orders) put(key uint32, t fleet.Target, sequence uint64) {
 	if o.targets == nil {
-		o.targets = map[uint32]ordered{}
+		o.targets = map[uint32]orderedTarget{}
 	}
-	o.targets[key] = ordered{target: t, sequence: sequence}
+	o.targets[key] = orderedTarget{target: t, sequence: sequence}
 	delete(o.dropped, key)
 }
 
@@ -67,17 +66,17 @@
 	}
 	delete(o.targets, key)
 	o.dropped[key] = sequence
-	if len(o.dropped) > droppedKept {
+	if len(o.dropped) > maxDropped {
 		clear(o.dropped)
-		o.since = sequence
+		o.droppedSince = sequence
 	}
 }
 
-// tell writes what a daemon has to hear that knows the orders up to a sequence, or nothing
-// if that is 0.
-func (o *orders) tell(p *peermsg.Placement, known uint64) {
+// writeChanges adds to a message what a daemon lacks that knows the orders up to a sequence, or
+// all of them if that is 0.
+func (o *orders) writeChanges(p *peermsg.Placement, known uint64) {
 	p.Sequence = o.sequence
-	if known >= o.since {
+	if known >= o.droppedSince {
 		p.After = min(known, o.sequence)
 	}
 	for key, t := range o.targets {
@@ -92,14 +91,14 @@
 	}
 }
 
-// take takes what the holder has said, or another daemon has handed on, of the same holder
-// if they are changes. It reports whether the changes follow what is known.
-func (o *orders) take(p *peermsg.Placement) bool {
+// applyChanges applies a message with all orders or with changes, from the holder or passed on
+// by another daemon. It returns false if the message is older or leaves a gap.
+func (o *orders) applyChanges(p *peermsg.Placement) bool {
 	switch {
 	case p.After > o.sequence || p.Sequence < o.sequence:
 		return false
 	case p.After == 0:
-		*o = orders{since: p.Sequence}
+		*o = orders{droppedSince: p.Sequence}
 	}
 	for _, t := range p.Targets {
 		o.put(t.Upstream, fleet.Target{Layers: spanrill.LayerRange{From: t.From, To: t.To}, Done: t.Done}, p.Sequence)
--- a/coordination/exchange/packed.go
+++ b/coordination/exchange/packed.go
@@ -13,32 +13,34 @@
 	"spanrill/protocol/peermsg"
 )
 
-// packed is something large as peers fetch it: encoded and compressed once for each of its
-// versions, and for each earlier revision behind which changes are asked for, however many
-// ask.
-type packed struct {
+// packedCache caches a large value in the form that peers fetch: encoded and compressed once per
+// version, and once per earlier revision for which peers request the changes.
+type packedCache struct {
 	mu      sync.Mutex
 	version uint64
-	values  map[uint64]packedValue // by the revision behind which changes are asked for
+	values  map[uint64]packedValue // by the revision that the requester has
 }
 
-// packedValue is a value, and behind which revision it is the changes, or 0 for all.
+// packedValue is a compressed value. It holds the changes after a revision, or everything if
+// after is 0.
 type packedValue struct {
 	value []byte
 	after uint64
 }
 
-// packedKept bounds the values of one version: peers that lag differ by a round or two.
-const packedKept = 16
+// maxPackedValues bounds the values of one version: the revisions of lagging peers differ by a
+// round or two.
+const maxPackedValues = 16
 
-// at returns the value of a version, which build makes if it was not asked for before.
-func (p *packed) at(version, asked uint64, build func() (plain []byte, after uint64, err error)) (packedValue, error) {
+// get returns the value of a version for the revision that the requester has. It calls build
+// if the value is not cached.
+func (p *packedCache) get(version, since uint64, build func() (plain []byte, after uint64, err error)) (packedValue, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if version != p.version || len(p.values) >= packedKept {
+	if version != p.version || len(p.values) >= maxPackedValues {
 		p.version, p.values = version, map[uint64]packedValue{}
 	}
-	if v, ok := p.values[asked]; ok {
+	if v, ok := p.values[since]; ok {
 		return v, nil
 	}
 	plain, after, err := build()
@@ -50,19 +52,19 @@
 		return packedValue{}, err
 	}
 	v := packedValue{value: value, after: after}
-	p.values[asked] = v
+	p.values[since] = v
 	return v, nil
 }
 
-// maxUnpacked bounds what a peer sends: what the platform's store holds in one value,
-// twice, and three times the entries of 3,600 engines.
+// maxUnpacked bounds the decompressed size of a peer's message: twice the largest value of the
+// platform's store, and three times the entries of 3,600 engines.
 const maxUnpacked = 2 << 20
 
-// RouteConfig answers a question for the configuration. One of 250 routes takes 52 KB,
-// which is 21 ms on the slowest links, and a tenth of that when it is compressed.
+// RouteConfig answers a peer's request for the configuration. One of 250 routes takes 52 KB,
+// which is 21 ms on the slowest links, and a tenth of that compressed.
 func (e *Exchange) RouteConfig() *peermsg.RouteConfig {
 	revision := e.state.Config.Revision()
-	v, err := e.config.at(revision, 0, func() ([]byte, uint64, error) { return e.state.Config.Raw(), 0, nil })
+	v, err := e.packedConfig.get(revision, 0, func() ([]byte, uint64, error) { return e.state.Config.Raw(), 0, nil })
 	if err != nil {
 		events.ConfigRejected.Log(e.log, logrus.Fields{"revision": revision, "error": err})
 		return &peermsg.RouteConfig{}
@@ -70,14 +72,14 @@
 	return &peermsg.RouteConfig{Revision: revision, Value: v.value}
 }
 
-// Entries answers a question for the entries of upstreams with those that have changed, or
-// with all if the peer knows none, or fell behind. All of 1,001 take 158 KB and 1 ms of a
-// core for each that asks when they are encoded for it, and 22 KB once packed
-// (BenchmarkEntries). A seed of a fleet that starts is asked by all within half a second.
-func (e *Exchange) Entries(asked *peermsg.AskEntries) *peermsg.Entries {
+// Entries answers a peer's request for the entries of upstreams with those that have changed, or
+// with all if the peer has none or lags too far. Encoding all 1,001 entries for each request
+// takes 1 ms of a core and 158 KB; compressed once they take 22 KB (BenchmarkEntries). In a
+// starting fleet all daemons ask a seed within half a second.
+func (e *Exchange) Entries(req *peermsg.AskEntries) *peermsg.Entries {
 	at, change, age := e.state.Fleet.Proof()
-	v, err := e.entries.at(change, asked.After, func() ([]byte, uint64, error) {
-		k := e.state.Fleet.KnowledgeAfter(asked.After)
+	v, err := e.packedEntries.get(change, req.After, func() ([]byte, uint64, error) {
+		k := e.state.Fleet.KnowledgeAfter(req.After)
 		plain, err := peermsg.Encode(&peermsg.EntryList{Entries: k.Entries, Unreadable: k.Unreadable, Gone: k.Gone})
 		return plain, k.After, err
 	})
--- a/coordination/exchange/packed_test.go
+++ b/coordination/exchange/packed_test.go
@@ -9,7 +9,7 @@
 	"spanrill/state/fleet"
 )
 
-// manyEntries are entries of as many engines.
+// manyEntries returns the entries of n engines.
 func manyEntries(n int) fleet.Knowledge {
 	k := fleet.Knowledge{At: 9, Change: 9}
 	for i := range n {
@@ -21,27 +21,26 @@
 	return k
 }
 
-// Entries are encoded once for each version, and arrive as they were.
+// Entries are encoded once per version, and decode to what was encoded.
 func TestEntriesArePackedOnce(t *testing.T) {
 	_, here, there, _ := pair(1)
 	there.table.Merge(manyEntries(40), 0)
 	whole := &peermsg.AskEntries{}
 	first, again := there.exchange.Entries(whole), there.exchange.Entries(whole)
 	if &first.Packed[0] != &again.Packed[0] {
-		t.Error("they were encoded twice")
+		t.Error("entries were encoded twice")
 	}
 	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil || len(here.table.Knowledge().Entries) != 40 {
-		t.Fatalf("%d entries arrived, error %v", len(here.table.Knowledge().Entries), err)
+		t.Fatalf("%d entries received, want 40, error %v", len(here.table.Knowledge().Entries), err)
 	}
 	there.table.Merge(fleet.Knowledge{Entries: manyEntries(39).Entries, At: 10, Change: 10}, 0)
 	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil || len(here.table.Knowledge().Entries) != 39 {
-		t.Fatalf("%d entries arrived after a change, error %v", len(here.table.Knowledge().Entries), err)
+		t.Fatalf("%d entries received after a change, want 39, error %v", len(here.table.Knowledge().Entries), err)
 	}
 }
 
-// After one change a peer that knew all is told of that change alone: 66 KB when it was told
-// all 2,922 entries.
-func TestOneChangeIsToldAlone(t *testing.T) {
+// A peer that knows all entries receives a single change alone, not all 2,922 entries in 66 KB.
+func TestSingleChangeIsSentAlone(t *testing.T) {
 	c, here, there, _ := pair(1)
 	k := manyEntries(2922)
 	k.At, k.Change = 5000, 5000
@@ -65,7 +64,8 @@
 	}
 }
 
-// One answer with 1,001 entries: before, encoded for each that asks; now, once.
+// BenchmarkEntries compares an answer with 1,001 entries that is encoded for each request with
+// one that is encoded once.
 func BenchmarkEntries(b *testing.B) {
 	_, _, there, _ := pair(1)
 	there.table.Merge(manyEntries(1001), 0)
--- a/coordination/exchange/placement.go
+++ b/coordination/exchange/placement.go
@@ -8,140 +8,141 @@
 	"spanrill/state/fleet"
 )
 
-// placement is what the holder of the lease of placement has said, and when.
+// placement is what the holder of the placement lease reported, and when.
 type placement struct {
-	holder  string           // name, or "" if none is known
-	at      spanrill.Millis  // no later than it was said
-	version spanrill.Version // of its lease, or "" if it acts without
-	left    spanrill.Millis  // time for which the lease held then
-	slow    []peermsg.Pace
-	orders  orders
+	holder       string           // name of the daemon, or "" if unknown
+	reportedAt   spanrill.Millis  // at or before the time of the report
+	leaseVersion spanrill.Version // version of the lease, or "" if the holder acts without one
+	leaseLeft    spanrill.Millis  // remaining time of the lease at the report
+	slow         []peermsg.Pace
+	orders       orders
 }
 
 const (
-	// placementFresh is how long the holder's word is believed in a fleet that asks
-	// all others in every round: a few rounds.
-	placementFresh = spanrill.Second
-	// ownEvery is how often the holder looks at what it has to say, however many ask: a
-	// fifth of a round.
-	ownEvery spanrill.Millis = gap / 5
+	// placementTTL is how long a report of the holder is valid in a fleet whose daemons ask all
+	// others in every round: a few rounds.
+	placementTTL = spanrill.Second
+	// ownRefreshInterval is the shortest time between two updates of the holder's own report,
+	// however many peers ask: a fifth of a round.
+	ownRefreshInterval spanrill.Millis = roundInterval / 5
 )
 
-// fresh reports whether the holder was heard of lately.
-func (e *Exchange) fresh(p *placement) bool {
-	return p.holder != "" && e.clock.Now()-p.at < placementFresh+2*(e.SpreadTime()-gap)
+// isFresh reports whether a report of the holder is recent enough to be used.
+func (e *Exchange) isFresh(p *placement) bool {
+	return p.holder != "" && e.clock.Now()-p.reportedAt < placementTTL+2*(e.SpreadTime()-roundInterval)
 }
 
-// PlacementHeld reports whether another daemon has said lately that it holds the
-// lease of placement.
+// PlacementHeld reports whether another daemon recently reported that it holds the placement
+// lease.
 func (e *Exchange) PlacementHeld() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.fresh(&e.placement)
+	return e.isFresh(&e.placement)
 }
 
-// takePlacement takes what the holder of the lease said, from itself or from
-// another daemon.
-func (e *Exchange) takePlacement(said *peermsg.Placement, sent spanrill.Millis) {
-	if said == nil || said.Holder == e.state.Name {
+// mergePlacement merges a report of the lease holder, received from the holder itself or from
+// another daemon. From a new holder it accepts only a full report that is newer.
+func (e *Exchange) mergePlacement(report *peermsg.Placement, sent spanrill.Millis) {
+	if report == nil || report.Holder == e.state.Name {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p, at := &e.placement, sent-said.Age
+	p, at := &e.placement, sent-report.Age
 	switch {
-	case said.Holder == p.holder:
-		p.orders.take(said)
-	case at <= p.at || said.After > 0:
-		return // the next question says what is known here
+	case report.Holder == p.holder:
+		p.orders.applyChanges(report)
+	case at <= p.reportedAt || report.After > 0:
+		return // the next request states which orders are known here
 	default:
 		p.orders = orders{}
-		p.orders.take(said)
+		p.orders.applyChanges(report)
 	}
-	if at <= p.at {
+	if at <= p.reportedAt {
 		return
 	}
-	p.holder, p.at, p.version, p.left, p.slow = said.Holder, at, said.Version, said.Left, said.Slow
-	if said.Left > said.Age {
-		e.state.Lease.Heard(said.Version, said.Left-said.Age)
+	p.holder, p.reportedAt, p.leaseVersion, p.leaseLeft, p.slow = report.Holder, at, report.Version, report.Left, report.Slow
+	if report.Left > report.Age {
+		e.state.Lease.Heard(report.Version, report.Left-report.Age)
 	}
 }
 
-// forgetPlacement notes that a daemon which held the lease no longer says so.
-func (e *Exchange) forgetPlacement(name string, sent spanrill.Millis) {
+// clearPlacement clears the known lease holder if that peer no longer reports to hold the lease.
+func (e *Exchange) clearPlacement(name string, sent spanrill.Millis) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.placement.holder == name {
-		e.placement = placement{at: sent}
+		e.placement = placement{reportedAt: sent}
 	}
 }
 
-// knownOrders returns what this daemon knows of the orders, for one that it asks for news. In
-// a large fleet it is told of changes by its first parent alone while the holder is heard of.
-func (e *Exchange) knownOrders(t target) knownOrders {
+// knownOrdersFor returns what this daemon knows of the orders, for a request to a peer. In a
+// large fleet only the first recipient is asked for order changes while the holder's report is
+// fresh.
+func (e *Exchange) knownOrdersFor(to recipient) knownOrders {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	known := knownOrders{holder: e.placement.holder, sequence: e.placement.orders.sequence}
-	if t.noOrders && e.fresh(&e.placement) {
-		known.sequence = allOrders
+	if to.skipOrders && e.isFresh(&e.placement) {
+		known.sequence = skipOrdersSequence
 	}
 	return known
 }
 
-// allOrders is the sequence of a daemon that asks for no orders.
-const allOrders = math.MaxUint64
+// skipOrdersSequence is the sequence in a request that asks for no orders.
+const skipOrdersSequence = math.MaxUint64
 
-// ordersKnownBy returns what a peer knew of the orders when it answered last.
+// ordersKnownBy returns what a peer knew of the orders when it last answered.
 func (e *Exchange) ordersKnownBy(peer string) knownOrders {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peerKnows[peer]
+	return e.peerOrders[peer]
 }
 
-func (e *Exchange) notePeerKnows(peer string, said *peermsg.Placement) {
+func (e *Exchange) recordPeerOrders(peer string, report *peermsg.Placement) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if said == nil {
-		delete(e.peerKnows, peer)
+	if report == nil {
+		delete(e.peerOrders, peer)
 		return
 	}
-	e.peerKnows[peer] = knownOrders{holder: said.Holder, sequence: said.Sequence}
+	e.peerOrders[peer] = knownOrders{holder: report.Holder, sequence: report.Sequence}
 }
 
-// placementNews returns what this daemon says as the holder of the lease, or hands on of
-// what the holder said, to a daemon that knows some of it.
+// placementNews returns the placement report for a daemon with the given knowledge: this
+// daemon's own if it holds the lease, otherwise the last one of the holder if that is fresh.
 func (e *Exchange) placementNews(known knownOrders) *peermsg.Placement {
-	holds := e.state.Placement()
-	if holds {
-		e.lookAtOwn()
+	isHolder := e.state.Placement()
+	if isHolder {
+		e.refreshOwnPlacement()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := &e.placement
-	if holds {
-		p = &e.own
+	if isHolder {
+		p = &e.ownPlacement
 	}
-	if !holds && !e.fresh(p) {
+	if !isHolder && !e.isFresh(p) {
 		return nil
 	}
-	said := &peermsg.Placement{Holder: p.holder, Age: e.clock.Now() - p.at, Version: p.version, Left: p.left, Slow: p.slow}
+	report := &peermsg.Placement{Holder: p.holder, Age: e.clock.Now() - p.reportedAt, Version: p.leaseVersion, Left: p.leaseLeft, Slow: p.slow}
 	if known.holder != p.holder {
 		known.sequence = 0
 	}
-	p.orders.tell(said, known.sequence)
-	return said
+	p.orders.writeChanges(report, known.sequence)
+	return report
 }
 
-// lookAtOwn notes what this daemon has to say as the holder of the lease.
-func (e *Exchange) lookAtOwn() {
+// refreshOwnPlacement updates what this daemon reports as the lease holder.
+func (e *Exchange) refreshOwnPlacement() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now, p := e.clock.Now(), &e.own
-	if p.holder != "" && now-p.at < ownEvery {
+	now, p := e.clock.Now(), &e.ownPlacement
+	if p.holder != "" && now-p.reportedAt < ownRefreshInterval {
 		return
 	}
-	p.holder, p.at = e.state.Name, now
-	p.version, p.left = e.state.Lease.Left()
+	p.holder, p.reportedAt = e.state.Name, now
+	p.leaseVersion, p.leaseLeft = e.state.Lease.Left()
 	p.slow = nil
 	e.state.Fleet.EachActive(func(u *fleet.Upstream) {
 		if u.Slow() {
@@ -155,10 +156,10 @@
 	p.orders.set(targets)
 }
 
-// applyPaces takes from the holder of the lease, which asks all engines now and
-// then, which of them are slow. The caller holds the lock.
+// applyPaces sets how slow engines are, as reported by the lease holder, which asks all engines
+// from time to time. The caller must hold e.mu.
 func (e *Exchange) applyPaces() {
-	if !e.fresh(&e.placement) {
+	if !e.isFresh(&e.placement) {
 		return
 	}
 	paces := map[uint32]float64{}
@@ -166,20 +167,20 @@
 		paces[p.Upstream] = p.Times
 	}
 	changed := false
-	set := func(u *fleet.Upstream, pace float64) {
+	setPace := func(u *fleet.Upstream, pace float64) {
 		before := u.Slow()
 		u.SetPace(pace)
 		changed = changed || u.Slow() != before
 	}
 	e.state.Fleet.EachActive(func(u *fleet.Upstream) {
 		if _, slow := paces[u.Key()]; !slow {
-			set(u, 0)
+			setPace(u, 0)
 		}
 	})
 	view := e.state.Fleet.View()
 	for key, pace := range paces {
 		if u := view.ByKey(key); u != nil {
-			set(u, pace)
+			setPace(u, pace)
 		}
 	}
 	if changed {
--- a/coordination/exchange/start.go
+++ b/coordination/exchange/start.go
@@ -7,33 +7,31 @@
 	"spanrill/protocol/peermsg"
 )
 
-// A daemon that does not know yet what the platform's store holds asks the daemons that
-// it was told of, by their addresses, without waiting until it has heard who they are:
-// callers may be there already.
+// A starting daemon that has no configuration and entries yet asks its seeds by address, without
+// waiting for gossip to name them: callers may be waiting already.
 //
-// Of 300 daemons that start within 300 ms the last was ready 826 ms after its start, and 49
-// calls of the store were made in four seconds, when daemons waited for rounds of gossip
-// and news; now it is 199 ms and 11 calls (TestStartTogether).
+// With 300 daemons that start within 300 ms, the last one is ready 199 ms after its start, and
+// the store receives 11 calls (TestStartTogether). When daemons waited for rounds of gossip and
+// news, that took 826 ms and 49 calls in four seconds.
 
 const (
-	// firstGap is the pause behind the first question of a daemon that starts: a seed that
-	// started with it has listed what the store holds by then, in ten times its usual
-	// answer of 4 ms.
-	firstGap spanrill.Millis = 40
-	// gapGrowth lengthens each further pause up to that between rounds, so that hundreds
-	// of daemons ask a seed that starts late five times each at most.
-	gapGrowth = 1.5
-	// seedRounds is in how many rounds the seeds are asked in this way: for half a second.
-	// Who knows nothing by then hears of it from whom the seeds have told: a thousand
-	// entries are 160 KB, and seeds that a hundred daemons ask again and again tell nobody.
+	// firstPause is the pause after the first request of a starting daemon: by then a seed that
+	// started with it has listed the store, which usually takes 4 ms.
+	firstPause spanrill.Millis = 40
+	// pauseGrowth is the factor from one pause to the next, up to the pause between rounds, so that
+	// hundreds of daemons ask a seed that starts late at most five times each.
+	pauseGrowth = 1.5
+	// seedRounds is the number of rounds in which seeds are asked in this way: half a second. After
+	// that, a daemon without data gets it from peers that have it: a thousand entries are 160 KB,
+	// and seeds that a hundred daemons ask again and again answer none of them.
 	seedRounds = 5
-	// seedsAsked is to how many seeds a daemon puts each of these questions: one of them
-	// may be cut off.
-	seedsAsked = 2
+	// seedsPerRound is how many seeds a daemon asks in each of these rounds, since one of them may
+	// be unreachable.
+	seedsPerRound = 2
 )
 
-// informed reports whether this daemon knows a configuration and upstreams.
-func (e *Exchange) informed() bool {
+// initialized reports whether this daemon has a configuration and a list of upstreams.
+func (e *Exchange) initialized() bool {
 	select {
 	case <-e.state.Fleet.Seen():
 		return e.state.Config.Table() != nil
@@ -42,13 +40,13 @@
 	}
 }
 
-// someSeeds returns a few of the daemons that this one was told of. Their names are not
-// known, and their addresses stand for them.
-func (e *Exchange) someSeeds() []target {
+// randomSeeds returns a few random seeds. Their names are unknown, so their addresses serve as
+// names.
+func (e *Exchange) randomSeeds() []recipient {
 	seeds := append([]string(nil), e.state.Seeds...)
-	few := min(seedsAsked, len(seeds))
-	out := make([]target, few)
-	for i := range few {
+	count := min(seedsPerRound, len(seeds))
+	out := make([]recipient, count)
+	for i := range count {
 		k := i + e.random.IntN(len(seeds)-i)
 		seeds[i], seeds[k] = seeds[k], seeds[i]
 		out[i].member = peermsg.Member{Name: seeds[i], PeerAddr: seeds[i]}
@@ -56,12 +54,13 @@
 	return out
 }
 
-// Pause returns how long to wait before the next round.
+// Pause returns how long to wait before the next round. A starting daemon with seeds begins with
+// short pauses.
 func (e *Exchange) Pause() spanrill.Millis {
-	if e.informed() || len(e.state.Seeds) == 0 {
-		return gap*9/10 + spanrill.Millis(e.random.Float64()*float64(gap)/5)
+	if e.initialized() || len(e.state.Seeds) == 0 {
+		return roundInterval*9/10 + spanrill.Millis(e.random.Float64()*float64(roundInterval)/5)
 	}
-	pause := float64(firstGap) * math.Pow(gapGrowth, float64(e.early))
-	e.early++
-	return spanrill.Millis(min(pause, float64(gap)))
+	pause := float64(firstPause) * math.Pow(pauseGrowth, float64(e.startRounds))
+	e.startRounds++
+	return spanrill.Millis(min(pause, float64(roundInterval)))
 }
--- a/coordination/exchange/sums.go
+++ b/coordination/exchange/sums.go
@@ -10,51 +10,52 @@
 	"spanrill/state/fleet"
 )
 
-// sums is how the daemons of a large fleet know what all of them hold. Each tells
-// its parent in a tree the sum over itself and those below it, and is told the
-// sum of all. Each of the trees alone is enough; the fuller one is used.
-type sums struct {
-	below [roots]map[string]below // by name of the daemon below
-	fleet [roots]whole
+// treeSums holds the totals over the daemons of a large fleet. Each daemon sends its parent in a
+// tree the sum over itself and its subtree, and receives the total over all daemons. Either tree
+// alone suffices; the total that covers more daemons is used.
+type treeSums struct {
+	children [treeCount]map[string]childSum // by name of the child
+	totals   [treeCount]fleetTotal
 }
 
-// below is the sum that a daemon below has brought.
-type below struct {
+// childSum is the subtree sum that a child last sent.
+type childSum struct {
 	sum sum
 	at  spanrill.Millis
 }
 
-// whole is the sum over all daemons, and what of it is this daemon's own.
-type whole struct {
-	sum  sum
-	own  sum // as it was told to the parent
-	at   spanrill.Millis
-	rest *rest // of the other availability zones, if sum does not name their upstreams
+// fleetTotal is the sum over all daemons, and the part of this daemon in it.
+type fleetTotal struct {
+	sum     sum
+	own     sum // as sent to the parent
+	at      spanrill.Millis
+	unnamed *unnamedUses // uses in other availability zones, or nil if sum names all upstreams
 }
 
-// sum is a peermsg.Sum to reckon with.
+// sum is a peermsg.Sum in a form that can be added up.
 type sum struct {
 	daemons int
 	uses    map[uint32]use
 	retries map[string]retry.Count
-	rest    *rest // of upstreams that are not named, or nil
+	unnamed *unnamedUses // of upstreams that are not in uses, or nil
 }
 
+// use is the tokens and calls that requests hold at an upstream.
 type use struct{ tokens, calls int64 }
 
 func newSum() sum { return sum{uses: map[uint32]use{}, retries: map[string]retry.Count{}} }
 
-// add adds another sum times a factor.
-func (s *sum) add(o sum, times int64) {
-	s.daemons += o.daemons * int(times)
-	for id, u := range o.uses {
+// add adds another sum multiplied by a factor.
+func (s *sum) add(other sum, factor int64) {
+	s.daemons += other.daemons * int(factor)
+	for id, u := range other.uses {
 		old := s.uses[id]
-		s.uses[id] = use{tokens: old.tokens + times*u.tokens, calls: old.calls + times*u.calls}
+		s.uses[id] = use{tokens: old.tokens + factor*u.tokens, calls: old.calls + factor*u.calls}
 	}
-	for service, c := range o.retries {
+	for service, c := range other.retries {
 		old := s.retries[service]
 		s.retries[service] = retry.Count{
-			Requests: old.Requests + times*c.Requests, Retries: old.Retries + times*c.Retries, Recent: old.Recent + times*c.Recent,
+			Requests: old.Requests + factor*c.Requests, Retries: old.Retries + factor*c.Retries, Recent: old.Recent + factor*c.Recent,
 		}
 	}
 }
@@ -70,7 +71,7 @@
 	return m
 }
 
-func sumOf(m *peermsg.Sum) sum {
+func sumFromMessage(m *peermsg.Sum) sum {
 	s := newSum()
 	s.daemons = m.Daemons
 	for _, u := range m.Uses {
@@ -82,7 +83,7 @@
 	return s
 }
 
-// ownSum is this daemon's part.
+// ownSum returns the sum over this daemon alone.
 func (e *Exchange) ownSum() *sum {
 	s := newSum()
 	s.daemons = 1
@@ -97,126 +98,127 @@
 	return &s
 }
 
-// belowFresh is how old the sum of a daemon below may be: three rounds, so that
-// one question that was lost does not matter.
-const belowFresh = 3 * gap
+// childSumTTL is how old the sum of a child may be: three rounds, so that one lost request does
+// not matter.
+const childSumTTL = 3 * roundInterval
 
-// subtree is the sum over this daemon and those below it in a tree. The caller
-// holds the lock.
-func (e *Exchange) subtree(tree int, own *sum) sum {
+// subtreeSum returns the sum over this daemon and its subtree in a tree. The caller must hold
+// e.mu.
+func (e *Exchange) subtreeSum(tree int, own *sum) sum {
 	now, total := e.clock.Now(), newSum()
 	total.add(*own, 1)
-	for name, b := range e.sums.below[tree] {
-		if now-b.at > belowFresh {
-			delete(e.sums.below[tree], name)
+	for name, child := range e.sums.children[tree] {
+		if now-child.at > childSumTTL {
+			delete(e.sums.children[tree], name)
 			continue
 		}
-		total.add(b.sum, 1)
+		total.add(child.sum, 1)
 	}
 	return total
 }
 
-// question is what a daemon is asked; a parent in trees is told something too.
-func (e *Exchange) question(t target) *peermsg.AskNews {
-	q := &peermsg.AskNews{Name: e.state.Name, Suspects: e.state.Suspects.Digest(), Limits: e.state.Fleet.LimitsDigest()}
-	known := e.knownOrders(t)
-	q.Holder, q.Sequence = known.holder, known.sequence
-	if len(t.trees) == 0 {
-		return q
+// newsRequest returns the request for a peer's news. A request to a parent also carries the
+// subtree sums of this daemon and the placement orders that the parent lacks.
+func (e *Exchange) newsRequest(to recipient) *peermsg.AskNews {
+	req := &peermsg.AskNews{Name: e.state.Name, Suspects: e.state.Suspects.Digest(), Limits: e.state.Fleet.LimitsDigest()}
+	known := e.knownOrdersFor(to)
+	req.Holder, req.Sequence = known.holder, known.sequence
+	if len(to.trees) == 0 {
+		return req
 	}
 	own := e.ownSum()
-	q.Placement = e.placementNews(e.ordersKnownBy(t.member.Name))
+	req.Placement = e.placementNews(e.ordersKnownBy(to.member.Name))
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	q.Below, q.Brief = map[int]*peermsg.Sum{}, e.unneeded(t.trees)
-	for _, tree := range t.trees {
-		s := e.subtree(tree, own)
-		q.Below[tree] = s.message()
-		e.sums.fleet[tree].own = *own
+	req.Below, req.Brief = map[int]*peermsg.Sum{}, e.briefTrees(to.trees)
+	for _, tree := range to.trees {
+		s := e.subtreeSum(tree, own)
+		req.Below[tree] = s.message()
+		e.sums.totals[tree].own = *own
 	}
-	return q
+	return req
 }
 
-// takeBelow takes the sums of a daemon below.
-func (e *Exchange) takeBelow(asked *peermsg.AskNews) {
+// storeChildSums stores the subtree sums that a child sends with its request.
+func (e *Exchange) storeChildSums(req *peermsg.AskNews) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	for tree, m := range asked.Below {
-		if tree < 0 || tree >= roots || m == nil {
+	for tree, m := range req.Below {
+		if tree < 0 || tree >= treeCount || m == nil {
 			continue
 		}
-		if e.sums.below[tree] == nil {
-			e.sums.below[tree] = map[string]below{}
+		if e.sums.children[tree] == nil {
+			e.sums.children[tree] = map[string]childSum{}
 		}
-		e.sums.below[tree][asked.Name] = below{sum: sumOf(m), at: now}
+		e.sums.children[tree][req.Name] = childSum{sum: sumFromMessage(m), at: now}
 	}
 }
 
-// fleetNews returns the sums over all daemons, for the trees in which the one
-// that asks is below this one.
-func (e *Exchange) fleetNews(asked *peermsg.AskNews) map[int]*peermsg.FleetSum {
-	if len(asked.Below) == 0 {
+// fleetSums returns the sums over all daemons for the trees in which the asking daemon is a
+// child of this one.
+func (e *Exchange) fleetSums(req *peermsg.AskNews) map[int]*peermsg.FleetSum {
+	if len(req.Below) == 0 {
 		return nil
 	}
 	t, own := e.topology(), e.ownSum()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	news := map[int]*peermsg.FleetSum{}
-	for tree := range asked.Below {
-		if tree < 0 || tree >= roots {
+	for tree := range req.Below {
+		if tree < 0 || tree >= treeCount {
 			continue
 		}
 		if tree < len(t.ranked) && t.ranked[tree].Name == e.state.Name {
-			e.sums.fleet[tree] = whole{sum: e.subtree(tree, own), own: *own, at: e.clock.Now()}
+			e.sums.totals[tree] = fleetTotal{sum: e.subtreeSum(tree, own), own: *own, at: e.clock.Now()}
 		}
-		if w := &e.sums.fleet[tree]; w.sum.daemons > 0 {
-			news[tree] = e.fleetSum(w, t.zoneOf(asked.Name), slices.Contains(asked.Brief, tree))
+		if total := &e.sums.totals[tree]; total.sum.daemons > 0 {
+			news[tree] = e.fleetSum(total, t.zoneOf(req.Name), slices.Contains(req.Brief, tree))
 		}
 	}
 	return news
 }
 
-// takeFleet takes the sums over all daemons from a parent.
-func (e *Exchange) takeFleet(news map[int]*peermsg.FleetSum, sent spanrill.Millis) {
+// mergeFleetSums stores the sums over all daemons from a parent, unless newer ones are known.
+func (e *Exchange) mergeFleetSums(news map[int]*peermsg.FleetSum, sent spanrill.Millis) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for tree, m := range news {
-		if tree < 0 || tree >= roots || m == nil || sent-m.Age < e.sums.fleet[tree].at {
+		if tree < 0 || tree >= treeCount || m == nil || sent-m.Age < e.sums.totals[tree].at {
 			continue
 		}
-		w := &e.sums.fleet[tree]
-		w.sum, w.at, w.rest = sumOf(&m.Sum), sent-m.Age, restOf(m)
+		total := &e.sums.totals[tree]
+		total.sum, total.at, total.unnamed = sumFromMessage(&m.Sum), sent-m.Age, unnamedFromMessage(m)
 	}
 }
 
-// othersSum is what all other daemons hold, from the fuller of the trees that are
-// fresh. The caller holds the lock.
-func (e *Exchange) othersSum(now spanrill.Millis) (others sum, daemons int) {
-	best := e.fullest(now)
+// peerSumFromTrees returns the sum over all other daemons, and the number of daemons that it
+// covers with this one. The caller must hold e.mu.
+func (e *Exchange) peerSumFromTrees(now spanrill.Millis) (others sum, daemons int) {
+	best := e.fullestTree(now)
 	others = newSum()
 	if best < 0 {
 		return others, 1
 	}
-	w := e.sums.fleet[best]
-	others.add(w.sum, 1)
-	others.add(w.own, -1)
-	others.rest = w.rest
-	if w.rest != nil {
-		maps.DeleteFunc(others.uses, func(key uint32, _ use) bool { _, named := w.sum.uses[key]; return !named })
+	total := e.sums.totals[best]
+	others.add(total.sum, 1)
+	others.add(total.own, -1)
+	others.unnamed = total.unnamed
+	if total.unnamed != nil {
+		maps.DeleteFunc(others.uses, func(key uint32, _ use) bool { _, named := total.sum.uses[key]; return !named })
 	}
-	return others, w.sum.daemons
+	return others, total.sum.daemons
 }
 
-// fullest returns the fuller of the trees that are fresh and name upstreams, or -1. The
-// caller holds the lock.
-func (e *Exchange) fullest(now spanrill.Millis) int {
+// fullestTree returns the tree whose total covers the most daemons, among those that are fresh
+// and name upstreams, or -1. The caller must hold e.mu.
+func (e *Exchange) fullestTree(now spanrill.Millis) int {
 	best := -1
-	for tree, w := range e.sums.fleet {
-		if w.sum.daemons == 0 || now-w.at > keep || w.rest != nil && w.rest.brief {
+	for tree, total := range e.sums.totals {
+		if total.sum.daemons == 0 || now-total.at > newsTTL || total.unnamed != nil && total.unnamed.noneNamed {
 			continue
 		}
-		if best < 0 || w.sum.daemons > e.sums.fleet[best].sum.daemons {
+		if best < 0 || total.sum.daemons > e.sums.totals[best].sum.daemons {
 			best = tree
 		}
 	}
--- a/coordination/exchange/suspects.go
+++ b/coordination/exchange/suspects.go
@@ -8,28 +8,29 @@
 	"spanrill/protocol/peermsg"
 )
 
-// suspectNews returns what one that keeps back what the digest says has to hear.
+// suspectNews returns the marks for a peer whose ledger has the given digest.
 func (e *Exchange) suspectNews(digest uint64) []peermsg.SuspectMark {
 	return SuspectMarks(e.state.Suspects.News(digest))
 }
 
-// SuspectMarks returns marks in the form that is sent.
+// SuspectMarks returns marks in the form in which they are sent.
 func SuspectMarks(marks []suspect.Mark) []peermsg.SuspectMark {
-	told := make([]peermsg.SuspectMark, len(marks))
+	out := make([]peermsg.SuspectMark, len(marks))
 	for i, m := range marks {
-		told[i] = peermsg.SuspectMark{Content: uint64(m.Content), Upstream: m.Upstream, Age: m.Age, Fresh: m.Fresh, Trial: m.Trial}
+		out[i] = peermsg.SuspectMark{Content: uint64(m.Content), Upstream: m.Upstream, Age: m.Age, Fresh: m.Fresh, Trial: m.Trial}
 	}
-	return told
+	return out
 }
 
-// TakeSuspects takes what a peer has told. Marks are older by the time that the message
-// took, which is less than the times at which requests find one end differ by.
-func (e *Exchange) TakeSuspects(told []peermsg.SuspectMark) {
-	marks := make([]suspect.Mark, len(told))
-	for i, m := range told {
+// TakeSuspects merges marks from a peer. Their ages do not include the time that the message
+// took, which is shorter than the differences between the times at which requests detect the
+// same end.
+func (e *Exchange) TakeSuspects(received []peermsg.SuspectMark) {
+	marks := make([]suspect.Mark, len(received))
+	for i, m := range received {
 		marks[i] = suspect.Mark{Content: suspect.Content(m.Content), Upstream: m.Upstream, Age: m.Age, Fresh: m.Fresh, Trial: m.Trial}
 	}
-	if news := e.state.Suspects.Take(marks); news > 0 {
-		events.SuspectsHeard.Log(e.log, logrus.Fields{"marks": len(marks), "news": news})
+	if added := e.state.Suspects.Take(marks); added > 0 {
+		events.SuspectsHeard.Log(e.log, logrus.Fields{"marks": len(marks), "news": added})
 	}
 }
--- a/coordination/exchange/tree.go
+++ b/coordination/exchange/tree.go
@@ -11,86 +11,86 @@
 	"spanrill/protocol/peermsg"
 )
 
-// roots is the number of trees over all daemons. Their roots are the first in the
-// order in which daemons ask the platform's store: news goes on when one is cut off.
-const roots = 2
+// treeCount is the number of trees over all daemons. Their roots are the first daemons in the
+// order in which daemons ask the platform's store. With two trees, news still arrives when one
+// root is unreachable.
+const treeCount = 2
 
-// target is a daemon to ask, and the numbers of the trees in which it is the
-// parent of this one.
-type target struct {
-	member   peermsg.Member
-	trees    []int
-	noOrders bool // it is not asked for orders to engines
+// recipient is a daemon to ask in a round.
+type recipient struct {
+	member     peermsg.Member
+	trees      []int // numbers of the trees in which it is the parent of this daemon
+	skipOrders bool  // do not ask it for placement orders
 }
 
-// targets returns whom to ask in this round: the parents of this daemon in the
-// trees, the holder of the lease if this daemon is near the root, and those that
-// were not asked for longest.
-func (e *Exchange) targets() []target {
+// recipients returns the daemons to ask in this round. In a small fleet these are all others.
+func (e *Exchange) recipients() []recipient {
 	t := e.topology()
 	others := len(t.ranked) - 1
-	if int64(others) > e.others.Swap(int64(others)) {
-		e.grewAt.Store(int64(e.clock.Now()))
+	if int64(others) > e.otherCount.Swap(int64(others)) {
+		e.lastAddedAt.Store(int64(e.clock.Now()))
 	}
 	if settled := e.Settled(); settled != e.wasSettled.Swap(settled) && settled {
 		events.FleetKnown.Log(e.log, logrus.Fields{"daemons": 1 + others})
 	}
-	var out []target
+	var out []recipient
 	if others > fanout {
-		out = e.chosen(t)
+		out = e.treeRecipients(t)
 	} else {
 		for _, m := range e.peers.Others() {
-			out = append(out, target{member: m})
+			out = append(out, recipient{member: m})
 		}
 	}
-	if !e.informed() && e.early < seedRounds {
-		out = append(out, e.someSeeds()...)
+	if !e.initialized() && e.startRounds < seedRounds {
+		out = append(out, e.randomSeeds()...)
 	}
 	return out
 }
 
-// chosen returns whom to ask in a large fleet.
-func (e *Exchange) chosen(t *topology) []target {
+// treeRecipients returns the daemons to ask in a large fleet: the parents of this daemon in the
+// trees, the lease holder if this daemon is a root, and the least recently asked others, those
+// of its own availability zone first.
+func (e *Exchange) treeRecipients(t *topology) []recipient {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	parents, holder := e.near(t)
-	out := make([]target, 0, asked)
+	parents, holder := e.fixedPeers(t)
+	out := make([]recipient, 0, askedPerRound)
 	add := func(at int) {
 		m := t.ranked[at]
-		out = append(out, target{member: m, trees: parents[m.Name], noOrders: len(out) > 0})
+		out = append(out, recipient{member: m, trees: parents[m.Name], skipOrders: len(out) > 0})
 	}
 	for at, m := range t.ranked {
 		if m.Name != e.state.Name && (len(parents[m.Name]) > 0 || m.Name == holder) {
 			add(at)
 		}
 	}
-	n := asked * (1 + min(mostLate, e.state.Late()))
-	for _, pool := range [][]int{t.near, t.far} {
-		for _, at := range e.longestUnasked(t, pool, n-len(out), out) {
+	n := askedPerRound * (1 + min(maxLateRounds, e.state.Late()))
+	for _, pool := range [][]int{t.sameZone, t.otherZones} {
+		for _, at := range e.leastRecentlyAsked(t, pool, n-len(out), out) {
 			add(at)
 		}
 	}
 	return out
 }
 
-// longestUnasked returns the daemons of a pool that were not asked for longest, up to a
-// number, and none of those that are targets already. Of equal ones chance decides. The
-// caller holds the lock.
-func (e *Exchange) longestUnasked(t *topology, pool []int, n int, targets []target) []int {
+// leastRecentlyAsked returns the ranks of up to n daemons of a pool that were asked least
+// recently, without those that are recipients already. Ties are broken at random. The caller
+// must hold e.mu.
+func (e *Exchange) leastRecentlyAsked(t *topology, pool []int, n int, chosen []recipient) []int {
 	var out []int
 	for range n {
-		best, equal := -1, 0
+		best, ties := -1, 0
 		for _, at := range pool {
 			name := t.ranked[at].Name
-			if slices.Contains(out, at) || slices.ContainsFunc(targets, func(t target) bool { return t.member.Name == name }) {
+			if slices.Contains(out, at) || slices.ContainsFunc(chosen, func(t recipient) bool { return t.member.Name == name }) {
 				continue
 			}
 			switch {
 			case best < 0 || e.askedAt[name] < e.askedAt[t.ranked[best].Name]:
-				best, equal = at, 1
+				best, ties = at, 1
 			case e.askedAt[name] == e.askedAt[t.ranked[best].Name]:
-				equal++
-				if e.random.IntN(equal) == 0 {
+				ties++
+				if e.random.IntN(ties) == 0 {
 					best = at
 				}
 			}
@@ -103,59 +103,59 @@
 	return out
 }
 
-// topology is the trees as this daemon sees them. It is worked out anew when a daemon comes
-// or goes.
+// topology describes the trees as this daemon sees them. It is rebuilt when a daemon joins or
+// leaves.
 type topology struct {
-	ranked []peermsg.Member
-	self   int   // place of this daemon in ranked, or -1
-	near   []int // places of the other daemons of its availability zone
-	far    []int // places of all others
-	depth  int   // levels of a tree
-	// zones are the names of the daemons of the availability zone in the order of each
-	// tree, and ats are the places of this daemon among them.
-	zones [roots][]string
-	ats   [roots]int
+	ranked     []peermsg.Member
+	selfRank   int   // index of this daemon in ranked, or -1
+	sameZone   []int // indexes of the other daemons in this daemon's availability zone
+	otherZones []int // indexes of all other daemons
+	depth      int   // levels of a tree
+	// zoneMembers are the names of the daemons in this daemon's availability zone, in the order of
+	// each tree. zoneRanks are the indexes of this daemon among them.
+	zoneMembers [treeCount][]string
+	zoneRanks   [treeCount]int
 }
 
-// topology returns the trees over the daemons that are alive.
+// topology returns the trees over the live daemons.
 func (e *Exchange) topology() *topology {
 	ranked := e.peers.Ranked()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if t := e.trees; t != nil && len(t.ranked) == len(ranked) && len(ranked) > 0 && &t.ranked[0] == &ranked[0] {
+	if t := e.cachedTopology; t != nil && len(t.ranked) == len(ranked) && len(ranked) > 0 && &t.ranked[0] == &ranked[0] {
 		return t
 	}
-	e.trees = newTopology(ranked, e.state.Name)
-	e.forgetAsked(ranked)
-	e.deepest.Store(int64(e.trees.depth))
-	return e.trees
+	e.cachedTopology = newTopology(ranked, e.state.Name)
+	e.pruneDeparted(ranked)
+	e.depth.Store(int64(e.cachedTopology.depth))
+	return e.cachedTopology
 }
 
 func newTopology(ranked []peermsg.Member, self string) *topology {
-	t := &topology{ranked: ranked, self: place(ranked, self), depth: depth(ranked)}
+	t := &topology{ranked: ranked, selfRank: rankOf(ranked, self), depth: treeDepth(ranked)}
 	zone := ""
-	if t.self >= 0 {
-		zone = ranked[t.self].Zone
+	if t.selfRank >= 0 {
+		zone = ranked[t.selfRank].Zone
 	}
 	for at, m := range ranked {
 		switch {
-		case at == t.self:
+		case at == t.selfRank:
 		case m.Zone == zone:
-			t.near = append(t.near, at)
+			t.sameZone = append(t.sameZone, at)
 		default:
-			t.far = append(t.far, at)
+			t.otherZones = append(t.otherZones, at)
 		}
 	}
-	for tree := range t.zones {
+	for tree := range t.zoneMembers {
 		for i := range ranked {
 			m := ranked[(tree+i)%len(ranked)]
 			if m.Zone != zone {
 				continue
 			}
 			if m.Name == self {
-				t.ats[tree] = len(t.zones[tree])
+				t.zoneRanks[tree] = len(t.zoneMembers[tree])
 			}
-			t.zones[tree] = append(t.zones[tree], m.Name)
+			t.zoneMembers[tree] = append(t.zoneMembers[tree], m.Name)
 		}
 	}
 	return t
@@ -164,124 +164,125 @@
 // root returns the name of the root of a tree.
 func (t *topology) root(tree int) string { return t.ranked[tree%len(t.ranked)].Name }
 
-// forgetAsked forgets when daemons were asked that are gone. The caller holds
-// the lock.
-func (e *Exchange) forgetAsked(alive []peermsg.Member) {
+// pruneDeparted drops the state kept for daemons that are not alive. The caller must hold e.mu.
+func (e *Exchange) pruneDeparted(alive []peermsg.Member) {
 	names := make(map[string]bool, len(alive))
 	for _, m := range alive {
 		names[m.Name] = true
 	}
 	maps.DeleteFunc(e.askedAt, func(name string, _ spanrill.Millis) bool { return !names[name] })
-	maps.DeleteFunc(e.mute, func(name string, _ bool) bool { return !names[name] })
-	maps.DeleteFunc(e.peerKnows, func(name string, _ knownOrders) bool { return !names[name] })
+	maps.DeleteFunc(e.unresponsive, func(name string, _ bool) bool { return !names[name] })
+	maps.DeleteFunc(e.peerOrders, func(name string, _ knownOrders) bool { return !names[name] })
 }
 
-// noteMute notes whether a peer has answered its last question.
-func (e *Exchange) noteMute(name string, mute bool) {
+// setUnresponsive records whether a peer failed to answer the last request.
+func (e *Exchange) setUnresponsive(name string, unresponsive bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if mute {
-		e.mute[name] = true
+	if unresponsive {
+		e.unresponsive[name] = true
 		return
 	}
-	delete(e.mute, name)
+	delete(e.unresponsive, name)
 }
 
-// Mute reports whether a peer did not answer the last question of this daemon. A peer that was
-// never asked is not mute.
+// Mute reports whether a peer did not answer the last request of this daemon. It is false for a
+// peer that was never asked.
 func (e *Exchange) Mute(name string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.mute[name]
+	return e.unresponsive[name]
 }
 
-// near returns those that this daemon asks in every round: its parents, by name,
-// with the trees, and at a root the holder of the lease. The caller holds the lock.
-func (e *Exchange) near(t *topology) (parents map[string][]int, holder string) {
+// fixedPeers returns the peers that this daemon asks in every round: its parents by name, with
+// the trees, and the lease holder if this daemon is a root. The caller must hold e.mu.
+func (e *Exchange) fixedPeers(t *topology) (parents map[string][]int, holder string) {
 	parents = map[string][]int{}
-	if t.self < 0 {
+	if t.selfRank < 0 {
 		return parents, ""
 	}
-	for tree := range roots {
+	for tree := range treeCount {
 		if name := e.parent(t, tree); name != "" {
 			parents[name] = append(parents[name], tree)
 		}
 	}
-	if t.self < roots {
+	if t.selfRank < treeCount {
 		holder = e.placement.holder
 	}
 	return parents, holder
 }
 
-// parent returns the name of this daemon's parent in a tree, or "" at the root. In each
-// availability zone, the daemon at place i has the one at place (i-1)/fanout as its
-// parent, and the first has the root: little crosses between zones. A parent that did not
-// answer its last question is passed over for its own parent. The caller holds the lock.
+// parent returns the name of this daemon's parent in a tree, or "" at the root. Within each
+// availability zone, the parent of the daemon at index i is the one at (i-1)/fanout, and the
+// parent of the first is the root, so that little traffic crosses zones. A parent that did not
+// answer the last request is skipped in favor of its own parent. The caller must hold e.mu.
 func (e *Exchange) parent(t *topology, tree int) string {
 	root := t.root(tree)
 	if root == e.state.Name {
 		return ""
 	}
-	for at := t.ats[tree]; at > 0; {
+	for at := t.zoneRanks[tree]; at > 0; {
 		at = (at - 1) / fanout
-		if name := t.zones[tree][at]; !e.mute[name] {
+		if name := t.zoneMembers[tree][at]; !e.unresponsive[name] {
 			return name
 		}
 	}
 	return root
 }
 
-// place returns the rank of a daemon, or -1.
-func place(ranked []peermsg.Member, name string) int {
+// rankOf returns the index of a daemon in the ranked members, or -1.
+func rankOf(ranked []peermsg.Member, name string) int {
 	return slices.IndexFunc(ranked, func(m peermsg.Member) bool { return m.Name == name })
 }
 
-// levels is through how many daemons news goes from a root until all have it.
-func (e *Exchange) levels() int {
-	if e.others.Load() <= fanout {
+// broadcastRounds returns in how many rounds news from a root reaches all daemons.
+func (e *Exchange) broadcastRounds() int {
+	if e.otherCount.Load() <= fanout {
 		return 1
 	}
-	return int(max(1, e.deepest.Load()))
+	return int(max(1, e.depth.Load()))
 }
 
-// settleTime is how long no daemon was added before the fleet is taken as known:
-// three rounds of the members' gossip.
+// settleTime is how long no daemon must have joined before the fleet counts as known: three
+// gossip rounds of the members.
 const settleTime spanrill.Millis = 1500
 
-// aloneTime is how long a daemon that was told of others and has heard of none takes
-// them for late: longer than it takes all to start.
-const aloneTime = 5 * spanrill.Second
+// seedWait is how long a daemon with seeds that has heard of no other daemon still expects them
+// to start: longer than it takes all of them.
+const seedWait = 5 * spanrill.Second
 
 // Settled reports whether this daemon knows how many others there are.
 func (e *Exchange) Settled() bool {
-	if len(e.state.Seeds) > 0 && e.others.Load() == 0 && e.clock.Now()-e.startedAt < aloneTime {
+	if len(e.state.Seeds) > 0 && e.otherCount.Load() == 0 && e.clock.Now()-e.startedAt < seedWait {
 		return false
 	}
-	return e.clock.Now()-spanrill.Millis(e.grewAt.Load()) >= settleTime
+	return e.clock.Now()-spanrill.Millis(e.lastAddedAt.Load()) >= settleTime
 }
 
-// depth is the levels of a tree over these daemons.
-func depth(ranked []peermsg.Member) int {
+// treeDepth returns the number of levels of a tree over these daemons.
+func treeDepth(ranked []peermsg.Member) int {
 	sizes := map[string]int{}
-	most := 0
+	largest := 0
 	for _, m := range ranked {
 		sizes[m.Zone]++
-		most = max(most, sizes[m.Zone])
+		largest = max(largest, sizes[m.Zone])
 	}
-	n := 1
-	for reach := 1; reach < most; reach = reach*fanout + 1 {
-		n++
+	levels := 1
+	for covered := 1; covered < largest; covered = covered*fanout + 1 {
+		levels++
 	}
-	return n
+	return levels
 }
 
-// SpreadTime is how long news takes from a root of the trees to all daemons.
-func (e *Exchange) SpreadTime() spanrill.Millis { return gap * spanrill.Millis(e.levels()) }
+// SpreadTime returns how long news takes from a root of the trees to all daemons.
+func (e *Exchange) SpreadTime() spanrill.Millis {
+	return roundInterval * spanrill.Millis(e.broadcastRounds())
+}
 
-// Rounds is in how many rounds the figures of every other daemon arrive.
+// Rounds returns in how many rounds the figures of every other daemon arrive.
 func (e *Exchange) Rounds() int {
-	if e.others.Load() <= fanout {
+	if e.otherCount.Load() <= fanout {
 		return 1
 	}
-	return 2 * e.levels() // up to the root and down again
+	return 2 * e.broadcastRounds() // up to the root and down again
 }
