--- a/coordination/suspect/content.go
+++ b/coordination/suspect/content.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Content identifies what a caller asks for. A request that comes again has the same
-// content under another request id, on whatever daemon.
+// Content identifies what a caller asks for. A repeated request has the same content under another
+// request id, on any daemon.
 type Content uint64
 
-// ContentOf returns the content of a request: who asks (a client account, or ""), the
-// host and the path with its query, and the body.
+// ContentOf returns the content of a request: the client account or "", the host, the path with
+// its query, and the body.
 func ContentOf(account, host, path string, body []byte) Content {
 	d := xxhash.New()
 	for _, part := range []string{account, host, path} {
@@ -25,5 +25,5 @@
 	return Content(d.Sum64())
 }
 
-// String returns the form used in logs.
+// String returns the content as hexadecimal digits, as in logs and in the store.
 func (c Content) String() string { return fmt.Sprintf("%016x", uint64(c)) }
--- a/coordination/suspect/keeper.go
+++ b/coordination/suspect/keeper.go
@@ -13,22 +13,23 @@
 	"spanrill/events"
 )
 
-// Keeper keeps in the store what the ledger keeps back, for the case that all daemons end:
-// the requests come again behind it, and each daemon would let the next engines end. One
-// daemon at a time does it. In calm it makes one call, when its duty begins.
+// Keeper keeps the contents that are held back or proved in the store, so that they survive the
+// end of all daemons: their requests return afterwards, and each daemon would let them crash
+// further engines. One daemon at a time does this. While nothing changes, it makes one call to
+// the store, when it becomes active.
 type Keeper struct {
-	ledger *Ledger
-	store  spanrill.ObjectStore
-	clock  spanrill.Clock
-	log    logrus.FieldLogger
-	duty   func() bool // whether it is this daemon that does it
-	era    func() uint64
-
-	loaded  bool
-	version spanrill.Version
-	written uint64          // digest of what the store holds
-	pauseTo spanrill.Millis // no call before, behind one that has failed
-	loadEra uint64          // era of the store when the marks were loaded
+	ledger   *Ledger
+	store    spanrill.ObjectStore
+	clock    spanrill.Clock
+	log      logrus.FieldLogger
+	isActive func() bool // reports whether this daemon is the one that does it
+	era      func() uint64
+
+	loaded        bool
+	version       spanrill.Version
+	writtenDigest uint64          // of the marks in the store
+	retryAt       spanrill.Millis // no call before this time, after one that failed
+	loadedEra     uint64          // era of the store when the marks were loaded
 }
 
 // KeeperOption changes a default of NewKeeper.
@@ -41,72 +42,74 @@
 }
 
 const (
-	// keptKey is where the marks lie in the store.
-	keptKey = "suspects/kept"
-	// keepGap is how often the keeper looks: what is new is kept within this time.
-	keepGap spanrill.Millis = 500
-	// keepPause is the pause behind a call that has failed.
-	keepPause = 2 * spanrill.Second
+	// storeKey is the key of the marks in the store.
+	storeKey = "suspects/kept"
+	// syncInterval is the pause between two calls of Sync: new marks are stored within this time.
+	syncInterval spanrill.Millis = 500
+	// errorBackoff is the pause after a failed call.
+	errorBackoff = 2 * spanrill.Second
 )
 
-// keptMark is a mark in the store. A time of day outlives the daemons' own clocks.
-type keptMark struct {
+// storedMark is a mark in the store. Its time is wall-clock time, which stays valid when a daemon
+// and its own clock end.
+type storedMark struct {
 	Content  string          `json:"content"`
 	Upstream uint32          `json:"upstream"`
 	At       spanrill.Millis `json:"at_unix_ms"`
 	Fresh    bool            `json:"fresh"`
 }
 
-type keptMarks struct {
-	Marks []keptMark `json:"marks"`
+type storedMarks struct {
+	Marks []storedMark `json:"marks"`
 }
 
-// NewKeeper returns a keeper that works as long as duty returns true.
-func NewKeeper(ledger *Ledger, store spanrill.ObjectStore, clock spanrill.Clock, log logrus.FieldLogger, duty func() bool, opts ...KeeperOption) *Keeper {
-	k := &Keeper{ledger: ledger, store: store, clock: clock, log: log, duty: duty, era: func() uint64 { return 0 }}
+// NewKeeper returns a keeper that is active while isActive returns true.
+func NewKeeper(ledger *Ledger, store spanrill.ObjectStore, clock spanrill.Clock, log logrus.FieldLogger, isActive func() bool, opts ...KeeperOption) *Keeper {
+	k := &Keeper{ledger: ledger, store: store, clock: clock, log: log, isActive: isActive, era: func() uint64 { return 0 }}
 	for _, o := range opts {
 		o(k)
 	}
 	return k
 }
 
-// Run keeps until the context ends.
+// Run calls Sync periodically until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		k.Look(ctx)
+		k.Sync(ctx)
 		select {
 		case <-ctx.Done():
-		case <-k.clock.After(keepGap):
+		case <-k.clock.After(syncInterval):
 		}
 	}
 	return ctx.Err()
 }
 
-// Look reads what is kept when the duty begins, and writes it when it has changed.
-func (k *Keeper) Look(ctx context.Context) {
-	if !k.duty() {
+// Sync loads the stored marks when the keeper becomes active, and writes the marks that have
+// changed since.
+func (k *Keeper) Sync(ctx context.Context) {
+	if !k.isActive() {
 		k.loaded = false
 		return
 	}
-	if k.clock.Now() < k.pauseTo {
+	if k.clock.Now() < k.retryAt {
 		return
 	}
-	k.loaded = k.loaded && k.era() == k.loadEra
-	if err := k.keep(ctx); err != nil {
-		k.pauseTo = k.clock.Now() + keepPause
+	k.loaded = k.loaded && k.era() == k.loadedEra
+	if err := k.writeIfChanged(ctx); err != nil {
+		k.retryAt = k.clock.Now() + errorBackoff
 		events.SuspectsNotKept.Log(k.log, logrus.Fields{"error": err})
 	}
 }
 
-func (k *Keeper) keep(ctx context.Context) error {
+func (k *Keeper) writeIfChanged(ctx context.Context) error {
 	if !k.loaded {
 		if err := k.load(ctx); err != nil {
 			return err
 		}
-		k.loadEra = k.era()
+		k.loadedEra = k.era()
 	}
 	digest := k.ledger.Digest()
-	if digest == k.written {
+	if digest == k.writtenDigest {
 		return nil
 	}
 	marks := k.ledger.KeepsBack()
@@ -114,56 +117,56 @@
 	if err != nil {
 		return fmt.Errorf("encode marks: %w", err)
 	}
-	version, err := k.store.Put(ctx, keptKey, value, k.version)
+	version, err := k.store.Put(ctx, storeKey, value, k.version)
 	if err != nil {
-		k.loaded = false // another daemon has written it, or this write may have taken effect
+		k.loaded = false // another daemon has written, or this write may have taken effect
 		return fmt.Errorf("write marks: %w", err)
 	}
-	k.version, k.written = version, digest
+	k.version, k.writtenDigest = version, digest
 	events.SuspectsKept.Log(k.log, logrus.Fields{"marks": len(marks)})
 	return nil
 }
 
 func (k *Keeper) load(ctx context.Context) error {
-	object, err := k.store.Get(ctx, keptKey)
+	object, err := k.store.Get(ctx, storeKey)
 	if errors.Is(err, spanrill.ErrNotFound) {
-		k.loaded, k.version, k.written = true, "", 0
+		k.loaded, k.version, k.writtenDigest = true, "", 0
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("read marks: %w", err)
 	}
-	var kept keptMarks
-	if err := json.Unmarshal(object.Value, &kept); err != nil {
-		events.SuspectsNotKept.Log(k.log, logrus.Fields{"error": fmt.Errorf("decode marks: %w", err)}) // written anew
+	var stored storedMarks
+	if err := json.Unmarshal(object.Value, &stored); err != nil {
+		events.SuspectsNotKept.Log(k.log, logrus.Fields{"error": fmt.Errorf("decode marks: %w", err)}) // the next write replaces it
 	}
-	marks := k.decode(kept)
-	news := k.ledger.Take(marks)
-	k.loaded, k.version, k.written = true, object.Version, k.digestOf(marks)
-	events.SuspectsRead.Log(k.log, logrus.Fields{"marks": len(kept.Marks), "news": news})
+	marks := k.decode(stored)
+	added := k.ledger.Take(marks)
+	k.loaded, k.version, k.writtenDigest = true, object.Version, k.digestOf(marks)
+	events.SuspectsRead.Log(k.log, logrus.Fields{"marks": len(stored.Marks), "news": added})
 	return nil
 }
 
-// digestOf is the digest of marks alone: the ledger may know more than the store holds.
+// digestOf returns the digest of the given marks alone: the ledger may know more than the store.
 func (k *Keeper) digestOf(marks []Mark) uint64 {
-	alone := New(k.clock)
-	alone.Take(marks)
-	return alone.Digest()
+	scratch := New(k.clock)
+	scratch.Take(marks)
+	return scratch.Digest()
 }
 
-func (k *Keeper) encode(marks []Mark) keptMarks {
-	kept := keptMarks{Marks: make([]keptMark, len(marks))}
+func (k *Keeper) encode(marks []Mark) storedMarks {
+	stored := storedMarks{Marks: make([]storedMark, len(marks))}
 	for i, m := range marks {
-		kept.Marks[i] = keptMark{Content: m.Content.String(), Upstream: m.Upstream, At: k.clock.Unix() - m.Age, Fresh: m.Fresh}
+		stored.Marks[i] = storedMark{Content: m.Content.String(), Upstream: m.Upstream, At: k.clock.Unix() - m.Age, Fresh: m.Fresh}
 	}
-	return kept
+	return stored
 }
 
-// decode leaves out what cannot be read. A clock that was set back makes no mark older than
-// now.
-func (k *Keeper) decode(kept keptMarks) []Mark {
-	marks := make([]Mark, 0, len(kept.Marks))
-	for _, m := range kept.Marks {
+// decode skips marks that cannot be parsed. A mark from the future, as after the wall clock was
+// set back, gets age 0.
+func (k *Keeper) decode(stored storedMarks) []Mark {
+	marks := make([]Mark, 0, len(stored.Marks))
+	for _, m := range stored.Marks {
 		content, err := strconv.ParseUint(m.Content, 16, 64)
 		if err != nil {
 			continue
--- a/coordination/suspect/keeper_test.go
+++ b/coordination/suspect/keeper_test.go
@@ -12,15 +12,15 @@
 	"spanrill/clock"
 )
 
-// cell is a store of one object.
-type cell struct {
+// memoryStore is a store of one object.
+type memoryStore struct {
 	spanrill.ObjectStore
 	object spanrill.Object
 	calls  int
 	down   bool
 }
 
-func (c *cell) Get(context.Context, string) (spanrill.Object, error) {
+func (c *memoryStore) Get(context.Context, string) (spanrill.Object, error) {
 	c.calls++
 	switch {
 	case c.down:
@@ -31,7 +31,7 @@
 	return c.object, nil
 }
 
-func (c *cell) Put(_ context.Context, _ string, value []byte, expect spanrill.Version) (spanrill.Version, error) {
+func (c *memoryStore) Put(_ context.Context, _ string, value []byte, expect spanrill.Version) (spanrill.Version, error) {
 	c.calls++
 	switch {
 	case c.down:
@@ -43,101 +43,101 @@
 	return c.object.Version, nil
 }
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// prove lets three upstreams end under a content.
-func prove(l *Ledger, c Content, at spanrill.Millis) {
-	for u := range uint32(provedAfter) {
+// proveContent records the crash of three upstreams under a content, which proves it.
+func proveContent(l *Ledger, c Content, at spanrill.Millis) {
+	for u := range uint32(provedThreshold) {
 		l.Lost(c, Loss{Upstream: u, At: at, Fresh: true})
 	}
 }
 
-// What one daemon has kept is known to one that starts when no daemon lives any more, and a
-// calm fleet makes one call.
-func TestKeptBeyondAllDaemons(t *testing.T) {
-	c, store, ctx := clock.NewManual(), &cell{}, context.Background()
+// Marks written by one daemon are known to a daemon that starts after all others have ended. A
+// fleet without losses makes one call to the store.
+func TestMarksSurviveRestartOfAllDaemons(t *testing.T) {
+	c, store, ctx := clock.NewManual(), &memoryStore{}, context.Background()
 	always := func() bool { return true }
 	first := New(c)
-	keeper := NewKeeper(first, store, c, quiet(), always)
+	keeper := NewKeeper(first, store, c, discardLogger(), always)
 	for range 20 {
-		c.Advance(keepGap)
-		keeper.Look(ctx)
+		c.Advance(syncInterval)
+		keeper.Sync(ctx)
 	}
 	if store.calls != 1 {
-		t.Errorf("%d calls in calm, want 1", store.calls)
+		t.Errorf("%d calls without losses, want 1", store.calls)
 	}
-	prove(first, 7, c.Now())
-	keeper.Look(ctx)
+	proveContent(first, 7, c.Now())
+	keeper.Sync(ctx)
 	next := New(c)
-	NewKeeper(next, store, c, quiet(), always).Look(ctx)
+	NewKeeper(next, store, c, discardLogger(), always).Sync(ctx)
 	if !next.Begin(7).Judge().Proved() {
-		t.Fatal("a daemon that starts does not know what was kept")
+		t.Fatal("a starting daemon does not know the stored marks")
 	}
 }
 
-// Two daemons that both take the duty for theirs, a store that is away for a while, and bytes
-// that cannot be read lose nothing.
-func TestKeepersMeet(t *testing.T) {
-	c, store, ctx := clock.NewManual(), &cell{}, context.Background()
+// No marks are lost when two daemons are active at the same time, when the store is unavailable
+// for a while, or when the stored bytes cannot be decoded.
+func TestConcurrentKeepersLoseNoMarks(t *testing.T) {
+	c, store, ctx := clock.NewManual(), &memoryStore{}, context.Background()
 	ledgers := []*Ledger{New(c), New(c)}
 	var keepers []*Keeper
 	for _, l := range ledgers {
-		keepers = append(keepers, NewKeeper(l, store, c, quiet(), func() bool { return true }))
+		keepers = append(keepers, NewKeeper(l, store, c, discardLogger(), func() bool { return true }))
 	}
-	look := func() {
+	syncAll := func() {
 		for range 4 {
-			c.Advance(keepPause)
+			c.Advance(errorBackoff)
 			for _, k := range keepers {
-				k.Look(ctx)
+				k.Sync(ctx)
 			}
 		}
 	}
-	look()
-	prove(ledgers[0], 1, c.Now())
-	prove(ledgers[1], 2, c.Now())
+	syncAll()
+	proveContent(ledgers[0], 1, c.Now())
+	proveContent(ledgers[1], 2, c.Now())
 	store.down = true
-	look()
+	syncAll()
 	store.down = false
-	look()
+	syncAll()
 	next := New(c)
-	k := NewKeeper(next, store, c, quiet(), func() bool { return true })
-	k.Look(ctx)
+	k := NewKeeper(next, store, c, discardLogger(), func() bool { return true })
+	k.Sync(ctx)
 	if !next.Begin(1).Judge().Proved() || !next.Begin(2).Judge().Proved() {
-		t.Error("the store does not hold what both have found")
+		t.Error("the store lacks marks of one of the two daemons")
 	}
 	store.object.Value = []byte(`{"marks": "none"}`)
 	next = New(c)
-	k = NewKeeper(next, store, c, quiet(), func() bool { return true })
-	k.Look(ctx)
-	prove(next, 3, c.Now())
-	k.Look(ctx)
+	k = NewKeeper(next, store, c, discardLogger(), func() bool { return true })
+	k.Sync(ctx)
+	proveContent(next, 3, c.Now())
+	k.Sync(ctx)
 	after := New(c)
-	NewKeeper(after, store, c, quiet(), func() bool { return true }).Look(ctx)
+	NewKeeper(after, store, c, discardLogger(), func() bool { return true }).Sync(ctx)
 	if !after.Begin(3).Judge().Proved() {
-		t.Error("nothing is kept behind bytes that cannot be read")
+		t.Error("no marks are written over bytes that cannot be decoded")
 	}
 }
 
 // Guards against the loss of marks when the store is restored from an older copy.
 func TestMarksKeptAfterRestore(t *testing.T) {
-	c, store, era := clock.NewManual(), &cell{}, uint64(1)
+	c, store, era := clock.NewManual(), &memoryStore{}, uint64(1)
 	first := New(c)
-	keeper := NewKeeper(first, store, c, quiet(), func() bool { return true }, WithEra(func() uint64 { return era }))
-	keeper.Look(context.Background())
+	keeper := NewKeeper(first, store, c, discardLogger(), func() bool { return true }, WithEra(func() uint64 { return era }))
+	keeper.Sync(context.Background())
 	older := store.object
-	prove(first, 7, c.Now())
-	keeper.Look(context.Background())
+	proveContent(first, 7, c.Now())
+	keeper.Sync(context.Background())
 	store.object, era = older, 2
 	for range 3 {
-		c.Advance(keepPause)
-		keeper.Look(context.Background())
+		c.Advance(errorBackoff)
+		keeper.Sync(context.Background())
 	}
 	next := New(c)
-	NewKeeper(next, store, c, quiet(), func() bool { return true }).Look(context.Background())
+	NewKeeper(next, store, c, discardLogger(), func() bool { return true }).Sync(context.Background())
 	if !next.Begin(7).Judge().Proved() {
 		t.Error("the restored store lacks a mark that was written before the restore")
 	}
--- a/coordination/suspect/ledger.go
+++ b/coordination/suspect/ledger.go
@@ -7,28 +7,28 @@
 	"spanrill"
 )
 
-// Loss is the end of an upstream under a request.
+// Loss is the crash of an upstream while it served a request.
 type Loss struct {
 	Upstream uint32          // hash of its name
 	At       spanrill.Millis // on the ledger's clock
-	Fresh    bool            // the request had begun to run there shortly before, or not yet
+	Fresh    bool            // the request had started there at most FreshTime ago, or not yet
 }
 
-// loss is one that the ledger holds.
+// loss is a Loss in the ledger.
 type loss struct {
 	Loss
-	heard spanrill.Millis // when it was noted here
+	recordedAt spanrill.Millis // when this daemon recorded it
 }
 
-// suspicion is what is known of a content.
-type suspicion struct {
-	losses  []loss
-	trial   spanrill.Millis // when one that was kept back was tried last, at any daemon
-	tried   bool
-	heardOf spanrill.Millis // when that trial was noted here
+// contentState is what is known of a content.
+type contentState struct {
+	losses          []loss
+	lastTrial       spanrill.Millis // when it was last tried after being held back, on any daemon
+	hasTrial        bool
+	trialRecordedAt spanrill.Millis // when this daemon recorded that trial
 }
 
-// Verdict says whether a request may be sent.
+// Verdict tells whether a request may be sent.
 type Verdict struct {
 	losses     int
 	refused    bool
@@ -39,290 +39,291 @@
 // Refused reports whether the request must not be sent.
 func (v Verdict) Refused() bool { return v.refused }
 
-// Proved reports whether it is refused because enough upstreams have ended under it, and
-// not only kept back for a while.
+// Proved reports whether the request is refused because enough upstreams have crashed under it,
+// and not only held back for a while.
 func (v Verdict) Proved() bool { return v.proved }
 
-// Losses returns how many upstreams have ended under the request.
+// Losses returns how many upstreams have crashed under the request.
 func (v Verdict) Losses() int { return v.losses }
 
-// RetryAfter returns when the caller of a request that is refused should come back.
+// RetryAfter returns how long the caller of a refused request should wait before it retries.
 func (v Verdict) RetryAfter() spanrill.Millis { return v.retryAfter }
 
-// Ledger counts the upstreams that have ended under each content.
+// Ledger records the upstreams that have crashed under each content.
 type Ledger struct {
-	clock spanrill.Clock
-	draw  func() float64 // from 0 to 1
-
-	mu       sync.Mutex
-	suspects map[Content]*suspicion
-	served   *served
-	trials   int // requests under way that were kept back before
-	heardAt  spanrill.Millis
-	told     digest
+	clock  spanrill.Clock
+	random func() float64 // from 0 to 1
+
+	mu         sync.Mutex
+	suspects   map[Content]*contentState
+	served     *recentlyServed
+	trials     int             // trials in progress on this daemon
+	lastNewsAt spanrill.Millis // when a new loss or trial was last recorded
+	cached     digestCache
 }
 
-// digest is what keeps requests back in short, and when that was worked out.
-type digest struct {
-	sum uint64
-	at  spanrill.Millis
-	ok  bool
+// digestCache holds the last digest of the contents that are held back or proved.
+type digestCache struct {
+	value      uint64
+	computedAt spanrill.Millis
+	valid      bool
 }
 
 // Option changes a default of New.
 type Option func(*Ledger)
 
-// WithDraw sets what draws numbers from 0 to 1, by which callers are told different times.
-func WithDraw(draw func() float64) Option {
-	return func(l *Ledger) { l.draw = draw }
+// WithDraw sets the source of random numbers from 0 to 1 for the jitter of Retry-After.
+func WithDraw(random func() float64) Option {
+	return func(l *Ledger) { l.random = random }
 }
 
-// New returns a ledger that knows of no losses.
+// New returns an empty ledger.
 func New(clock spanrill.Clock, opts ...Option) *Ledger {
-	l := &Ledger{clock: clock, draw: func() float64 { return 0 }, suspects: map[Content]*suspicion{}, served: newServed(clock.Now())}
+	l := &Ledger{clock: clock, random: func() float64 { return 0 }, suspects: map[Content]*contentState{}, served: newRecentlyServed(clock.Now())}
 	for _, o := range opts {
 		o(l)
 	}
 	return l
 }
 
-// Lost notes that an upstream has ended under a request, and returns what follows. Contents
-// that were answered whole just before are none that end upstreams: many callers may ask
-// for the same.
-func (l *Ledger) Lost(c Content, by Loss) Verdict {
+// Lost records that an upstream has crashed under a request, and returns the verdict on the
+// request. Losses of contents that were served recently are ignored: many callers may send the
+// same content, and it did not crash the upstream that answered it.
+func (l *Ledger) Lost(c Content, lost Loss) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	if !l.served.lately(c, now) {
-		l.note(c, by, now)
+	if !l.served.contains(c, now) {
+		l.record(c, lost, now)
 	}
-	return l.judge(c, now, false)
+	return l.evaluate(c, now, false)
 }
 
-// note adds a loss that is not known yet, and reports whether it was. The caller holds the
-// lock.
-func (l *Ledger) note(c Content, by Loss, now spanrill.Millis) bool {
-	news := l.add(c, by, now)
-	if news {
-		l.heardAt, l.told.ok = now, false
+// record adds a loss and reports whether it was new. The caller must hold l.mu.
+func (l *Ledger) record(c Content, lost Loss, now spanrill.Millis) bool {
+	isNew := l.insert(c, lost, now)
+	if isNew {
+		l.lastNewsAt, l.cached.valid = now, false
 	}
-	return news
+	return isNew
 }
 
-// add is note without what hangs on all contents. The caller holds the lock.
-func (l *Ledger) add(c Content, by Loss, now spanrill.Millis) bool {
+// insert adds a loss to its content and reports whether it was new. Unlike record, it leaves the
+// digest and lastNewsAt alone. The caller must hold l.mu.
+func (l *Ledger) insert(c Content, lost Loss, now spanrill.Millis) bool {
 	s := l.suspects[c]
-	if s != nil && s.isOver(now) {
+	if s != nil && s.isExpired(now) {
 		s.losses = nil
 	}
 	if s == nil {
-		if l.makeRoom(now); len(l.suspects) >= kept {
+		if l.evict(now); len(l.suspects) >= maxContents {
 			return false // all of them are proved
 		}
-		s = &suspicion{}
+		s = &contentState{}
 		l.suspects[c] = s
 	}
 	for i := range s.losses {
 		known := &s.losses[i]
-		if known.Upstream == by.Upstream && by.At-known.At < sameEnd && known.At-by.At < sameEnd {
-			news := by.Fresh && !known.Fresh
-			known.Fresh = known.Fresh || by.Fresh
-			if news {
-				known.heard = now
+		if known.Upstream == lost.Upstream && lost.At-known.At < crashMergeWindow && known.At-lost.At < crashMergeWindow {
+			isNew := lost.Fresh && !known.Fresh
+			known.Fresh = known.Fresh || lost.Fresh
+			if isNew {
+				known.recordedAt = now
 			}
-			return news
+			return isNew
 		}
 	}
-	if len(s.losses) >= lossesKept {
+	if len(s.losses) >= maxLosses {
 		return false
 	}
-	s.losses = append(s.losses, loss{Loss: by, heard: now})
+	s.losses = append(s.losses, loss{Loss: lost, recordedAt: now})
 	return true
 }
 
-// lossesKept bounds the losses of one content: more change nothing.
-const lossesKept = 6
+// maxLosses bounds the losses of one content: further ones do not change its verdict.
+const maxLosses = 6
 
-// makeRoom forgets what is too old if all places are taken, and if that is not enough, those
-// heard of longest ago: an eighth at a time, so that a flood of losses is not sorted for each
-// of them. The caller holds the lock.
-func (l *Ledger) makeRoom(now spanrill.Millis) {
-	if len(l.suspects) < kept {
+// evict makes room when the ledger is full. It removes expired contents, and if that is not
+// enough, those that are not proved and have the oldest losses: an eighth at a time, so that a
+// flood of losses does not sort all contents for each of them. The caller must hold l.mu.
+func (l *Ledger) evict(now spanrill.Millis) {
+	if len(l.suspects) < maxContents {
 		return
 	}
-	var ages []spanrill.Millis // of those that may go
+	var ages []spanrill.Millis // of the contents that may be evicted
 	for c, s := range l.suspects {
-		if s.isOver(now) {
+		if s.isExpired(now) {
 			delete(l.suspects, c)
-		} else if !s.proved() {
-			ages = append(ages, now-s.last())
+		} else if !s.isProved() {
+			ages = append(ages, now-s.lastLoss())
 		}
 	}
-	goes := len(l.suspects) - kept*7/8
-	if goes <= 0 || len(ages) == 0 {
+	excess := len(l.suspects) - maxContents*7/8
+	if excess <= 0 || len(ages) == 0 {
 		return
 	}
 	slices.Sort(ages)
-	limit := ages[max(0, len(ages)-goes)]
+	minAge := ages[max(0, len(ages)-excess)]
 	for c, s := range l.suspects {
-		if goes > 0 && !s.proved() && now-s.last() >= limit {
+		if excess > 0 && !s.isProved() && now-s.lastLoss() >= minAge {
 			delete(l.suspects, c)
-			goes--
+			excess--
 		}
 	}
 }
 
-// last returns when the last loss was.
-func (s *suspicion) last() spanrill.Millis {
+// lastLoss returns the time of the latest loss.
+func (s *contentState) lastLoss() spanrill.Millis {
 	at := s.losses[0].At
-	for _, k := range s.losses[1:] {
-		at = max(at, k.At)
+	for _, lost := range s.losses[1:] {
+		at = max(at, lost.At)
 	}
 	return at
 }
 
-// since is from when the time counts for which the content is kept back: the last loss or
-// trial. A trial that brings nothing new, as when the upstream has no room, is followed by
-// the next one as late as a loss is.
-func (s *suspicion) since() spanrill.Millis {
-	if s.tried {
-		return max(s.last(), s.trial)
+// heldSince returns the time from which holdTime counts: the last loss or trial. After a trial
+// without result, as when the upstream has no room, the next one waits as long as after a loss.
+func (s *contentState) heldSince() spanrill.Millis {
+	if s.hasTrial {
+		return max(s.lastLoss(), s.lastTrial)
 	}
-	return s.last()
+	return s.lastLoss()
 }
 
-// isOver reports whether what is known is too old to count.
-func (s *suspicion) isOver(now spanrill.Millis) bool {
-	memory := suspectMemory
-	if s.proved() {
-		memory = provedMemory
+// isExpired reports whether the losses are too old to count.
+func (s *contentState) isExpired(now spanrill.Millis) bool {
+	ttl := suspectTTL
+	if s.isProved() {
+		ttl = provedTTL
 	}
-	return now-s.last() >= memory
+	return now-s.lastLoss() >= ttl
 }
 
-func (s *suspicion) proved() bool { return len(s.losses) >= provedAfter }
+func (s *contentState) isProved() bool { return len(s.losses) >= provedThreshold }
 
-func (s *suspicion) held() bool { return s.fresh() >= heldAfter }
+func (s *contentState) isHeld() bool { return s.freshLosses() >= heldThreshold }
 
-func (s *suspicion) fresh() (n int) {
-	for _, k := range s.losses {
-		if k.Fresh {
+func (s *contentState) freshLosses() (n int) {
+	for _, lost := range s.losses {
+		if lost.Fresh {
 			n++
 		}
 	}
 	return n
 }
 
-// Served notes that a request was answered whole: it is not what upstreams end of.
+// Served records that a request was answered completely, so its content does not crash upstreams.
 func (l *Ledger) Served(c Content) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.served.note(c, l.clock.Now())
+	l.served.add(c, l.clock.Now())
 	if l.suspects[c] != nil {
 		delete(l.suspects, c)
-		l.told.ok = false
+		l.cached.valid = false
 	}
 }
 
-// Judge returns what is known of a content. It begins no trial.
+// Judge returns the verdict on a content without starting a trial.
 func (l *Ledger) Judge(c Content) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.judge(c, l.clock.Now(), false)
+	return l.evaluate(c, l.clock.Now(), false)
 }
 
-// Try is a request under way. It is used by one goroutine.
+// Try tracks a request from its arrival to its end. It is not safe for concurrent use.
 type Try struct {
 	ledger  *Ledger
 	content Content
-	trial   bool // it was kept back before, and others wait for its end
+	trial   bool // the request is the trial of a held content; others wait for its end
 	sent    bool
-	sentAt  spanrill.Millis // the first time in its trial
+	sentAt  spanrill.Millis // when it was first sent in its trial
 }
 
-// Begin begins a request that has come. Its End must be called.
+// Begin starts to track a request that has arrived. The caller must call End.
 func (l *Ledger) Begin(c Content) *Try { return &Try{ledger: l, content: c} }
 
-// Judge says whether the request may be sent now, for the first time or once more.
-func (t *Try) Judge() Verdict {
-	l := t.ledger
+// Judge returns whether the request may be sent now, for the first time or again. It starts a
+// trial if the content was held back until now.
+func (g *Try) Judge() Verdict {
+	l := g.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	v := l.judge(t.content, now, t.trial)
-	s := l.suspects[t.content]
+	v := l.evaluate(g.content, now, g.trial)
+	s := l.suspects[g.content]
 	switch {
-	case v.refused || s == nil || !s.held():
-	case !t.trial:
-		t.trial = true
+	case v.refused || s == nil || !s.isHeld():
+	case !g.trial:
+		g.trial = true
 		l.trials++
-	case t.sent && now-t.sentAt < trialTime:
-		v.refused, v.retryAfter = true, l.comesBack(holdTime)
+	case g.sent && now-g.sentAt < trialTime:
+		v.refused, v.retryAfter = true, l.jitteredWait(holdTime)
 	}
 	return v
 }
 
-// Sent notes that the request is sent to an upstream, and reports whether its trial begins with
-// that: all daemons have to hear of it at once. In its trial it is sent to one: what is refused
-// or breaks off there must not meet the next.
-func (t *Try) Sent() (begins bool) {
-	if !t.trial || t.sent {
+// Sent records that the request is sent to an upstream. It returns true if that begins a trial,
+// which must be announced to all daemons at once. In a trial the request goes to one upstream
+// only: after a refusal or a break-off there it must not reach another one.
+func (g *Try) Sent() (begins bool) {
+	if !g.trial || g.sent {
 		return false
 	}
-	l := t.ledger
+	l := g.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.sent, t.sentAt = true, l.clock.Now()
-	if s := l.suspects[t.content]; s != nil {
-		s.noteTrial(t.sentAt, t.sentAt)
+	g.sent, g.sentAt = true, l.clock.Now()
+	if s := l.suspects[g.content]; s != nil {
+		s.recordTrial(g.sentAt, g.sentAt)
 	}
 	return true
 }
 
-// noteTrial notes that a request of the content is tried, and reports whether that is news.
-func (s *suspicion) noteTrial(at, now spanrill.Millis) bool {
-	if s.tried && at-s.trial < sameTrial {
+// recordTrial records a trial of the content, and reports whether it was new.
+func (s *contentState) recordTrial(at, now spanrill.Millis) bool {
+	if s.hasTrial && at-s.lastTrial < trialMergeWindow {
 		return false
 	}
-	s.tried, s.trial, s.heardOf = true, at, now
+	s.hasTrial, s.lastTrial, s.trialRecordedAt = true, at, now
 	return true
 }
 
-// comesBack is when a caller should come back that has to wait that long. Callers of one
-// content are told different times: four that were told the same came to four daemons within
-// 72 ms, and two more upstreams ended.
-func (l *Ledger) comesBack(wait spanrill.Millis) spanrill.Millis {
-	return wait + spanrill.Millis(l.draw()*float64(comeSpread))
+// jitteredWait adds jitter to a caller's wait, so that callers of one content return at different
+// times. Four callers with the same wait returned to four daemons within 72 ms, and two more
+// upstreams crashed.
+func (l *Ledger) jitteredWait(wait spanrill.Millis) spanrill.Millis {
+	return wait + spanrill.Millis(l.random()*float64(retryAfterJitter))
 }
 
-// End ends the request.
-func (t *Try) End() {
-	if !t.trial {
+// End ends the tracking of the request, and its trial if it is one.
+func (g *Try) End() {
+	if !g.trial {
 		return
 	}
-	t.trial = false
-	t.ledger.mu.Lock()
-	defer t.ledger.mu.Unlock()
-	t.ledger.trials--
+	g.trial = false
+	g.ledger.mu.Lock()
+	defer g.ledger.mu.Unlock()
+	g.ledger.trials--
 }
 
-// judge follows from what is known. The caller holds the lock.
-func (l *Ledger) judge(c Content, now spanrill.Millis, trial bool) Verdict {
+// evaluate returns the verdict on a content; isTrial tells whether the request is its trial. The
+// caller must hold l.mu.
+func (l *Ledger) evaluate(c Content, now spanrill.Millis, isTrial bool) Verdict {
 	s := l.suspects[c]
-	if s == nil || s.isOver(now) {
+	if s == nil || s.isExpired(now) {
 		return Verdict{}
 	}
 	v := Verdict{losses: len(s.losses)}
-	switch waited := now - s.since(); {
-	case s.proved():
-		v.refused, v.proved, v.retryAfter = true, true, provedRetry
-	case !s.held():
+	switch waited := now - s.heldSince(); {
+	case s.isProved():
+		v.refused, v.proved, v.retryAfter = true, true, provedRetryAfter
+	case !s.isHeld():
 	case waited < holdTime:
-		if !trial {
-			v.refused, v.retryAfter = true, l.comesBack(holdTime-waited)
+		if !isTrial {
+			v.refused, v.retryAfter = true, l.jitteredWait(holdTime-waited)
 		}
-	case l.trials > 0 && !trial:
-		v.refused, v.retryAfter = true, trialRetry
+	case l.trials > 0 && !isTrial:
+		v.refused, v.retryAfter = true, trialRetryAfter
 	}
 	return v
 }
--- a/coordination/suspect/ledger_test.go
+++ b/coordination/suspect/ledger_test.go
@@ -8,56 +8,56 @@
 	"spanrill/clock"
 )
 
-// step is something that happens to one content after a time.
-type step struct {
-	after spanrill.Millis
-	lost  uint32 // upstream that ends, or 0
-	long  bool   // the request has run there for long
-	ok    bool   // the request is answered whole
+// event is what happens to a content after a delay.
+type event struct {
+	delay        spanrill.Millis
+	lostUpstream uint32 // upstream that crashes, or 0
+	ranLong      bool   // the request has run there longer than FreshTime
+	served       bool   // the request is answered completely
 }
 
-func (s step) play(c *clock.Manual, l *Ledger, content Content) {
-	c.Advance(s.after)
-	if s.ok {
+func (e event) apply(c *clock.Manual, l *Ledger, content Content) {
+	c.Advance(e.delay)
+	if e.served {
 		l.Served(content)
 	}
-	if s.lost != 0 {
-		l.Lost(content, Loss{Upstream: s.lost, At: c.Now(), Fresh: !s.long})
+	if e.lostUpstream != 0 {
+		l.Lost(content, Loss{Upstream: e.lostUpstream, At: c.Now(), Fresh: !e.ranLong})
 	}
 }
 
-// What follows from the ends of upstreams under a request.
-func TestJudge(t *testing.T) {
+// The verdict on a content follows from the crashes under it, and does not affect other contents.
+func TestVerdict(t *testing.T) {
 	for _, c := range []struct {
 		name            string
-		steps           []step
+		events          []event
 		refused, proved bool
 	}{
-		{"nothing is known", nil, false, false},
-		{"one end", []step{{lost: 1}}, false, false},
-		{"one end, found by many requests", []step{{lost: 1}, {after: 300, lost: 1}, {after: 900, lost: 1}}, false, false},
-		{"two ends just after it came", []step{{lost: 1}, {after: 200, lost: 2}}, true, false},
-		{"one upstream that ends twice", []step{{lost: 1}, {after: 4000, lost: 1}}, true, false},
-		{"two ends, of which it had run for long at the first", []step{{lost: 1, long: true}, {after: 200, lost: 2}}, false, false},
-		{"three ends, whatever it had run", []step{{lost: 1, long: true}, {after: 200, lost: 2, long: true}, {after: 200, lost: 3, long: true}}, true, true},
-		{"two ends, and time for the fleet to come back", []step{{lost: 1}, {after: 200, lost: 2}, {after: holdTime}}, false, false},
-		{"three ends, and the same time", []step{{lost: 1}, {after: 200, lost: 2}, {after: 200, lost: 3}, {after: holdTime}}, true, true},
-		{"a third one in its trial", []step{{lost: 1}, {after: 200, lost: 2}, {after: holdTime, lost: 3}}, true, true},
-		{"it was answered behind two ends", []step{{lost: 1}, {after: 200, lost: 2}, {after: 100, ok: true}}, false, false},
-		{"it is answered again and again, and upstreams end", []step{{ok: true}, {after: 100, lost: 1}, {after: 100, lost: 2}, {after: 100, lost: 3}}, false, false},
-		{"it was answered long before", []step{{ok: true}, {after: 3 * servedTime, lost: 1}, {after: 100, lost: 2}, {after: 100, lost: 3}}, true, true},
-		{"one that is proved is tried again much later", []step{{lost: 1}, {lost: 2}, {lost: 3}, {after: provedMemory}}, false, false},
-		{"losses that lie far apart", []step{{lost: 1}, {after: suspectMemory, lost: 2}}, false, false},
+		{"no crash", nil, false, false},
+		{"one crash", []event{{lostUpstream: 1}}, false, false},
+		{"one crash, reported by many requests", []event{{lostUpstream: 1}, {delay: 300, lostUpstream: 1}, {delay: 900, lostUpstream: 1}}, false, false},
+		{"two crashes shortly after its start", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}}, true, false},
+		{"one upstream that crashes twice", []event{{lostUpstream: 1}, {delay: 4000, lostUpstream: 1}}, true, false},
+		{"two crashes, the first after a long run", []event{{lostUpstream: 1, ranLong: true}, {delay: 200, lostUpstream: 2}}, false, false},
+		{"three crashes after long runs", []event{{lostUpstream: 1, ranLong: true}, {delay: 200, lostUpstream: 2, ranLong: true}, {delay: 200, lostUpstream: 3, ranLong: true}}, true, true},
+		{"two crashes, then holdTime", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: holdTime}}, false, false},
+		{"three crashes, then holdTime", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: 200, lostUpstream: 3}, {delay: holdTime}}, true, true},
+		{"a third crash in its trial", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: holdTime, lostUpstream: 3}}, true, true},
+		{"answered after two crashes", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: 100, served: true}}, false, false},
+		{"answered shortly before three crashes", []event{{served: true}, {delay: 100, lostUpstream: 1}, {delay: 100, lostUpstream: 2}, {delay: 100, lostUpstream: 3}}, false, false},
+		{"answered long before three crashes", []event{{served: true}, {delay: 3 * servedSpan, lostUpstream: 1}, {delay: 100, lostUpstream: 2}, {delay: 100, lostUpstream: 3}}, true, true},
+		{"proved, then provedTTL", []event{{lostUpstream: 1}, {lostUpstream: 2}, {lostUpstream: 3}, {delay: provedTTL}}, false, false},
+		{"two crashes with suspectTTL in between", []event{{lostUpstream: 1}, {delay: suspectTTL, lostUpstream: 2}}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := clock.NewManual()
 			l := New(now)
-			for _, s := range c.steps {
-				s.play(now, l, 7)
+			for _, e := range c.events {
+				e.apply(now, l, 7)
 			}
 			v := l.Begin(7).Judge()
 			if v.Refused() != c.refused || v.Proved() != c.proved || v.Refused() && v.RetryAfter() <= 0 {
-				t.Fatalf("refused %t, proved %t, back after %d ms", v.Refused(), v.Proved(), v.RetryAfter())
+				t.Fatalf("refused %t, proved %t, retry after %d ms", v.Refused(), v.Proved(), v.RetryAfter())
 			}
 			if other := l.Begin(8).Judge(); other.Refused() {
 				t.Fatal("another request is refused")
@@ -66,8 +66,7 @@
 	}
 }
 
-// Of the requests that were kept back one at a time is tried, and the others wait for its
-// end.
+// Requests that were held back are tried one at a time; the others wait for the end of the trial.
 func TestOneTrialAtATime(t *testing.T) {
 	c := clock.NewManual()
 	l := New(c)
@@ -78,36 +77,36 @@
 	c.Advance(holdTime)
 	first, second := l.Begin(0), l.Begin(1)
 	if first.Judge().Refused() || first.Judge().Refused() || !second.Judge().Refused() {
-		t.Fatal("want one trial, which may go on")
+		t.Fatal("want one trial, which may continue")
 	}
 	first.End()
 	if second.Judge().Refused() {
-		t.Fatal("no other trial behind the first one")
+		t.Fatal("no second trial after the end of the first")
 	}
 	second.End()
 }
 
-// fleetOf plays daemons that tell one another in rounds, each asking some others.
-type fleetOf struct {
+// testFleet is a fleet of ledgers that exchange news in rounds, each asking some others.
+type testFleet struct {
 	clock   *clock.Manual
 	daemons []*Ledger
 	round   int
 }
 
-const testRound spanrill.Millis = 250
+const newsInterval spanrill.Millis = 250
 
-func newFleetOf(n int) *fleetOf {
-	f := &fleetOf{clock: clock.NewManual()}
+func newTestFleet(n int) *testFleet {
+	f := &testFleet{clock: clock.NewManual()}
 	for range n {
 		f.daemons = append(f.daemons, New(f.clock))
 	}
 	return f
 }
 
-// tell is one round in which each daemon asks up to four others.
-func (f *fleetOf) tell() {
+// exchangeNews runs one round in which each daemon asks up to four others.
+func (f *testFleet) exchangeNews() {
 	f.round++
-	f.clock.Advance(testRound)
+	f.clock.Advance(newsInterval)
 	n := len(f.daemons)
 	for i, d := range f.daemons {
 		for k := range min(4, n-1) {
@@ -117,21 +116,21 @@
 	}
 }
 
-// A request comes once a second, at a daemon that has not had it, and ends the engine that
-// runs it with ten bystanders, of which two were sent there just before. No more than three
-// engines end, however large the fleet is, and bystanders that come again are served: of
-// those kept back none is for more than the time that the engines need to come back.
-func TestRequestThatEndsEngines(t *testing.T) {
+// A request arrives once a second, at a daemon that has not had it, and crashes the engine that
+// runs it with ten bystanders, two of which were sent there just before. No more than three
+// engines crash, however large the fleet is, and no bystander is refused in the end: none is held
+// back for longer than the engines need to come back.
+func TestLossesOfOneRequestAreBounded(t *testing.T) {
 	for _, n := range []int{1, 7, 73, 300} {
 		t.Run(fmt.Sprint(n, " daemons"), func(t *testing.T) {
-			f := newFleetOf(n)
-			ended, bystander := uint32(0), Content(100)
+			f := newTestFleet(n)
+			crashed, bystander := uint32(0), Content(100)
 			for second := range 120 {
 				d := f.daemons[second*37%n]
-				try := d.Begin(1)
-				if !try.Judge().Refused() {
-					ended++
-					by := Loss{Upstream: ended, At: f.clock.Now(), Fresh: true}
+				guard := d.Begin(1)
+				if !guard.Judge().Refused() {
+					crashed++
+					by := Loss{Upstream: crashed, At: f.clock.Now(), Fresh: true}
 					d.Lost(1, by)
 					for k := range 10 {
 						by.Fresh = k < 2
@@ -139,13 +138,13 @@
 						bystander++
 					}
 				}
-				try.End()
+				guard.End()
 				for range 4 {
-					f.tell()
+					f.exchangeNews()
 				}
 			}
-			if ended != provedAfter {
-				t.Errorf("%d engines ended, want %d", ended, provedAfter)
+			if crashed != provedThreshold {
+				t.Errorf("%d engines crashed, want %d", crashed, provedThreshold)
 			}
 			for c := Content(100); c < bystander; c++ {
 				if v := f.daemons[int(c)%n].Begin(c).Judge(); v.Refused() {
@@ -156,46 +155,46 @@
 	}
 }
 
-// A daemon that starts hears of what is kept back long after it was found, and what is kept
-// in the store says the same.
-func TestDaemonThatStarts(t *testing.T) {
-	f := newFleetOf(2)
+// A starting daemon learns which requests are held back or proved long after the last loss, from
+// its peers as well as from the store.
+func TestStartingDaemonLearnsHeldRequests(t *testing.T) {
+	f := newTestFleet(2)
 	for u := range uint32(3) {
 		f.daemons[0].Lost(1, Loss{Upstream: u, At: f.clock.Now(), Fresh: true})
 	}
-	f.clock.Advance(10 * tellTime)
-	f.tell()
-	kept := New(f.clock)
-	kept.Take(f.daemons[0].KeepsBack())
-	for name, l := range map[string]*Ledger{"told": f.daemons[1], "kept": kept} {
+	f.clock.Advance(10 * announceTime)
+	f.exchangeNews()
+	restored := New(f.clock)
+	restored.Take(f.daemons[0].KeepsBack())
+	for name, l := range map[string]*Ledger{"news": f.daemons[1], "store": restored} {
 		if !l.Begin(1).Judge().Proved() {
-			t.Errorf("%s: the request is not known", name)
+			t.Errorf("%s: the request is not proved", name)
 		}
 	}
 	if marks := f.daemons[0].News(f.daemons[1].Digest()); len(marks) > 0 {
-		t.Errorf("%d marks are told to one that knows them", len(marks))
+		t.Errorf("%d marks are sent to a daemon that knows them", len(marks))
 	}
 }
 
-// What is remembered, told and kept is bounded, whatever is heard.
+// The ledger, its news and the stored marks are bounded, whatever peers send.
 func TestBounds(t *testing.T) {
 	c := clock.NewManual()
 	l := New(c)
-	for i := range 3 * kept {
+	for i := range 3 * maxContents {
 		l.Take([]Mark{{Content: Content(i), Upstream: uint32(i), Fresh: true}, {Content: 1, Upstream: uint32(i), Fresh: true}, {Content: 2, Age: -1}})
 	}
-	if n := len(l.suspects); n > kept {
-		t.Errorf("%d contents are remembered", n)
+	if n := len(l.suspects); n > maxContents {
+		t.Errorf("%d contents are recorded", n)
 	}
-	if told, kept := len(l.News(1)), len(l.KeepsBack()); told > marksTold || kept > marksKept {
-		t.Errorf("%d marks are told and %d kept", told, kept)
+	if sent, stored := len(l.News(1)), len(l.KeepsBack()); sent > maxNewsMarks || stored > maxStoredMarks {
+		t.Errorf("%d marks sent and %d stored", sent, stored)
 	}
-	if n := len(l.suspects[1].losses); n > lossesKept {
+	if n := len(l.suspects[1].losses); n > maxLosses {
 		t.Errorf("%d losses of one content", n)
 	}
 }
 
-// Content differs where any of its parts does, and where they are divided in another way.
+// The content differs if any part of the request does, or if its parts are divided differently.
 func TestContent(t *testing.T) {
 	same := ContentOf("a", "h", "/p", []byte("b"))
 	if same != ContentOf("a", "h", "/p", []byte("b")) {
--- a/coordination/suspect/marks.go
+++ b/coordination/suspect/marks.go
@@ -9,68 +9,68 @@
 	"spanrill"
 )
 
-// Mark is a loss as daemons tell it one another, and as it is kept in the store.
+// Mark is a loss or a trial as daemons exchange it. Losses are also stored in this form.
 type Mark struct {
 	Content  Content
 	Upstream uint32
 	Age      spanrill.Millis
 	Fresh    bool
-	Trial    bool // no loss: a request of the content is tried, at whatever upstream
+	Trial    bool // a trial of the content at any upstream, not a loss
 }
 
 const (
-	// tellTime is for how long a daemon tells what it has heard: twelve rounds of news. Of
-	// 300 daemons that ask four others in a round all have heard of a loss after four (one run
-	// of the test's simulation).
-	tellTime = 3 * spanrill.Second
-	// marksTold bounds what is told at once, and marksKept what is kept in the store. A mark
-	// takes up to 25 bytes of a message, so that an answer grows by 12.8 KB at most.
-	marksTold = 512
-	marksKept = 512
+	// announceTime is how long a daemon reports a new loss to peers: twelve rounds of news. When
+	// 300 daemons ask four others in each round, all know a loss after four rounds (one run of the
+	// simulation in the tests).
+	announceTime = 3 * spanrill.Second
+	// maxNewsMarks bounds the marks in one answer, and maxStoredMarks those in the store. A mark
+	// takes up to 25 bytes in a message, so an answer grows by at most 12.8 KB.
+	maxNewsMarks   = 512
+	maxStoredMarks = 512
 )
 
-// News returns what was heard lately. If the asker's digest differs, what keeps requests
-// back is told too, whenever it was heard.
+// News returns the marks recorded recently. For a peer with a different digest it also returns
+// the losses of all contents that are held back or proved, whenever they were recorded.
 func (l *Ledger) News(digest uint64) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	differs := digest != l.digest(now)
-	if !differs && now-l.heardAt >= tellTime {
+	if !differs && now-l.lastNewsAt >= announceTime {
 		return nil
 	}
 	var marks []Mark
 	for c, s := range l.suspects {
-		for _, k := range s.losses {
-			if now-k.heard < tellTime || differs && s.keepsBack(now) {
-				marks = append(marks, k.mark(c, now))
+		for _, lost := range s.losses {
+			if now-lost.recordedAt < announceTime || differs && s.isBlocked(now) {
+				marks = append(marks, lost.mark(c, now))
 			}
 		}
-		if s.tried && now-s.heardOf < tellTime {
+		if s.hasTrial && now-s.trialRecordedAt < announceTime {
 			marks = append(marks, s.trialMark(c, now))
 		}
 	}
-	return newest(marks, marksTold)
+	return newest(marks, maxNewsMarks)
 }
 
-// KeepsBack returns the losses of all contents that are kept back or proved.
+// KeepsBack returns the losses of all contents that are held back or proved.
 func (l *Ledger) KeepsBack() []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	var marks []Mark
 	for c, s := range l.suspects {
-		if !s.keepsBack(now) {
+		if !s.isBlocked(now) {
 			continue
 		}
-		for _, k := range s.losses {
-			marks = append(marks, k.mark(c, now))
+		for _, lost := range s.losses {
+			marks = append(marks, lost.mark(c, now))
 		}
 	}
-	return newest(marks, marksKept)
+	return newest(marks, maxStoredMarks)
 }
 
-// Marks returns what is known of one content.
+// Marks returns the losses and the last trial of one content.
 func (l *Ledger) Marks(c Content) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,88 +82,91 @@
 	for i := range s.losses {
 		marks[i] = s.losses[i].mark(c, l.clock.Now())
 	}
-	if s.tried {
+	if s.hasTrial {
 		marks = append(marks, s.trialMark(c, l.clock.Now()))
 	}
 	return marks
 }
 
-func (s *suspicion) trialMark(c Content, now spanrill.Millis) Mark {
-	return Mark{Content: c, Age: now - s.trial, Trial: true}
+func (s *contentState) trialMark(c Content, now spanrill.Millis) Mark {
+	return Mark{Content: c, Age: now - s.lastTrial, Trial: true}
 }
 
-func (s *suspicion) keepsBack(now spanrill.Millis) bool {
-	return !s.isOver(now) && (s.held() || s.proved())
+// isBlocked reports whether the content is held back or proved.
+func (s *contentState) isBlocked(now spanrill.Millis) bool {
+	return !s.isExpired(now) && (s.isHeld() || s.isProved())
 }
 
-func (k *loss) mark(c Content, now spanrill.Millis) Mark {
-	return Mark{Content: c, Upstream: k.Upstream, Age: now - k.At, Fresh: k.Fresh}
+func (l *loss) mark(c Content, now spanrill.Millis) Mark {
+	return Mark{Content: c, Upstream: l.Upstream, Age: now - l.At, Fresh: l.Fresh}
 }
 
-// newest returns the youngest marks.
-func newest(marks []Mark, most int) []Mark {
+// newest sorts marks by age and returns at most the given number of the youngest.
+func newest(marks []Mark, limit int) []Mark {
 	slices.SortFunc(marks, func(a, b Mark) int { return int(a.Age - b.Age) })
-	return marks[:min(most, len(marks))]
+	return marks[:min(limit, len(marks))]
 }
 
-// Digest is the same at two daemons that keep the same contents back.
+// Digest returns a hash of the contents that are held back or proved. It is equal on two daemons
+// that refuse the same contents.
 func (l *Ledger) Digest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.digest(l.clock.Now())
 }
 
-// digestTime is how long a digest is used when nothing was heard: what is too old to count
-// leaves it this late.
+// digestTime is how long a digest is cached while no new loss is recorded. An expired content
+// leaves the digest this much later.
 const digestTime = 10 * spanrill.Second
 
-// digest is a sum, which hangs on no order. The caller holds the lock.
+// digest adds up the hashes of the contents, so that their order does not matter. The caller must
+// hold l.mu.
 func (l *Ledger) digest(now spanrill.Millis) (sum uint64) {
-	if l.told.ok && now-l.told.at < digestTime {
-		return l.told.sum
+	if l.cached.valid && now-l.cached.computedAt < digestTime {
+		return l.cached.value
 	}
-	defer func() { l.told = digest{sum: sum, at: now, ok: true} }()
+	defer func() { l.cached = digestCache{value: sum, computedAt: now, valid: true} }()
 	var b [9]byte
 	for c, s := range l.suspects {
-		if !s.keepsBack(now) {
+		if !s.isBlocked(now) {
 			continue
 		}
 		binary.LittleEndian.PutUint64(b[:8], uint64(c))
-		b[8] = byte(min(provedAfter, len(s.losses)))
+		b[8] = byte(min(provedThreshold, len(s.losses)))
 		sum += xxhash.Sum64(b[:])
 	}
 	return sum
 }
 
-// Take takes what another daemon has told, or what was kept in the store, and returns how
-// many of the marks were news. Ages that cannot be are not believed.
-func (l *Ledger) Take(marks []Mark) (news int) {
+// Take merges marks from another daemon or from the store, and returns how many losses were new.
+// Marks with impossible ages are ignored.
+func (l *Ledger) Take(marks []Mark) (added int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	for _, m := range marks {
-		if m.Age < 0 || m.Age >= provedMemory || l.served.lately(m.Content, now) {
+		if m.Age < 0 || m.Age >= provedTTL || l.served.contains(m.Content, now) {
 			continue
 		}
 		if m.Trial {
-			l.takeTrial(m, now)
+			l.mergeTrial(m, now)
 			continue
 		}
-		if l.note(m.Content, Loss{Upstream: m.Upstream, At: now - m.Age, Fresh: m.Fresh}, now) {
-			news++
+		if l.record(m.Content, Loss{Upstream: m.Upstream, At: now - m.Age, Fresh: m.Fresh}, now) {
+			added++
 		}
 	}
-	return news
+	return added
 }
 
-// takeTrial takes that another daemon tries a content that is kept back here too. The caller
-// holds the lock.
-func (l *Ledger) takeTrial(m Mark, now spanrill.Millis) {
+// mergeTrial records that another daemon tries a content that this ledger knows. The caller must
+// hold l.mu.
+func (l *Ledger) mergeTrial(m Mark, now spanrill.Millis) {
 	s := l.suspects[m.Content]
 	if s == nil || m.Age >= holdTime {
 		return
 	}
-	if s.noteTrial(now-m.Age, now) {
-		l.heardAt = now
+	if s.recordTrial(now-m.Age, now) {
+		l.lastNewsAt = now
 	}
 }
--- a/coordination/suspect/served.go
+++ b/coordination/suspect/served.go
@@ -2,35 +2,35 @@
 
 import "spanrill"
 
-// servedTime is for how long at least a content counts as answered lately.
-const servedTime = 10 * spanrill.Second
+// servedSpan is the shortest time for which a content counts as served recently.
+const servedSpan = 10 * spanrill.Second
 
-// served remembers contents that were answered lately, in two spans of servedTime: at the
-// 55 requests a second of a daemon of the largest fleet that is planned for, 1,100 contents.
-type served struct {
-	now, before map[Content]bool
-	since       spanrill.Millis // when the present span began
+// recentlyServed is the set of contents that were answered recently, in two spans of servedSpan.
+// At the 55 requests a second of a daemon in the largest planned fleet it holds 1,100 contents.
+type recentlyServed struct {
+	current, previous map[Content]bool
+	currentStart      spanrill.Millis // when the current span began
 }
 
-func newServed(now spanrill.Millis) *served {
-	return &served{now: map[Content]bool{}, before: map[Content]bool{}, since: now}
+func newRecentlyServed(now spanrill.Millis) *recentlyServed {
+	return &recentlyServed{current: map[Content]bool{}, previous: map[Content]bool{}, currentStart: now}
 }
 
-// turn begins a new span if the present one is over.
-func (s *served) turn(now spanrill.Millis) {
-	if age := now - s.since; age >= 2*servedTime {
-		s.now, s.before, s.since = map[Content]bool{}, map[Content]bool{}, now
-	} else if age >= servedTime {
-		s.now, s.before, s.since = map[Content]bool{}, s.now, now
+// rotate starts a new span if the current one is over.
+func (s *recentlyServed) rotate(now spanrill.Millis) {
+	if age := now - s.currentStart; age >= 2*servedSpan {
+		s.current, s.previous, s.currentStart = map[Content]bool{}, map[Content]bool{}, now
+	} else if age >= servedSpan {
+		s.current, s.previous, s.currentStart = map[Content]bool{}, s.current, now
 	}
 }
 
-func (s *served) note(c Content, now spanrill.Millis) {
-	s.turn(now)
-	s.now[c] = true
+func (s *recentlyServed) add(c Content, now spanrill.Millis) {
+	s.rotate(now)
+	s.current[c] = true
 }
 
-func (s *served) lately(c Content, now spanrill.Millis) bool {
-	s.turn(now)
-	return s.now[c] || s.before[c]
+func (s *recentlyServed) contains(c Content, now spanrill.Millis) bool {
+	s.rotate(now)
+	return s.current[c] || s.previous[c]
 }
--- a/coordination/suspect/trial_test.go
+++ b/coordination/suspect/trial_test.go
@@ -9,26 +9,22 @@
 	"spanrill/rng"
 )
 
-// What callers saw: three upstreams ended under one request, 10 s later two more at one
-// moment, and of a fleet of six daemons four had sent it again.
-//
-// Order of events: two ends kept the request back on all daemons. Its callers were told the
-// same moment to come back, came to four daemons within 72 ms, and each daemon tried it, since
-// what it knew of trials was its own.
-//
-// Cause: trials were counted by daemon, and losses by the fleet. Evidence: the lines of the
-// four sends at 36.13, 36.16, 36.19 and 36.20 s, and of two ends at 36.26 and 36.28 s.
-func TestOneTrialInTheFleet(t *testing.T) {
+// Guards against one trial per daemon instead of one in the fleet. Three upstreams had crashed
+// under a request, of which two crashes held it back on all six daemons. 10 s later its callers,
+// which had received the same Retry-After, came to four daemons within 72 ms (at 36.13, 36.16,
+// 36.19 and 36.20 s). Each daemon tried the request, because losses were exchanged but trials were
+// not, and two more upstreams crashed, at 36.26 and 36.28 s.
+func TestOneTrialAcrossDaemons(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		gap     spanrill.Millis // between two callers
 		callers int
 	}{
-		{"as in the play", 24, 4},
-		{"many, and the news takes as long as they lie apart", 5, 40},
+		{"as observed", 24, 4},
+		{"many callers, no further apart than news takes", 5, 40},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFleetOf(6)
+			f := newTestFleet(6)
 			for _, l := range f.daemons {
 				l.Lost(1, Loss{Upstream: 1, At: f.clock.Now(), Fresh: true})
 				l.Lost(1, Loss{Upstream: 2, At: f.clock.Now(), Fresh: true})
@@ -36,113 +32,115 @@
 			f.clock.Advance(holdTime)
 			trials := 0
 			for i := range c.callers {
-				at := f.daemons[i%len(f.daemons)]
-				try := at.Begin(1)
-				if v := try.Judge(); !v.Refused() && try.Sent() {
+				daemon := f.daemons[i%len(f.daemons)]
+				guard := daemon.Begin(1)
+				if v := guard.Judge(); !v.Refused() && guard.Sent() {
 					trials++
 					for _, other := range f.daemons {
-						other.Take(at.Marks(1))
+						other.Take(daemon.Marks(1))
 					}
 				} else if v.RetryAfter() <= 0 {
-					t.Errorf("caller %d: refused %t, back after %d ms", i, v.Refused(), v.RetryAfter())
+					t.Errorf("caller %d: refused %t, retry after %d ms", i, v.Refused(), v.RetryAfter())
 				}
 				f.clock.Advance(c.gap)
 			}
 			if trials != 1 {
-				t.Errorf("%d daemons have tried the request, want 1", trials)
+				t.Errorf("%d daemons tried the request, want 1", trials)
 			}
 		})
 	}
 }
 
-// A trial that is refused by its upstream meets no other one, and the next trial comes as late
-// as after a loss. One that has run for a second goes on wherever it must.
-func TestTrialMeetsOneUpstream(t *testing.T) {
-	held := func() (*clock.Manual, *Ledger, *Try) {
+// A trial that its upstream refuses does not go to another one, and the next trial waits as long
+// as after a loss. A trial that has run for trialTime may go to any upstream.
+func TestTrialIsSentToOneUpstream(t *testing.T) {
+	startTrial := func() (*clock.Manual, *Ledger, *Try) {
 		c := clock.NewManual()
 		l := New(c)
 		l.Lost(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
 		l.Lost(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
 		c.Advance(holdTime)
-		try := l.Begin(1)
-		if try.Judge().Refused() || try.Judge().Refused() {
+		guard := l.Begin(1)
+		if guard.Judge().Refused() || guard.Judge().Refused() {
 			t.Fatal("no trial")
 		}
-		try.Sent()
-		return c, l, try
+		guard.Sent()
+		return c, l, guard
 	}
-	c, l, try := held()
+	c, l, guard := startTrial()
 	c.Advance(5)
-	if !try.Judge().Refused() {
-		t.Error("a trial that was refused goes to another upstream")
+	if !guard.Judge().Refused() {
+		t.Error("a refused trial goes to another upstream")
 	}
-	try.End()
+	guard.End()
 	c.Advance(holdTime - 6)
 	if !l.Begin(1).Judge().Refused() {
-		t.Error("the next trial comes too soon")
+		t.Error("the next trial starts too early")
 	}
 	c.Advance(1)
 	if l.Begin(1).Judge().Refused() {
-		t.Error("there is no other trial")
+		t.Error("no second trial after holdTime")
 	}
-	c, _, try = held()
+	c, _, guard = startTrial()
 	c.Advance(trialTime)
-	if try.Judge().Refused() {
-		t.Error("a trial that has run for a second does not go on")
+	if guard.Judge().Refused() {
+		t.Error("a trial that has run for trialTime does not continue")
 	}
 }
 
-// A trial that finds no upstream with room is none: the next one may begin at once.
-func TestTrialThatIsNotSent(t *testing.T) {
+// A trial that was not sent, for lack of an upstream with room, does not count: the next one may
+// begin at once.
+func TestUnsentTrialIsNotCounted(t *testing.T) {
 	c := clock.NewManual()
 	l := New(c)
 	l.Lost(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
 	l.Lost(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
 	c.Advance(holdTime)
 	for range 3 {
-		try := l.Begin(1)
-		if try.Judge().Refused() {
-			t.Fatal("kept back although nothing was sent")
+		guard := l.Begin(1)
+		if guard.Judge().Refused() {
+			t.Fatal("held back although nothing was sent")
 		}
-		try.End()
+		guard.End()
 	}
 }
 
-// Callers of one content are told different times, none before the request may be tried.
-func TestCallersOfOneContentComeApart(t *testing.T) {
+// Callers of one content get different Retry-After values, none before the request may be tried.
+func TestRetryAfterIsJittered(t *testing.T) {
 	random, c := rng.New(1), clock.NewManual()
 	l := New(c, WithDraw(random.Float64))
 	l.Lost(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
 	l.Lost(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
-	told := map[spanrill.Millis]int{}
+	perWindow := map[spanrill.Millis]int{}
 	const window spanrill.Millis = 100
 	for range 100 {
 		after := l.Begin(1).Judge().RetryAfter()
-		if after < holdTime || after > holdTime+comeSpread {
-			t.Fatalf("back after %d ms", after)
+		if after < holdTime || after > holdTime+retryAfterJitter {
+			t.Fatalf("retry after %d ms", after)
 		}
-		told[after/window]++
+		perWindow[after/window]++
 	}
-	for at, n := range told {
-		if n > 15 { // 5 in the mean
-			t.Errorf("%d of 100 callers come back in the tenth of a second from %s", n, fmt.Sprint(at*window))
+	for at, n := range perWindow {
+		if n > 15 { // 5 on average
+			t.Errorf("%d of 100 callers return in the 100 ms from %s ms", n, fmt.Sprint(at*window))
 		}
 	}
 }
 
-// A trial that another daemon tells of holds back what is kept back here, and nothing else.
-func TestTrialsOfOthers(t *testing.T) {
+// A trial reported by a peer defers only a content that is held back here. Marks of old trials and
+// of contents without losses are ignored.
+func TestTrialReportedByPeer(t *testing.T) {
 	c := clock.NewManual()
 	l := New(c)
 	l.Take([]Mark{{Content: 5, Trial: true}, {Content: 6, Age: -5, Trial: true}})
 	if l.Begin(5).Judge().Refused() || len(l.suspects) > 0 {
-		t.Error("a content without losses is kept back")
+		t.Error("a content without losses is held back")
 	}
 	l.Lost(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
 	l.Lost(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
 	c.Advance(holdTime)
 	l.Take([]Mark{{Content: 1, Trial: true, Age: 2 * holdTime}})
 	if l.Begin(1).Judge().Refused() {
-		t.Error("a trial of long ago keeps the request back")
+		t.Error("an old trial holds the request back")
 	}
 }
