--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -85,8 +85,8 @@
 	fanout = 8
 	// askedPerRound is how many peers a daemon asks in each round in a larger fleet.
 	askedPerRound = 4
-	// maxLateRounds is the number of late rounds beyond which a daemon asks no more additional
-	// peers.
+	// maxLateRounds caps the late rounds that count: each of them adds askedPerRound peers to the
+	// next round.
 	maxLateRounds = 3
 	// newsTTL is how long the figures of a peer that does not answer count. Its requests continue
 	// for about as long as a usual answer takes.
@@ -102,7 +102,7 @@
 	random *rng.Source
 
 	mu           sync.Mutex
-	newsByPeer   map[string]peerNews
+	newsByPeer   map[string]peerNews    // by name
 	knownTargets map[uint32]knownTarget // by key of the engine
 	applied      appliedState
 
@@ -154,7 +154,7 @@
 		case <-e.clock.After(e.Pause()):
 		}
 	}
-	_ = e.askTasks.Wait() // peers that failed are asked again in later rounds
+	_ = e.askTasks.Wait() // failed requests were repeated in later rounds
 	return ctx.Err()
 }
 
