--- a/coordination/relay/gone_test.go
+++ b/coordination/relay/gone_test.go
@@ -91,9 +91,9 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	now := clock.NewManual()
-	parts := Parts{Clock: now, Meters: meter.New(), Log: log, Config: routes.NewCurrent(now), Fleet: fleet.New(now, nil), Hopeless: func() bool { return false }, Suspects: suspect.New(now), OnSuspected: func(suspect.Content) {}}
+	parts := Dependencies{Clock: now, Meters: meter.New(), Log: log, Config: routes.NewCurrent(now), Fleet: fleet.New(now, nil), StoreUnresponsive: func() bool { return false }, Suspects: suspect.New(now), OnSuspected: func(suspect.Content) {}}
 	parts.Prober = probe.New(nil, now, log, probe.WithDial(func(context.Context, string) error { return nil }))
-	return &request{relay: New(parts, Bounds{}), ctx: ctx, try: parts.Suspects.Begin(0), http: &fasthttp.RequestCtx{}, service: &spanrill.ServiceInfo{}}
+	return &request{relay: New(parts, Options{}), ctx: ctx, try: parts.Suspects.Begin(0), http: &fasthttp.RequestCtx{}, service: &spanrill.ServiceInfo{}}
 }
 
 // Nothing is sent for a request whose caller has left.
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -54,8 +54,8 @@
 	"spanrill/transport/httpcall"
 )
 
-// Parts is what a relay works with.
-type Parts struct {
+// Dependencies is what a relay works with.
+type Dependencies struct {
 	Config  *routes.Current
 	Fleet   *fleet.Table
 	Router  *chainrouting.Router
@@ -76,21 +76,21 @@
 	Log     logrus.FieldLogger
 	Meters  *meter.Meters
 	Random  *rng.Source
-	// Hopeless reports whether a daemon that does not know yet what the store holds will
+	// StoreUnresponsive reports whether a daemon that does not know yet what the store holds will
 	// not know it soon.
-	Hopeless func() bool
+	StoreUnresponsive func() bool
 }
 
-// Bounds are the limits that the relay keeps.
-type Bounds struct {
+// Options are the limits that the relay keeps.
+type Options struct {
 	Zone      string          // availability zone of this daemon
-	Freshness spanrill.Millis // oldest proof of the configuration with which a keyed request is sent
+	MaxConfigAge spanrill.Millis // oldest proof of the configuration with which a keyed request is sent
 }
 
 // Relay serves requests.
 type Relay struct {
-	Parts
-	bounds   Bounds
+	Dependencies
+	bounds   Options
 	running  *callers
 	streams  *streams
 	ends     *ends
@@ -113,10 +113,10 @@
 )
 
 // New returns a relay.
-func New(parts Parts, bounds Bounds) *Relay {
+func New(parts Dependencies, bounds Options) *Relay {
 	return &Relay{
-		Parts: parts, bounds: bounds, running: newCallers(parts.Clock, parts.Meters), streams: newStreams(), ends: &ends{}, turns: &turns{}, limited: &limitTurns{}, sizes: newEventSizes(),
-		start: newStart(parts.Clock, parts.Hopeless, parts.Config.Ready(), parts.Fleet.Seen()),
+		Dependencies: parts, bounds: bounds, running: newCallers(parts.Clock, parts.Meters), streams: newStreams(), ends: &ends{}, turns: &turns{}, limited: &limitTurns{}, sizes: newEventSizes(),
+		start: newStart(parts.Clock, parts.StoreUnresponsive, parts.Config.Ready(), parts.Fleet.Seen()),
 		good:  events.NewLimiter(parts.Clock, goodLines), bad: events.NewLimiter(parts.Clock, badLines),
 	}
 }
@@ -127,8 +127,8 @@
 // CloseConnections makes every answer end its connection, for a planned stop.
 func (r *Relay) CloseConnections() { r.closing.Store(true) }
 
-// RefuseNew refuses requests from now on, for the end of a planned stop.
-func (r *Relay) RefuseNew() { r.refusing.Store(true) }
+// RefuseNewRequests refuses requests from now on, for the end of a planned stop.
+func (r *Relay) RefuseNewRequests() { r.refusing.Store(true) }
 
 // request is one request of a caller.
 type request struct {
@@ -251,7 +251,7 @@
 
 // fresh reports whether the configuration is proved fresh enough for a request
 // with a key.
-func (q *request) fresh() bool { return q.relay.Config.Age() <= q.relay.bounds.Freshness }
+func (q *request) fresh() bool { return q.relay.Config.Age() <= q.relay.bounds.MaxConfigAge }
 
 func (q *request) stale() *spanrill.Refusal {
 	return spanrill.NewRefusal(spanrill.ReasonConfigStale, "the configuration was last proved fresh %d ms ago", q.relay.Config.Age()).
--- a/coordination/relay/start.go
+++ b/coordination/relay/start.go
@@ -68,9 +68,9 @@
 	return true
 }
 
-// CallersWaitSince returns since when callers have come to a daemon that does not know
+// FirstHeldAt returns since when callers have come to a daemon that does not know
 // yet what the store holds, and whether any have.
-func (r *Relay) CallersWaitSince() (spanrill.Millis, bool) {
+func (r *Relay) FirstHeldAt() (spanrill.Millis, bool) {
 	since := r.start.since.Load()
 	return spanrill.Millis(since), since != noCaller
 }
--- a/coordination/relay/streams.go
+++ b/coordination/relay/streams.go
@@ -34,8 +34,8 @@
 // engine.
 func (s *streams) pokeDead() { s.pokeIf((*chainrouting.Path).HasDead) }
 
-// LookAtDead makes every generation look at its path whose path has a dead engine.
-func (r *Relay) LookAtDead() { r.streams.pokeDead() }
+// RecheckDeadPaths makes every generation look at its path whose path has a dead engine.
+func (r *Relay) RecheckDeadPaths() { r.streams.pokeDead() }
 
 // pokeGivenUp does so where an engine is to give up what the path runs there.
 func (s *streams) pokeGivenUp() { s.pokeIf((*chainrouting.Path).GivenUp) }
