--- a/coordination/relay/callers_test.go
+++ b/coordination/relay/callers_test.go
@@ -91,9 +91,9 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	now := clock.NewManual()
-	deps := Parts{Clock: now, Meters: meter.New(), Log: log, Config: routes.NewCurrent(now), Fleet: fleet.New(now, nil), Hopeless: func() bool { return false }, Suspects: suspect.New(now), OnSuspected: func(suspect.Content) {}}
+	deps := Dependencies{Clock: now, Meters: meter.New(), Log: log, Config: routes.NewCurrent(now), Fleet: fleet.New(now, nil), StoreUnresponsive: func() bool { return false }, Suspects: suspect.New(now), OnSuspected: func(suspect.Content) {}}
 	deps.Prober = probe.New(nil, now, log, probe.WithDial(func(context.Context, string) error { return nil }))
-	return &request{relay: New(deps, Bounds{}), ctx: ctx, trial: deps.Suspects.Begin(0), http: &fasthttp.RequestCtx{}, service: &spanrill.ServiceInfo{}}
+	return &request{relay: New(deps, Options{}), ctx: ctx, trial: deps.Suspects.Begin(0), http: &fasthttp.RequestCtx{}, service: &spanrill.ServiceInfo{}}
 }
 
 // Guards against sending a request whose caller has disconnected.
--- a/coordination/relay/plain_test.go
+++ b/coordination/relay/plain_test.go
@@ -16,7 +16,7 @@
 func plainRequest() (*request, *clock.Manual) {
 	c := clock.NewManual()
 	table := fleet.New(c, nil, fleet.WithDrain(testDrain))
-	r := &Relay{Parts: Parts{Fleet: table, Clock: c, Random: rng.New(1)}}
+	r := &Relay{Dependencies: Dependencies{Fleet: table, Clock: c, Random: rng.New(1)}}
 	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "a", Service: "s", Addr: "1:1"}}, At: 1, Change: 1}, 0)
 	return &request{ctx: context.Background(), relay: r, trial: suspect.New(c).Begin(0), route: &spanrill.Route{}, service: &spanrill.ServiceInfo{Name: "s"}}, c
 }
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -57,8 +57,8 @@
 	"spanrill/transport/httpcall"
 )
 
-// Parts are the components that a relay uses.
-type Parts struct {
+// Dependencies are the components that a relay uses.
+type Dependencies struct {
 	Config  *routes.Current
 	Fleet   *fleet.Table
 	Router  *chainrouting.Router
@@ -80,21 +80,21 @@
 	Log     logrus.FieldLogger
 	Meters  *meter.Meters
 	Random  *rng.Source
-	// Hopeless reports whether the store does not answer, so that a daemon that lacks the
+	// StoreUnresponsive reports whether the store does not answer, so that a daemon that lacks the
 	// configuration or the upstreams will not have them soon.
-	Hopeless func() bool
+	StoreUnresponsive func() bool
 }
 
-// Bounds are the settings of a relay.
-type Bounds struct {
+// Options are the settings of a relay.
+type Options struct {
 	Zone      string          // availability zone of this daemon
-	Freshness spanrill.Millis // maximum age of the configuration for requests with a key
+	MaxConfigAge spanrill.Millis // maximum age of the configuration for requests with a key
 }
 
 // Relay serves requests. Its methods may be called concurrently.
 type Relay struct {
-	Parts
-	options        Bounds
+	Dependencies
+	options        Options
 	callers        *callerConns
 	generations    *runningGenerations
 	brokenAttempts *brokenAttempts
@@ -116,10 +116,10 @@
 )
 
 // New returns a relay.
-func New(deps Parts, options Bounds) *Relay {
+func New(deps Dependencies, options Options) *Relay {
 	return &Relay{
-		Parts: deps, options: options, callers: newCallerConns(deps.Clock, deps.Meters), generations: newRunningGenerations(), brokenAttempts: &brokenAttempts{}, roomRetries: &roomRetryTimes{}, limitRetries: &limitRetryTimes{}, eventTokens: newEventTokenEstimator(),
-		startup:    newStartupHold(deps.Clock, deps.Hopeless, deps.Config.Ready(), deps.Fleet.Seen()),
+		Dependencies: deps, options: options, callers: newCallerConns(deps.Clock, deps.Meters), generations: newRunningGenerations(), brokenAttempts: &brokenAttempts{}, roomRetries: &roomRetryTimes{}, limitRetries: &limitRetryTimes{}, eventTokens: newEventTokenEstimator(),
+		startup:    newStartupHold(deps.Clock, deps.StoreUnresponsive, deps.Config.Ready(), deps.Fleet.Seen()),
 		routineLog: events.NewLimiter(deps.Clock, routineLinesPerSecond), failureLog: events.NewLimiter(deps.Clock, failureLinesPerSecond),
 	}
 }
@@ -130,8 +130,8 @@
 // CloseConnections makes each answer close its connection, for a graceful shutdown.
 func (r *Relay) CloseConnections() { r.closing.Store(true) }
 
-// RefuseNew makes the relay refuse new requests, for the end of a graceful shutdown.
-func (r *Relay) RefuseNew() { r.refusing.Store(true) }
+// RefuseNewRequests makes the relay refuse new requests, for the end of a graceful shutdown.
+func (r *Relay) RefuseNewRequests() { r.refusing.Store(true) }
 
 // request is the state of one caller's request.
 type request struct {
@@ -256,7 +256,7 @@
 
 // configFresh reports whether the configuration was confirmed recently enough for requests with a
 // key.
-func (q *request) configFresh() bool { return q.relay.Config.Age() <= q.relay.options.Freshness }
+func (q *request) configFresh() bool { return q.relay.Config.Age() <= q.relay.options.MaxConfigAge }
 
 func (q *request) configStale() *spanrill.Refusal {
 	return spanrill.NewRefusal(spanrill.ReasonConfigStale, "configuration was last confirmed %d ms ago", q.relay.Config.Age()).
--- a/coordination/relay/start.go
+++ b/coordination/relay/start.go
@@ -67,9 +67,9 @@
 	return true
 }
 
-// CallersWaitSince returns when the first request was held because this daemon did not know a
+// FirstHeldAt returns when the first request was held because this daemon did not know a
 // configuration and upstreams yet, and whether any was.
-func (r *Relay) CallersWaitSince() (spanrill.Millis, bool) {
+func (r *Relay) FirstHeldAt() (spanrill.Millis, bool) {
 	since := r.startup.firstHeldAt.Load()
 	return spanrill.Millis(since), since != noneHeld
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -229,13 +229,13 @@
 	}, g.clock, g.log, g.random)
 	g.placer = layoutrun.New(g.mayPlace, engines, g.fleet, g.models, g.clock, g.log, layoutrun.WithSpread(g.exchange.SpreadTime))
 	g.router = chainrouting.New(g.fleet, g.clock, g.log, g.random)
-	g.relay = relay.New(relay.Parts{
+	g.relay = relay.New(relay.Dependencies{
 		Config: g.config, Fleet: g.fleet, Router: g.router, Prober: g.prober,
 		Engines: engines, Codec: g.adapter.Codec, HTTP: g.http, Budgets: g.budgets, Suspects: g.suspects, OnSuspected: g.peers.tellSuspect,
 		Permit: g.limiter.Permit, Daemons: func() int { return int(g.daemons.Load()) },
-		Clock: g.clock, Log: g.log, Meters: g.meters, Random: g.random, Hopeless: g.hopeless,
-	}, relay.Bounds{Zone: g.settings.Zone, Freshness: g.freshness()})
-	g.callersWait = g.relay.CallersWaitSince
+		Clock: g.clock, Log: g.log, Meters: g.meters, Random: g.random, StoreUnresponsive: g.hopeless,
+	}, relay.Options{Zone: g.settings.Zone, MaxConfigAge: g.freshness()})
+	g.callersWait = g.relay.FirstHeldAt
 	g.meters.Gauge("spanrill_log_lines_dropped", func() float64 { return float64(g.dropped()) })
 	g.meters.Gauge("spanrill_upstream_restarts", func() float64 { return float64(g.fleet.Restarts()) })
 	g.meters.Gauge("spanrill_upstream_rests", func() float64 { return float64(g.fleet.Notices().Rests) })
@@ -303,7 +303,7 @@
 // has the requests that ran there look at their paths.
 func (g *Gateway) upstreamRestarted(addr string) {
 	g.http.Forget(addr)
-	g.relay.LookAtDead()
+	g.relay.RecheckDeadPaths()
 }
 
 // maxIdle is how many idle connections this daemon keeps to an address: its part of what an
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -29,7 +29,7 @@
 	limit := start + g.settings.Bounds.Grace - graceMargin
 	for g.clock.Now() < limit {
 		if g.clock.Now() >= start+notice {
-			g.relay.RefuseNew()
+			g.relay.RefuseNewRequests()
 			g.callers.CloseIdle()
 			if g.relay.InFlight() == 0 {
 				return
