--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -87,7 +87,7 @@
 
 // Options are the settings of a relay.
 type Options struct {
-	Zone      string          // availability zone of this daemon
+	Zone         string          // availability zone of this daemon
 	MaxConfigAge spanrill.Millis // maximum age of the configuration for requests with a key
 }
 
