--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -57,7 +57,7 @@
 	"spanrill/transport/httpcall"
 )
 
-// Dependencies is what a relay works with.
+// Dependencies are the components that a relay uses.
 type Dependencies struct {
 	Config  *routes.Current
 	Fleet   *fleet.Table
@@ -80,33 +80,33 @@
 	Log     logrus.FieldLogger
 	Meters  *meter.Meters
 	Random  *rng.Source
-	// StoreUnresponsive reports whether a daemon that does not know yet what the store holds will
-	// not know it soon.
+	// StoreUnresponsive reports whether the store does not answer, so that a daemon that lacks the
+	// configuration or the upstreams will not have them soon.
 	StoreUnresponsive func() bool
 }
 
-// Options are the limits that the relay keeps.
+// Options are the settings of a relay.
 type Options struct {
-	Zone      string          // availability zone of this daemon
-	MaxConfigAge spanrill.Millis // oldest proof of the configuration with which a keyed request is sent
+	Zone         string          // availability zone of this daemon
+	MaxConfigAge spanrill.Millis // maximum age of the configuration for requests with a key
 }
 
 // Relay serves requests. Its methods may be called concurrently.
 type Relay struct {
 	Dependencies
-	bounds   Options
-	running  *callers
-	streams  *streams
-	ends     *ends
-	turns    *turns
-	limited  *limitTurns
-	start    *start
-	sizes    *eventSizes
-	inFlight atomic.Int64
-	closing  atomic.Bool // answers end their connections
-	refusing atomic.Bool // new requests are refused
-	good     *events.Limiter
-	bad      *events.Limiter
+	options        Options
+	callers        *callerConns
+	generations    *runningGenerations
+	brokenAttempts *brokenAttempts
+	roomRetries    *roomRetryTimes
+	limitRetries   *limitRetryTimes
+	startup        *startupHold
+	eventTokens    *eventTokenEstimator
+	inFlight       atomic.Int64
+	closing        atomic.Bool // answers close their connections
+	refusing       atomic.Bool // new requests are refused
+	routineLog     *events.Limiter
+	failureLog     *events.Limiter
 }
 
 // Maximum log lines per second about requests. A daemon gets about ten requests per second.
@@ -116,11 +116,11 @@
 )
 
 // New returns a relay.
-func New(parts Dependencies, bounds Options) *Relay {
+func New(deps Dependencies, options Options) *Relay {
 	return &Relay{
-		Dependencies: parts, bounds: bounds, running: newCallers(parts.Clock, parts.Meters), streams: newStreams(), ends: &ends{}, turns: &turns{}, limited: &limitTurns{}, sizes: newEventSizes(),
-		start: newStart(parts.Clock, parts.StoreUnresponsive, parts.Config.Ready(), parts.Fleet.Seen()),
-		good:  events.NewLimiter(parts.Clock, goodLines), bad: events.NewLimiter(parts.Clock, badLines),
+		Dependencies: deps, options: options, callers: newCallerConns(deps.Clock, deps.Meters), generations: newRunningGenerations(), brokenAttempts: &brokenAttempts{}, roomRetries: &roomRetryTimes{}, limitRetries: &limitRetryTimes{}, eventTokens: newEventTokenEstimator(),
+		startup:    newStartupHold(deps.Clock, deps.StoreUnresponsive, deps.Config.Ready(), deps.Fleet.Seen()),
+		routineLog: events.NewLimiter(deps.Clock, routineLinesPerSecond), failureLog: events.NewLimiter(deps.Clock, failureLinesPerSecond),
 	}
 }
 
@@ -130,7 +130,7 @@
 // CloseConnections makes each answer close its connection, for a graceful shutdown.
 func (r *Relay) CloseConnections() { r.closing.Store(true) }
 
-// RefuseNewRequests refuses requests from now on, for the end of a planned stop.
+// RefuseNewRequests makes the relay refuse new requests, for the end of a graceful shutdown.
 func (r *Relay) RefuseNewRequests() { r.refusing.Store(true) }
 
 // request is the state of one caller's request.
@@ -254,9 +254,9 @@
 	return spanrill.NewRefusal(reason, "%s", text)
 }
 
-// fresh reports whether the configuration is proved fresh enough for a request
-// with a key.
-func (q *request) fresh() bool { return q.relay.Config.Age() <= q.relay.bounds.MaxConfigAge }
+// configFresh reports whether the configuration was confirmed recently enough for requests with a
+// key.
+func (q *request) configFresh() bool { return q.relay.Config.Age() <= q.relay.options.MaxConfigAge }
 
 func (q *request) configStale() *spanrill.Refusal {
 	return spanrill.NewRefusal(spanrill.ReasonConfigStale, "configuration was last confirmed %d ms ago", q.relay.Config.Age()).
--- a/coordination/relay/start.go
+++ b/coordination/relay/start.go
@@ -67,9 +67,9 @@
 	return true
 }
 
-// FirstHeldAt returns since when callers have come to a daemon that does not know
-// yet what the store holds, and whether any have.
+// FirstHeldAt returns when the first request was held because this daemon did not know a
+// configuration and upstreams yet, and whether any was.
 func (r *Relay) FirstHeldAt() (spanrill.Millis, bool) {
-	since := r.start.since.Load()
-	return spanrill.Millis(since), since != noCaller
+	since := r.startup.firstHeldAt.Load()
+	return spanrill.Millis(since), since != noneHeld
 }
--- a/coordination/relay/streams.go
+++ b/coordination/relay/streams.go
@@ -35,8 +35,8 @@
 // checkDeadPaths makes each generation with a dead engine on its path check that path now.
 func (s *runningGenerations) checkDeadPaths() { s.checkPaths((*chainrouting.Path).HasDead) }
 
-// RecheckDeadPaths makes every generation look at its path whose path has a dead engine.
-func (r *Relay) RecheckDeadPaths() { r.streams.pokeDead() }
+// RecheckDeadPaths makes each request with a dead engine on its path check that path now.
+func (r *Relay) RecheckDeadPaths() { r.generations.checkDeadPaths() }
 
 // checkVacatedPaths does the same for paths with an engine that is to give up layers of the path.
 func (s *runningGenerations) checkVacatedPaths() { s.checkPaths((*chainrouting.Path).GivenUp) }
