--- a/coordination/exchange/apply.go
+++ b/coordination/exchange/apply.go
@@ -21,7 +21,7 @@
 	}
 	others, known := e.peerSum(now)
 	e.state.Budgets.Round(others.retries, retry.Fleet{
-		Heard: known, Daemons: max(known, 1+int(e.otherCount.Load())), Rounds: e.Rounds(), Settled: e.Settled(),
+		Heard: known, Daemons: max(known, 1+int(e.otherCount.Load())), Rounds: e.AggregationRounds(), Settled: e.Settled(),
 	})
 	e.dropReportedTargets()
 	e.applyPaces()
@@ -98,7 +98,7 @@
 // peerSum returns the sum over all other daemons, and how many daemons are known, this one
 // included. The caller must hold e.mu.
 func (e *Exchange) peerSum(now spanrill.Millis) (others sum, daemons int) {
-	if e.Rounds() > 1 {
+	if e.AggregationRounds() > 1 {
 		return e.peerSumFromTrees(now)
 	}
 	others, daemons = newSum(), 1
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -57,13 +57,13 @@
 	Seeds     []string // configured peer addresses, without this daemon's own
 	Config    *routes.Current
 	Fleet     *fleet.Table
-	Placement func() bool // reports whether this daemon holds the placement lease
+	HoldsPlacement func() bool // reports whether this daemon holds the placement lease
 	Leaving   func() bool
 	// StoreSilent reports whether the platform's store does not answer this daemon.
 	StoreSilent func() bool
-	// Late returns for how many rounds the entries have been older than they should be in a
+	// LateRounds returns for how many rounds the entries have been older than they should be in a
 	// fleet where the trees carry what the first daemon in rank reads.
-	Late     func() int
+	LateRounds     func() int
 	Budgets  *retry.Budgets
 	Lease    *lease.Lease // the placement lease
 	Suspects *suspect.Ledger
@@ -74,10 +74,10 @@
 }
 
 const (
-	// Gap is the pause between two rounds. The figures of other daemons are at most this old; in
+	// RoundInterval is the pause between two rounds. The figures of other daemons are at most this old; in
 	// that time a daemon starts two requests at the current load.
-	Gap           spanrill.Millis = 250
-	roundInterval                 = Gap
+	RoundInterval           spanrill.Millis = 250
+	roundInterval                 = RoundInterval
 	// askTimeout bounds one request to a peer: many times a round trip of 1 ms.
 	askTimeout spanrill.Millis = 400
 	// fanout is the number of peers up to which a daemon asks all of them in each round, and the
@@ -151,7 +151,7 @@
 		e.Round(ctx)
 		select {
 		case <-ctx.Done():
-		case <-e.clock.After(e.Pause()):
+		case <-e.clock.After(e.NextPause()):
 		}
 	}
 	_ = e.askTasks.Wait() // failed requests were repeated in later rounds
@@ -220,7 +220,7 @@
 	}
 	e.mergeFleetSums(news.Fleet, sent)
 	e.mergeStoreAnswered(&news, sent)
-	e.TakeSuspects(news.Suspects)
+	e.MergeSuspects(news.Suspects)
 	ratelimit.TakeNews(e.state.Fleet, news.Limits, sent)
 	e.mu.Lock()
 	e.newsByPeer[cmp.Or(news.Name, m.Name)] = peerNews{news: news, askedAt: sent}
@@ -250,18 +250,18 @@
 // news of an entry, and takes three bytes in a message.
 const maxStoreAnswered = 30 * spanrill.Second
 
-// SaysStoreSilent reports whether a peer recently reported that the platform's store does not
+// PeerStoreSilent reports whether a peer recently reported that the platform's store does not
 // answer it, so that other daemons ask the store in its place.
-func (e *Exchange) SaysStoreSilent(peer string) bool {
+func (e *Exchange) PeerStoreSilent(peer string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	last, ok := e.newsByPeer[peer]
 	return ok && last.news.StoreSilent && e.clock.Now()-last.askedAt <= newsTTL
 }
 
-// StoreSilentToSome reports whether any peer recently reported that the platform's store does
+// AnyPeerStoreSilent reports whether any peer recently reported that the platform's store does
 // not answer it.
-func (e *Exchange) StoreSilentToSome() bool {
+func (e *Exchange) AnyPeerStoreSilent() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
@@ -286,7 +286,7 @@
 	e.storeChildSums(req)
 	e.mergePlacement(req.Placement, e.clock.Now())
 	reply.Fleet = e.fleetSums(req)
-	if e.Rounds() == 1 {
+	if e.AggregationRounds() == 1 {
 		own := e.ownSum().message()
 		reply.Uses, reply.Retries = own.Uses, own.Retries
 	}
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -87,9 +87,9 @@
 	d.budgets = retry.NewBudgets(c, retry.Limits{Ratio: 0.2, Slack: 200, Window: 10000}, 2)
 	d.exchange = New(peers, State{
 		Name: name, Config: d.config, Fleet: d.table, Decode: decodeConfig, Budgets: d.budgets,
-		Placement: func() bool { return d.placement }, Leaving: func() bool { return false },
+		HoldsPlacement: func() bool { return d.placement }, Leaving: func() bool { return false },
 		StoreSilent: func() bool { return d.storeSilent },
-		Late:        func() int { return 0 },
+		LateRounds:        func() int { return 0 },
 		Targets:     func() map[string]fleet.Target { return d.targets },
 		Lease:       lease.New(nil, c, "placement", "d"),
 		Suspects:    suspect.New(c),
@@ -304,7 +304,7 @@
 		other.storeSilent = step.silent
 		d.exchange.Round(context.Background())
 		c.Advance(step.wait)
-		if got := d.exchange.SaysStoreSilent("peer"); got != step.want {
+		if got := d.exchange.PeerStoreSilent("peer"); got != step.want {
 			t.Fatalf("reported silence %t, %d ms ago: considered silent %t", step.silent, step.wait, got)
 		}
 	}
--- a/coordination/exchange/placement.go
+++ b/coordination/exchange/placement.go
@@ -29,7 +29,7 @@
 
 // isFresh reports whether a report of the holder is recent enough to be used.
 func (e *Exchange) isFresh(p *placement) bool {
-	return p.holder != "" && e.clock.Now()-p.reportedAt < placementTTL+2*(e.SpreadTime()-roundInterval)
+	return p.holder != "" && e.clock.Now()-p.reportedAt < placementTTL+2*(e.BroadcastTime()-roundInterval)
 }
 
 // PlacementHeld reports whether another daemon recently reported that it holds the placement
@@ -112,7 +112,7 @@
 // placementNews returns the placement report for a daemon with the given knowledge: this
 // daemon's own if it holds the lease, otherwise the last one of the holder if that is fresh.
 func (e *Exchange) placementNews(known knownOrders) *peermsg.Placement {
-	isHolder := e.state.Placement()
+	isHolder := e.state.HoldsPlacement()
 	if isHolder {
 		e.refreshOwnPlacement()
 	}
--- a/coordination/exchange/start.go
+++ b/coordination/exchange/start.go
@@ -54,9 +54,9 @@
 	return out
 }
 
-// Pause returns how long to wait before the next round. A starting daemon with seeds begins with
+// NextPause returns how long to wait before the next round. A starting daemon with seeds begins with
 // short pauses.
-func (e *Exchange) Pause() spanrill.Millis {
+func (e *Exchange) NextPause() spanrill.Millis {
 	if e.initialized() || len(e.state.Seeds) == 0 {
 		return roundInterval*9/10 + spanrill.Millis(e.random.Float64()*float64(roundInterval)/5)
 	}
--- a/coordination/exchange/suspects.go
+++ b/coordination/exchange/suspects.go
@@ -10,7 +10,7 @@
 
 // suspectNews returns the marks for a peer whose ledger has the given digest.
 func (e *Exchange) suspectNews(digest uint64) []peermsg.SuspectMark {
-	return SuspectMarks(e.state.Suspects.News(digest))
+	return SuspectMarks(e.state.Suspects.MarksFor(digest))
 }
 
 // SuspectMarks returns marks in the form in which they are sent.
@@ -22,15 +22,15 @@
 	return out
 }
 
-// TakeSuspects merges marks from a peer. Their ages do not include the time that the message
+// MergeSuspects merges marks from a peer. Their ages do not include the time that the message
 // took, which is shorter than the differences between the times at which requests detect the
 // same end.
-func (e *Exchange) TakeSuspects(received []peermsg.SuspectMark) {
+func (e *Exchange) MergeSuspects(received []peermsg.SuspectMark) {
 	marks := make([]suspect.Mark, len(received))
 	for i, m := range received {
 		marks[i] = suspect.Mark{Content: suspect.Content(m.Content), Upstream: m.Upstream, Age: m.Age, Fresh: m.Fresh, Trial: m.Trial}
 	}
-	if added := e.state.Suspects.Take(marks); added > 0 {
+	if added := e.state.Suspects.Merge(marks); added > 0 {
 		events.SuspectsHeard.Log(e.log, logrus.Fields{"marks": len(marks), "news": added})
 	}
 }
--- a/coordination/exchange/tree.go
+++ b/coordination/exchange/tree.go
@@ -64,7 +64,7 @@
 			add(at)
 		}
 	}
-	n := askedPerRound * (1 + min(maxLateRounds, e.state.Late()))
+	n := askedPerRound * (1 + min(maxLateRounds, e.state.LateRounds()))
 	for _, pool := range [][]int{t.sameZone, t.otherZones} {
 		for _, at := range e.leastRecentlyAsked(t, pool, n-len(out), out) {
 			add(at)
@@ -186,9 +186,9 @@
 	delete(e.unresponsive, name)
 }
 
-// Mute reports whether a peer did not answer the last request of this daemon. It is false for a
+// Unresponsive reports whether a peer did not answer the last request of this daemon. It is false for a
 // peer that was never asked.
-func (e *Exchange) Mute(name string) bool {
+func (e *Exchange) Unresponsive(name string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.unresponsive[name]
@@ -274,13 +274,13 @@
 	return levels
 }
 
-// SpreadTime returns how long news takes from a root of the trees to all daemons.
-func (e *Exchange) SpreadTime() spanrill.Millis {
+// BroadcastTime returns how long news takes from a root of the trees to all daemons.
+func (e *Exchange) BroadcastTime() spanrill.Millis {
 	return roundInterval * spanrill.Millis(e.broadcastRounds())
 }
 
-// Rounds returns in how many rounds the figures of every other daemon arrive.
-func (e *Exchange) Rounds() int {
+// AggregationRounds returns in how many rounds the figures of every other daemon arrive.
+func (e *Exchange) AggregationRounds() int {
 	if e.otherCount.Load() <= fanout {
 		return 1
 	}
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -110,7 +110,7 @@
 	repeated := r.brokenAttempts.add(brokenAttempt{
 		upstream: u, content: q.content, request: q.head.ID, brokeAt: r.Clock.Now(), streamedFor: streamedFor, leaving: u.Leaving(),
 	})
-	repeated = repeated || r.Suspects.Judge(q.content).Losses() > 0
+	repeated = repeated || r.Suspects.Verdict(q.content).Losses() > 0
 	check := func() {
 		r.Prober.Knock(context.WithoutCancel(q.ctx), u)
 		r.reportTerminatedUpstreams()
@@ -128,7 +128,7 @@
 	now := r.Clock.Now()
 	for _, attempt := range r.brokenAttempts.take(now) {
 		r.Meters.EndedUnder.Inc()
-		verdict := r.Suspects.Lost(attempt.content, suspect.Loss{
+		verdict := r.Suspects.RecordLoss(attempt.content, suspect.Loss{
 			Upstream: nameHash(attempt.upstream), At: attempt.brokeAt, Fresh: attempt.streamedFor <= suspect.FreshTime,
 		})
 		if verdict.Refused() {
@@ -163,7 +163,7 @@
 // checkSuspect returns a refusal if the request is withheld from upstreams because others have
 // terminated while they ran it, or nil.
 func (q *request) checkSuspect() *spanrill.Refusal {
-	v := q.trial.Judge()
+	v := q.trial.Check()
 	if !v.Refused() {
 		return nil
 	}
@@ -180,7 +180,7 @@
 }
 
 // recordServed records that an upstream has answered the request completely.
-func (q *request) recordServed() { q.relay.Suspects.Served(q.content) }
+func (q *request) recordServed() { q.relay.Suspects.RecordServed(q.content) }
 
 // streamingTime returns how long events have arrived from the running attempt.
 func (g *generation) streamingTime() spanrill.Millis {
--- a/coordination/suspect/keeper.go
+++ b/coordination/suspect/keeper.go
@@ -112,7 +112,7 @@
 	if digest == k.writtenDigest {
 		return nil
 	}
-	marks := k.ledger.KeepsBack()
+	marks := k.ledger.BlockedMarks()
 	value, err := json.Marshal(k.encode(marks))
 	if err != nil {
 		return fmt.Errorf("encode marks: %w", err)
@@ -141,7 +141,7 @@
 		events.SuspectsNotKept.Log(k.log, logrus.Fields{"error": fmt.Errorf("decode marks: %w", err)}) // the next write replaces it
 	}
 	marks := k.decode(stored)
-	added := k.ledger.Take(marks)
+	added := k.ledger.Merge(marks)
 	k.loaded, k.version, k.writtenDigest = true, object.Version, k.digestOf(marks)
 	events.SuspectsRead.Log(k.log, logrus.Fields{"marks": len(stored.Marks), "news": added})
 	return nil
@@ -150,7 +150,7 @@
 // digestOf returns the digest of the given marks alone: the ledger may know more than the store.
 func (k *Keeper) digestOf(marks []Mark) uint64 {
 	scratch := New(k.clock)
-	scratch.Take(marks)
+	scratch.Merge(marks)
 	return scratch.Digest()
 }
 
--- a/coordination/suspect/keeper_test.go
+++ b/coordination/suspect/keeper_test.go
@@ -52,7 +52,7 @@
 // proveContent records the crash of three upstreams under a content, which proves it.
 func proveContent(l *Ledger, c Content, at spanrill.Millis) {
 	for u := range uint32(provedThreshold) {
-		l.Lost(c, Loss{Upstream: u, At: at, Fresh: true})
+		l.RecordLoss(c, Loss{Upstream: u, At: at, Fresh: true})
 	}
 }
 
@@ -74,7 +74,7 @@
 	keeper.Sync(ctx)
 	next := New(c)
 	NewKeeper(next, store, c, discardLogger(), always).Sync(ctx)
-	if !next.Begin(7).Judge().Proved() {
+	if !next.Begin(7).Check().Proved() {
 		t.Fatal("a starting daemon does not know the stored marks")
 	}
 }
@@ -106,7 +106,7 @@
 	next := New(c)
 	k := NewKeeper(next, store, c, discardLogger(), func() bool { return true })
 	k.Sync(ctx)
-	if !next.Begin(1).Judge().Proved() || !next.Begin(2).Judge().Proved() {
+	if !next.Begin(1).Check().Proved() || !next.Begin(2).Check().Proved() {
 		t.Error("the store lacks marks of one of the two daemons")
 	}
 	store.object.Value = []byte(`{"marks": "none"}`)
@@ -117,7 +117,7 @@
 	k.Sync(ctx)
 	after := New(c)
 	NewKeeper(after, store, c, discardLogger(), func() bool { return true }).Sync(ctx)
-	if !after.Begin(3).Judge().Proved() {
+	if !after.Begin(3).Check().Proved() {
 		t.Error("no marks are written over bytes that cannot be decoded")
 	}
 }
@@ -138,7 +138,7 @@
 	}
 	next := New(c)
 	NewKeeper(next, store, c, discardLogger(), func() bool { return true }).Sync(context.Background())
-	if !next.Begin(7).Judge().Proved() {
+	if !next.Begin(7).Check().Proved() {
 		t.Error("the restored store lacks a mark that was written before the restore")
 	}
 }
--- a/coordination/suspect/ledger.go
+++ b/coordination/suspect/ledger.go
@@ -72,8 +72,8 @@
 // Option changes a default of New.
 type Option func(*Ledger)
 
-// WithDraw sets the source of random numbers from 0 to 1 for the jitter of Retry-After.
-func WithDraw(random func() float64) Option {
+// WithRandom sets the source of random numbers from 0 to 1 for the jitter of Retry-After.
+func WithRandom(random func() float64) Option {
 	return func(l *Ledger) { l.random = random }
 }
 
@@ -86,10 +86,10 @@
 	return l
 }
 
-// Lost records that an upstream has crashed under a request, and returns the verdict on the
+// RecordLoss records that an upstream has crashed under a request, and returns the verdict on the
 // request. Losses of contents that were served recently are ignored: many callers may send the
 // same content, and it did not crash the upstream that answered it.
-func (l *Ledger) Lost(c Content, lost Loss) Verdict {
+func (l *Ledger) RecordLoss(c Content, lost Loss) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -212,8 +212,8 @@
 	return n
 }
 
-// Served records that a request was answered completely, so its content does not crash upstreams.
-func (l *Ledger) Served(c Content) {
+// RecordServed records that a request was answered completely, so its content does not crash upstreams.
+func (l *Ledger) RecordServed(c Content) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.served.add(c, l.clock.Now())
@@ -223,15 +223,15 @@
 	}
 }
 
-// Judge returns the verdict on a content without starting a trial.
-func (l *Ledger) Judge(c Content) Verdict {
+// Verdict returns the verdict on a content without starting a trial.
+func (l *Ledger) Verdict(c Content) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.evaluate(c, l.clock.Now(), false)
 }
 
-// Try tracks a request from its arrival to its end. It is not safe for concurrent use.
-type Try struct {
+// Guard tracks a request from its arrival to its end. It is not safe for concurrent use.
+type Guard struct {
 	ledger  *Ledger
 	content Content
 	trial   bool // the request is the trial of a held content; others wait for its end
@@ -240,11 +240,11 @@
 }
 
 // Begin starts to track a request that has arrived. The caller must call End.
-func (l *Ledger) Begin(c Content) *Try { return &Try{ledger: l, content: c} }
+func (l *Ledger) Begin(c Content) *Guard { return &Guard{ledger: l, content: c} }
 
-// Judge returns whether the request may be sent now, for the first time or again. It starts a
+// Check returns whether the request may be sent now, for the first time or again. It starts a
 // trial if the content was held back until now.
-func (g *Try) Judge() Verdict {
+func (g *Guard) Check() Verdict {
 	l := g.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -262,10 +262,10 @@
 	return v
 }
 
-// Sent records that the request is sent to an upstream. It returns true if that begins a trial,
+// RecordSent records that the request is sent to an upstream. It returns true if that begins a trial,
 // which must be announced to all daemons at once. In a trial the request goes to one upstream
 // only: after a refusal or a break-off there it must not reach another one.
-func (g *Try) Sent() (begins bool) {
+func (g *Guard) RecordSent() (begins bool) {
 	if !g.trial || g.sent {
 		return false
 	}
@@ -296,7 +296,7 @@
 }
 
 // End ends the tracking of the request, and its trial if it is one.
-func (g *Try) End() {
+func (g *Guard) End() {
 	if !g.trial {
 		return
 	}
--- a/coordination/suspect/ledger_test.go
+++ b/coordination/suspect/ledger_test.go
@@ -19,10 +19,10 @@
 func (e event) apply(c *clock.Manual, l *Ledger, content Content) {
 	c.Advance(e.delay)
 	if e.served {
-		l.Served(content)
+		l.RecordServed(content)
 	}
 	if e.lostUpstream != 0 {
-		l.Lost(content, Loss{Upstream: e.lostUpstream, At: c.Now(), Fresh: !e.ranLong})
+		l.RecordLoss(content, Loss{Upstream: e.lostUpstream, At: c.Now(), Fresh: !e.ranLong})
 	}
 }
 
@@ -55,11 +55,11 @@
 			for _, e := range c.events {
 				e.apply(now, l, 7)
 			}
-			v := l.Begin(7).Judge()
+			v := l.Begin(7).Check()
 			if v.Refused() != c.refused || v.Proved() != c.proved || v.Refused() && v.RetryAfter() <= 0 {
 				t.Fatalf("refused %t, proved %t, retry after %d ms", v.Refused(), v.Proved(), v.RetryAfter())
 			}
-			if other := l.Begin(8).Judge(); other.Refused() {
+			if other := l.Begin(8).Check(); other.Refused() {
 				t.Fatal("another request is refused")
 			}
 		})
@@ -71,16 +71,16 @@
 	c := clock.NewManual()
 	l := New(c)
 	for content := range Content(3) {
-		l.Lost(content, Loss{Upstream: 1, At: c.Now(), Fresh: true})
-		l.Lost(content, Loss{Upstream: 2, At: c.Now(), Fresh: true})
+		l.RecordLoss(content, Loss{Upstream: 1, At: c.Now(), Fresh: true})
+		l.RecordLoss(content, Loss{Upstream: 2, At: c.Now(), Fresh: true})
 	}
 	c.Advance(holdTime)
 	first, second := l.Begin(0), l.Begin(1)
-	if first.Judge().Refused() || first.Judge().Refused() || !second.Judge().Refused() {
+	if first.Check().Refused() || first.Check().Refused() || !second.Check().Refused() {
 		t.Fatal("want one trial, which may continue")
 	}
 	first.End()
-	if second.Judge().Refused() {
+	if second.Check().Refused() {
 		t.Fatal("no second trial after the end of the first")
 	}
 	second.End()
@@ -111,7 +111,7 @@
 	for i, d := range f.daemons {
 		for k := range min(4, n-1) {
 			other := f.daemons[(i+1+(f.round*31+k*k*17+k*7)%(n-1))%n]
-			d.Take(other.News(d.Digest()))
+			d.Merge(other.MarksFor(d.Digest()))
 		}
 	}
 }
@@ -128,13 +128,13 @@
 			for second := range 120 {
 				d := f.daemons[second*37%n]
 				guard := d.Begin(1)
-				if !guard.Judge().Refused() {
+				if !guard.Check().Refused() {
 					crashed++
 					by := Loss{Upstream: crashed, At: f.clock.Now(), Fresh: true}
-					d.Lost(1, by)
+					d.RecordLoss(1, by)
 					for k := range 10 {
 						by.Fresh = k < 2
-						f.daemons[(second+k)%n].Lost(bystander, by)
+						f.daemons[(second+k)%n].RecordLoss(bystander, by)
 						bystander++
 					}
 				}
@@ -147,7 +147,7 @@
 				t.Errorf("%d engines crashed, want %d", crashed, provedThreshold)
 			}
 			for c := Content(100); c < bystander; c++ {
-				if v := f.daemons[int(c)%n].Begin(c).Judge(); v.Refused() {
+				if v := f.daemons[int(c)%n].Begin(c).Check(); v.Refused() {
 					t.Fatalf("bystander %d is refused", c)
 				}
 			}
@@ -160,18 +160,18 @@
 func TestStartingDaemonLearnsHeldRequests(t *testing.T) {
 	f := newTestFleet(2)
 	for u := range uint32(3) {
-		f.daemons[0].Lost(1, Loss{Upstream: u, At: f.clock.Now(), Fresh: true})
+		f.daemons[0].RecordLoss(1, Loss{Upstream: u, At: f.clock.Now(), Fresh: true})
 	}
 	f.clock.Advance(10 * announceTime)
 	f.exchangeNews()
 	restored := New(f.clock)
-	restored.Take(f.daemons[0].KeepsBack())
+	restored.Merge(f.daemons[0].BlockedMarks())
 	for name, l := range map[string]*Ledger{"news": f.daemons[1], "store": restored} {
-		if !l.Begin(1).Judge().Proved() {
+		if !l.Begin(1).Check().Proved() {
 			t.Errorf("%s: the request is not proved", name)
 		}
 	}
-	if marks := f.daemons[0].News(f.daemons[1].Digest()); len(marks) > 0 {
+	if marks := f.daemons[0].MarksFor(f.daemons[1].Digest()); len(marks) > 0 {
 		t.Errorf("%d marks are sent to a daemon that knows them", len(marks))
 	}
 }
@@ -181,12 +181,12 @@
 	c := clock.NewManual()
 	l := New(c)
 	for i := range 3 * maxContents {
-		l.Take([]Mark{{Content: Content(i), Upstream: uint32(i), Fresh: true}, {Content: 1, Upstream: uint32(i), Fresh: true}, {Content: 2, Age: -1}})
+		l.Merge([]Mark{{Content: Content(i), Upstream: uint32(i), Fresh: true}, {Content: 1, Upstream: uint32(i), Fresh: true}, {Content: 2, Age: -1}})
 	}
 	if n := len(l.suspects); n > maxContents {
 		t.Errorf("%d contents are recorded", n)
 	}
-	if sent, stored := len(l.News(1)), len(l.KeepsBack()); sent > maxNewsMarks || stored > maxStoredMarks {
+	if sent, stored := len(l.MarksFor(1)), len(l.BlockedMarks()); sent > maxNewsMarks || stored > maxStoredMarks {
 		t.Errorf("%d marks sent and %d stored", sent, stored)
 	}
 	if n := len(l.suspects[1].losses); n > maxLosses {
--- a/coordination/suspect/marks.go
+++ b/coordination/suspect/marks.go
@@ -29,9 +29,9 @@
 	maxStoredMarks = 512
 )
 
-// News returns the marks recorded recently. For a peer with a different digest it also returns
+// MarksFor returns the marks recorded recently. For a peer with a different digest it also returns
 // the losses of all contents that are held back or proved, whenever they were recorded.
-func (l *Ledger) News(digest uint64) []Mark {
+func (l *Ledger) MarksFor(digest uint64) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -53,8 +53,8 @@
 	return newest(marks, maxNewsMarks)
 }
 
-// KeepsBack returns the losses of all contents that are held back or proved.
-func (l *Ledger) KeepsBack() []Mark {
+// BlockedMarks returns the losses of all contents that are held back or proved.
+func (l *Ledger) BlockedMarks() []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -70,8 +70,8 @@
 	return newest(marks, maxStoredMarks)
 }
 
-// Marks returns the losses and the last trial of one content.
-func (l *Ledger) Marks(c Content) []Mark {
+// ContentMarks returns the losses and the last trial of one content.
+func (l *Ledger) ContentMarks(c Content) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.suspects[c]
@@ -138,9 +138,9 @@
 	return sum
 }
 
-// Take merges marks from another daemon or from the store, and returns how many losses were new.
+// Merge merges marks from another daemon or from the store, and returns how many losses were new.
 // Marks with impossible ages are ignored.
-func (l *Ledger) Take(marks []Mark) (added int) {
+func (l *Ledger) Merge(marks []Mark) (added int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
--- a/coordination/suspect/trial_test.go
+++ b/coordination/suspect/trial_test.go
@@ -26,18 +26,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(6)
 			for _, l := range f.daemons {
-				l.Lost(1, Loss{Upstream: 1, At: f.clock.Now(), Fresh: true})
-				l.Lost(1, Loss{Upstream: 2, At: f.clock.Now(), Fresh: true})
+				l.RecordLoss(1, Loss{Upstream: 1, At: f.clock.Now(), Fresh: true})
+				l.RecordLoss(1, Loss{Upstream: 2, At: f.clock.Now(), Fresh: true})
 			}
 			f.clock.Advance(holdTime)
 			trials := 0
 			for i := range c.callers {
 				daemon := f.daemons[i%len(f.daemons)]
 				guard := daemon.Begin(1)
-				if v := guard.Judge(); !v.Refused() && guard.Sent() {
+				if v := guard.Check(); !v.Refused() && guard.RecordSent() {
 					trials++
 					for _, other := range f.daemons {
-						other.Take(daemon.Marks(1))
+						other.Merge(daemon.ContentMarks(1))
 					}
 				} else if v.RetryAfter() <= 0 {
 					t.Errorf("caller %d: refused %t, retry after %d ms", i, v.Refused(), v.RetryAfter())
@@ -54,36 +54,36 @@
 // A trial that its upstream refuses does not go to another one, and the next trial waits as long
 // as after a loss. A trial that has run for trialTime may go to any upstream.
 func TestTrialIsSentToOneUpstream(t *testing.T) {
-	startTrial := func() (*clock.Manual, *Ledger, *Try) {
+	startTrial := func() (*clock.Manual, *Ledger, *Guard) {
 		c := clock.NewManual()
 		l := New(c)
-		l.Lost(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
-		l.Lost(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
+		l.RecordLoss(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
+		l.RecordLoss(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
 		c.Advance(holdTime)
 		guard := l.Begin(1)
-		if guard.Judge().Refused() || guard.Judge().Refused() {
+		if guard.Check().Refused() || guard.Check().Refused() {
 			t.Fatal("no trial")
 		}
-		guard.Sent()
+		guard.RecordSent()
 		return c, l, guard
 	}
 	c, l, guard := startTrial()
 	c.Advance(5)
-	if !guard.Judge().Refused() {
+	if !guard.Check().Refused() {
 		t.Error("a refused trial goes to another upstream")
 	}
 	guard.End()
 	c.Advance(holdTime - 6)
-	if !l.Begin(1).Judge().Refused() {
+	if !l.Begin(1).Check().Refused() {
 		t.Error("the next trial starts too early")
 	}
 	c.Advance(1)
-	if l.Begin(1).Judge().Refused() {
+	if l.Begin(1).Check().Refused() {
 		t.Error("no second trial after holdTime")
 	}
 	c, _, guard = startTrial()
 	c.Advance(trialTime)
-	if guard.Judge().Refused() {
+	if guard.Check().Refused() {
 		t.Error("a trial that has run for trialTime does not continue")
 	}
 }
@@ -93,12 +93,12 @@
 func TestUnsentTrialIsNotCounted(t *testing.T) {
 	c := clock.NewManual()
 	l := New(c)
-	l.Lost(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
-	l.Lost(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
+	l.RecordLoss(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
+	l.RecordLoss(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
 	c.Advance(holdTime)
 	for range 3 {
 		guard := l.Begin(1)
-		if guard.Judge().Refused() {
+		if guard.Check().Refused() {
 			t.Fatal("held back although nothing was sent")
 		}
 		guard.End()
@@ -108,13 +108,13 @@
 // Callers of one content get different Retry-After values, none before the request may be tried.
 func TestRetryAfterIsJittered(t *testing.T) {
 	random, c := rng.New(1), clock.NewManual()
-	l := New(c, WithDraw(random.Float64))
-	l.Lost(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
-	l.Lost(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
+	l := New(c, WithRandom(random.Float64))
+	l.RecordLoss(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
+	l.RecordLoss(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
 	perWindow := map[spanrill.Millis]int{}
 	const window spanrill.Millis = 100
 	for range 100 {
-		after := l.Begin(1).Judge().RetryAfter()
+		after := l.Begin(1).Check().RetryAfter()
 		if after < holdTime || after > holdTime+retryAfterJitter {
 			t.Fatalf("retry after %d ms", after)
 		}
@@ -132,15 +132,15 @@
 func TestTrialReportedByPeer(t *testing.T) {
 	c := clock.NewManual()
 	l := New(c)
-	l.Take([]Mark{{Content: 5, Trial: true}, {Content: 6, Age: -5, Trial: true}})
-	if l.Begin(5).Judge().Refused() || len(l.suspects) > 0 {
+	l.Merge([]Mark{{Content: 5, Trial: true}, {Content: 6, Age: -5, Trial: true}})
+	if l.Begin(5).Check().Refused() || len(l.suspects) > 0 {
 		t.Error("a content without losses is held back")
 	}
-	l.Lost(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
-	l.Lost(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
+	l.RecordLoss(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
+	l.RecordLoss(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
 	c.Advance(holdTime)
-	l.Take([]Mark{{Content: 1, Trial: true, Age: 2 * holdTime}})
-	if l.Begin(1).Judge().Refused() {
+	l.Merge([]Mark{{Content: 1, Trial: true, Age: 2 * holdTime}})
+	if l.Begin(1).Check().Refused() {
 		t.Error("an old trial holds the request back")
 	}
 }
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -34,7 +34,7 @@
 // lost is a network on which one of n questions is answered, by turns.
 func lost(n int) func(int, int, spanrill.Millis) bool {
 	return func(asker, asked int, now spanrill.Millis) bool {
-		return (asker*31+asked*17+int(now/exchange.Gap)*7)%n != 0
+		return (asker*31+asked*17+int(now/exchange.RoundInterval)*7)%n != 0
 	}
 }
 
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -213,7 +213,7 @@
 	g.fleet = fleet.New(d, simDecode, fleet.WithLogger(log), fleet.WithDrain(f.trouble.drain))
 	g.exchange = exchange.New(d, exchange.State{
 		Name: m.Name, Config: g.config, Fleet: g.fleet, Budgets: retry.NewBudgets(d, retry.Limits{}, firstDaemons),
-		Placement: func() bool { return false }, Leaving: func() bool { return false }, StoreSilent: g.storeSilent, Late: g.entriesLate,
+		HoldsPlacement: func() bool { return false }, Leaving: func() bool { return false }, StoreSilent: g.storeSilent, LateRounds: g.entriesLate,
 		Targets: func() map[string]fleet.Target { return nil }, Lease: lease.New(nil, d, "placement", m.Name),
 		Suspects: suspect.New(d),
 	}, d, log, rng.New(seed+1000))
@@ -280,7 +280,7 @@
 		d.behind.Store(int64(d.fleet.trouble.late(d.rank)))
 		d.exchange.Round(context.Background())
 		d.behind.Store(0)
-		d.round = now + exchange.Gap*9/10 + spanrill.Millis(d.random.Float64()*float64(exchange.Gap)/5)
+		d.round = now + exchange.RoundInterval*9/10 + spanrill.Millis(d.random.Float64()*float64(exchange.RoundInterval)/5)
 	}
 	if now >= d.tend {
 		d.Gateway.fleet.Tend()
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -169,10 +169,10 @@
 	_, _, age := g.fleet.Proof()
 	goal := g.entriesGoal()
 	late := age - goal - newsRound
-	if late < 0 || !g.exchange.StoreSilentToSome() {
+	if late < 0 || !g.exchange.AnyPeerStoreSilent() {
 		return g.due(age, goal, g.settings.Bounds.Drain)
 	}
-	if g.random.Float64() < toldChance(late, len(g.peers.list.Live()), g.exchange.SpreadTime()) {
+	if g.random.Float64() < toldChance(late, len(g.peers.list.Live()), g.exchange.BroadcastTime()) {
 		return 0
 	}
 	return min(proofPoll, g.due(age, goal, g.settings.Bounds.Drain)) // the chance is one for each look
@@ -185,7 +185,7 @@
 // here.
 func (g *Gateway) entriesLate() int {
 	_, _, age := g.fleet.Proof()
-	due := g.entriesGoal() + g.exchange.SpreadTime()
+	due := g.entriesGoal() + g.exchange.BroadcastTime()
 	return int(max(0, age-due) / newsRound)
 }
 
@@ -254,7 +254,7 @@
 	}
 	asks := func(draw float64) spanrill.Millis { return lateAge(goal, bound, 1-draw) }
 	if !g.waitsForSeeds() {
-		rank, spread := g.askRank(), g.exchange.SpreadTime()
+		rank, spread := g.askRank(), g.exchange.BroadcastTime()
 		asks = func(draw float64) spanrill.Millis { return askAge(goal, bound, rank, spread, draw) }
 	}
 	if age >= asks(g.random.Float64()) {
@@ -312,10 +312,10 @@
 func (g *Gateway) askRank() int {
 	if g.starting() && !g.isEarlyRoot() {
 		return g.peers.rankAmong(askStore, func(m peermsg.Member) bool {
-			return slices.Contains(g.settings.Peers, m.PeerAddr) && !g.exchange.SaysStoreSilent(m.Name)
+			return slices.Contains(g.settings.Peers, m.PeerAddr) && !g.exchange.PeerStoreSilent(m.Name)
 		})
 	}
-	return g.peers.rankAmong(askStore, func(m peermsg.Member) bool { return !g.exchange.SaysStoreSilent(m.Name) })
+	return g.peers.rankAmong(askStore, func(m peermsg.Member) bool { return !g.exchange.PeerStoreSilent(m.Name) })
 }
 
 // isEarlyRoot reports whether this daemon is the first in rank of those that it has heard of
@@ -345,7 +345,7 @@
 // where news goes through several daemons those without a rank leave it to the
 // others to find a store that has come back.
 func (g *Gateway) retryPause() spanrill.Millis {
-	if g.exchange.Rounds() > 1 && g.askRank() >= ranks {
+	if g.exchange.AggregationRounds() > 1 && g.askRank() >= ranks {
 		return unrankedPause
 	}
 	return follow.LongestPause
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -159,7 +159,7 @@
 	// not: two rounds of news, and one more for each further level of daemons
 	// that news goes through.
 	rankDelay spanrill.Millis = 2 * newsRound
-	newsRound                 = exchange.Gap
+	newsRound                 = exchange.RoundInterval
 	// rankStep is how much later each further one asks.
 	rankStep spanrill.Millis = 150
 	// ranks is how many daemons have a rank of their own; all others follow
@@ -212,7 +212,7 @@
 		retry.WithBorrow(func(ctx context.Context, service string, want float64) float64 {
 			return g.exchange.Borrow(ctx, service, want)
 		}))
-	g.suspects = suspect.New(g.clock, suspect.WithDraw(g.random.Float64))
+	g.suspects = suspect.New(g.clock, suspect.WithRandom(g.random.Float64))
 	var err error
 	if g.peers, err = newPeers(g); err != nil {
 		return fmt.Errorf("build peers: %w", err)
@@ -224,10 +224,10 @@
 		suspect.WithEra(g.adapter.Era))
 	g.exchange = exchange.New(g.peers, exchange.State{
 		Name: g.peers.name, Zone: g.settings.Zone, Seeds: g.seeds(), Config: g.config, Fleet: g.fleet, Decode: g.adapter.DecodeConfig,
-		Placement: g.holdsLease, Leaving: g.draining.Load, StoreSilent: g.storeSilent, Late: g.entriesLate, Targets: g.targets, Budgets: g.budgets, Lease: g.lease,
+		HoldsPlacement: g.holdsLease, Leaving: g.draining.Load, StoreSilent: g.storeSilent, LateRounds: g.entriesLate, Targets: g.targets, Budgets: g.budgets, Lease: g.lease,
 		Suspects: g.suspects,
 	}, g.clock, g.log, g.random)
-	g.placer = layoutrun.New(g.mayPlace, engines, g.fleet, g.models, g.clock, g.log, layoutrun.WithSpread(g.exchange.SpreadTime))
+	g.placer = layoutrun.New(g.mayPlace, engines, g.fleet, g.models, g.clock, g.log, layoutrun.WithSpread(g.exchange.BroadcastTime))
 	g.router = chainrouting.New(g.fleet, g.clock, g.log, g.random)
 	g.relay = relay.New(relay.Dependencies{
 		Config: g.config, Fleet: g.fleet, Router: g.router, Prober: g.prober,
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -146,7 +146,7 @@
 	case peermsg.KindSuspects:
 		var m peermsg.SuspectNews
 		if err = peermsg.Decode(payload, &m); err == nil {
-			p.gateway.exchange.TakeSuspects(m.Marks)
+			p.gateway.exchange.MergeSuspects(m.Marks)
 		}
 		return nil, err
 	case peermsg.KindPermit:
@@ -169,7 +169,7 @@
 // come again at another daemon within milliseconds, and what the others ask for comes up to
 // a round later: of eight attempts in a row two more engines ended in that time.
 func (p *peers) tellSuspect(c suspect.Content) {
-	payload, err := peermsg.Encode(&peermsg.SuspectNews{Marks: exchange.SuspectMarks(p.gateway.suspects.Marks(c))})
+	payload, err := peermsg.Encode(&peermsg.SuspectNews{Marks: exchange.SuspectMarks(p.gateway.suspects.ContentMarks(c))})
 	if err != nil {
 		p.gateway.log.WithError(err).Error("encode what is known of a request")
 		return
@@ -203,7 +203,7 @@
 }
 
 // Mute reports whether a daemon did not answer when this daemon last asked it for news.
-func (p *peers) Mute(daemon string) bool { return p.gateway.exchange.Mute(daemon) }
+func (p *peers) Mute(daemon string) bool { return p.gateway.exchange.Unresponsive(daemon) }
 
 // AskPermit asks a daemon for a permit.
 func (p *peers) AskPermit(ctx context.Context, addr string, asked *peermsg.AskPermit) (*peermsg.Permit, error) {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -100,7 +100,7 @@
 		g.noteDropped()
 		daemons := len(g.peers.list.Live())
 		g.daemons.Store(int64(daemons))
-		g.router.SetFleet(daemons, g.exchange.Rounds(), g.exchange.Settled())
+		g.router.SetFleet(daemons, g.exchange.AggregationRounds(), g.exchange.Settled())
 		g.router.SetStarting(g.starting() && g.clock.Now()-g.startedAt < crowdTime)
 		g.router.SetDemand(g.budgets.Demand())
 		select {
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -181,13 +181,13 @@
 	g.exchange = exchange.New(d, exchange.State{
 		Name: self.Name, Zone: g.settings.Zone, Seeds: g.seeds(), Config: g.config, Fleet: g.fleet, Decode: startDecode,
 		Budgets:   retry.NewBudgets(d, retry.Limits{}, firstDaemons),
-		Placement: func() bool { return f.holder == d }, Leaving: func() bool { return false }, StoreSilent: g.storeSilent, Late: g.entriesLate,
+		HoldsPlacement: func() bool { return f.holder == d }, Leaving: func() bool { return false }, StoreSilent: g.storeSilent, LateRounds: g.entriesLate,
 		Targets: d.targets, Lease: g.lease,
 		Suspects: suspect.New(d),
 	}, d, log, g.random)
 	config := startStore{fleet: f, items: []spanrill.Item{{Name: "main", Revision: 7, Value: []byte(`{"version":1}`)}}}
 	g.follow(config, startStore{fleet: f, items: []spanrill.Item{simItem(simStays, 1, false)}, engines: f.engines})
-	g.placer = layoutrun.New(func() (uint64, bool) { return 0, false }, nil, g.fleet, d.models, d, log, layoutrun.WithSpread(g.exchange.SpreadTime))
+	g.placer = layoutrun.New(func() (uint64, bool) { return 0, false }, nil, g.fleet, d.models, d, log, layoutrun.WithSpread(g.exchange.BroadcastTime))
 	g.prober = probe.New(nil, d, log)
 	g.names = probe.NewNames(nil, d, log, func(string) string { return "" })
 	g.firstAt += d.starts - startBegin
@@ -257,7 +257,7 @@
 	})
 	d.every("news", func() spanrill.Millis {
 		d.exchange.Round(context.Background())
-		return d.exchange.Pause()
+		return d.exchange.NextPause()
 	})
 	d.every("configuration", func() spanrill.Millis { return d.configs.Step(context.Background()) })
 	d.every("upstreams", func() spanrill.Millis { return d.upstreams.Step(context.Background()) })
