--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -52,21 +52,21 @@
 
 // State is the local state that an exchange reads, reports to peers and updates from them.
 type State struct {
-	Name      string
-	Zone      string   // availability zone of this daemon
-	Seeds     []string // configured peer addresses, without this daemon's own
-	Config    *routes.Current
-	Fleet     *fleet.Table
+	Name           string
+	Zone           string   // availability zone of this daemon
+	Seeds          []string // configured peer addresses, without this daemon's own
+	Config         *routes.Current
+	Fleet          *fleet.Table
 	HoldsPlacement func() bool // reports whether this daemon holds the placement lease
-	Leaving   func() bool
+	Leaving        func() bool
 	// StoreSilent reports whether the platform's store does not answer this daemon.
 	StoreSilent func() bool
 	// LateRounds returns for how many rounds the entries have been older than they should be in a
 	// fleet where the trees carry what the first daemon in rank reads.
-	LateRounds     func() int
-	Budgets  *retry.Budgets
-	Lease    *lease.Lease // the placement lease
-	Suspects *suspect.Ledger
+	LateRounds func() int
+	Budgets    *retry.Budgets
+	Lease      *lease.Lease // the placement lease
+	Suspects   *suspect.Ledger
 	// Targets returns the layers that this daemon is ordering engines to hold, by engine id.
 	Targets func() map[string]fleet.Target
 	// Decode decodes a configuration from the form in which the store holds it.
@@ -76,7 +76,7 @@
 const (
 	// RoundInterval is the pause between two rounds. The figures of other daemons are at most this old; in
 	// that time a daemon starts two requests at the current load.
-	RoundInterval           spanrill.Millis = 250
+	RoundInterval spanrill.Millis = 250
 	roundInterval                 = RoundInterval
 	// askTimeout bounds one request to a peer: many times a round trip of 1 ms.
 	askTimeout spanrill.Millis = 400
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -89,7 +89,7 @@
 		Name: name, Config: d.config, Fleet: d.table, Decode: decodeConfig, Budgets: d.budgets,
 		HoldsPlacement: func() bool { return d.placement }, Leaving: func() bool { return false },
 		StoreSilent: func() bool { return d.storeSilent },
-		LateRounds:        func() int { return 0 },
+		LateRounds:  func() int { return 0 },
 		Targets:     func() map[string]fleet.Target { return d.targets },
 		Lease:       lease.New(nil, c, "placement", "d"),
 		Suspects:    suspect.New(c),
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -155,7 +155,7 @@
 	keptAnswer *attempt    // answer of an upstream that is passed on if later attempts bring none, or nil
 
 	content  suspect.Content          // identifies what is asked for
-	trial    *suspect.Guard             // this request in the ledger of suspects
+	trial    *suspect.Guard           // this request in the ledger of suspects
 	brokenOn map[*fleet.Upstream]bool // upstreams on which attempts broke off
 
 	considered []string // why each chain was rejected, if no path was found
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -180,7 +180,7 @@
 	g.lease = lease.New(nil, d, "placement", self.Name)
 	g.exchange = exchange.New(d, exchange.State{
 		Name: self.Name, Zone: g.settings.Zone, Seeds: g.seeds(), Config: g.config, Fleet: g.fleet, Decode: startDecode,
-		Budgets:   retry.NewBudgets(d, retry.Limits{}, firstDaemons),
+		Budgets:        retry.NewBudgets(d, retry.Limits{}, firstDaemons),
 		HoldsPlacement: func() bool { return f.holder == d }, Leaving: func() bool { return false }, StoreSilent: g.storeSilent, LateRounds: g.entriesLate,
 		Targets: d.targets, Lease: g.lease,
 		Suspects: suspect.New(d),
