--- a/cli/spanrillcmd/plan.go
+++ b/cli/spanrillcmd/plan.go
@@ -93,7 +93,7 @@
 			continue
 		}
 		p.Planned = p.Planned && e.Layers.Len() == 0
-		engines = append(engines, layout.Engine{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Layers: e.Layers, Leaves: e.Leaving})
+		engines = append(engines, layout.Engine{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Layers: e.Layers, Leaving: e.Leaving})
 	}
 	if p.Planned {
 		engines = layout.Apply(engines, layout.Plan(s.Model, engines))
@@ -111,12 +111,12 @@
 	fmt.Fprintf(w, "service %s, %d engines, %s: %.1f usual requests a second\n", p.Service, p.Engines, state, p.Rate)
 	for i, c := range p.Chains {
 		fmt.Fprintf(w, "  chain %d in %s: %d engines, %d crossings, room for %.0f tokens, %.1f requests a second, missing %v\n",
-			i+1, c.Zone, len(c.Engines), c.Crossings, c.Room, c.Rate, c.Holes)
+			i+1, c.Zone, len(c.Engines), c.Crossings, c.CapacityTokens, c.Rate, c.Holes)
 		for _, e := range c.Engines {
 			fmt.Fprintf(w, "    %-14s %-8s %-12s %d to %d\n", e.ID, e.Kind, e.Zone, e.Layers.From, e.Layers.To)
 		}
 	}
 	for _, l := range p.Losses {
-		fmt.Fprintf(w, "  without %-14s %.1f at once, %.1f after %d loads\n", l.Engine, l.At, l.Repaired, l.Loads)
+		fmt.Fprintf(w, "  without %-14s %.1f at once, %.1f after %d loads\n", l.Engine, l.RateAfterLoss, l.RateRepaired, l.Loads)
 	}
 }
--- a/cli/spanrillcmd/plan_test.go
+++ b/cli/spanrillcmd/plan_test.go
@@ -29,7 +29,7 @@
 		t.Fatalf("%+v", p)
 	}
 	for _, l := range p.Losses {
-		if l.At >= l.Before || l.Repaired < l.At {
+		if l.RateAfterLoss >= l.RateBefore || l.RateRepaired < l.RateAfterLoss {
 			t.Errorf("%+v", l)
 		}
 	}
--- a/coordination/layout/copies_test.go
+++ b/coordination/layout/copies_test.go
@@ -68,7 +68,7 @@
 // An engine that has just joined fills a hole at once.
 func TestJoinedEngineFillsAHole(t *testing.T) {
 	engines := spareFleet(Engine{ID: "new", Zone: "a", Kind: "large", JustJoined: true})
-	engines[0].Leaves = true
+	engines[0].Leaving = true
 	after := apply(engines, Repair(spareModel(), engines))
 	if got := after[len(after)-1].Layers; got != (spanrill.LayerRange{From: 0, To: 25}) {
 		t.Fatalf("the joined engine holds %v, want 0-25", got)
--- a/coordination/layout/describe.go
+++ b/coordination/layout/describe.go
@@ -12,7 +12,7 @@
 	Engines   []Engine              `json:"engines"`
 	Holes     []spanrill.LayerRange `json:"holes,omitempty"`
 	Crossings int                   `json:"crossings"`   // hops between availability zones
-	Room      float64               `json:"room_tokens"` // memory of the engine with the least, in tokens
+	CapacityTokens      float64               `json:"room_tokens"` // memory of the engine with the least, in tokens
 	Rate      float64               `json:"requests_per_second"`
 }
 
@@ -42,7 +42,7 @@
 		info.Engines = append(info.Engines, byID[p.ID].Engine)
 	}
 	stages := costStages(parts, ranges)
-	info.Crossings, info.Room = cost.Crossings(stages), cost.Room(m, stages)
+	info.Crossings, info.CapacityTokens = cost.Crossings(stages), cost.Room(m, stages)
 	if c.Whole() {
 		info.Rate = cost.Rate(m, stages)
 	}
@@ -62,9 +62,9 @@
 // Loss describes the effect of losing one engine.
 type Loss struct {
 	Engine   string  `json:"engine"`
-	Before   float64 `json:"before"`   // requests per second before the loss
-	At       float64 `json:"at"`       // requests per second right after the loss
-	Repaired float64 `json:"repaired"` // requests per second after the first round of repairs
+	RateBefore   float64 `json:"before"`   // requests per second before the loss
+	RateAfterLoss       float64 `json:"at"`       // requests per second right after the loss
+	RateRepaired float64 `json:"repaired"` // requests per second after the first round of repairs
 	Loads    int     `json:"loads"`    // engines that load layers for the repair
 }
 
@@ -77,7 +77,7 @@
 			remaining := withoutEngine(engines, lost.ID)
 			moves := Repair(m, remaining)
 			losses = append(losses, Loss{
-				Engine: lost.ID, Before: before, At: Rate(m, remaining), Repaired: Rate(m, Apply(remaining, moves)), Loads: len(moves),
+				Engine: lost.ID, RateBefore: before, RateAfterLoss: Rate(m, remaining), RateRepaired: Rate(m, Apply(remaining, moves)), Loads: len(moves),
 			})
 		}
 	}
--- a/coordination/layout/layout.go
+++ b/coordination/layout/layout.go
@@ -28,7 +28,7 @@
 	Kind       string              `json:"kind"`
 	Layers     spanrill.LayerRange `json:"layers"`           // held, or ordered and loading
 	Changing   bool                `json:"fixed,omitempty"`  // an order for it is not done yet; it gets no other
-	Leaves     bool                `json:"leaves,omitempty"` // finishes running requests and accepts no new ones
+	Leaving     bool                `json:"leaves,omitempty"` // finishes running requests and accepts no new ones
 	Crashed    bool                `json:"lost,omitempty"`   // crashed recently; its running requests are lost
 	Slow       bool                `json:"slow,omitempty"`   // serves, but slows its chain down
 	Tokens     int64               `json:"tokens,omitempty"` // reserved by running requests
@@ -57,7 +57,7 @@
 func candidates(m *spanrill.EngineModel, engines []Engine) []candidate {
 	out := make([]candidate, 0, len(engines))
 	for _, e := range engines {
-		if e.Leaves || e.Crashed {
+		if e.Leaving || e.Crashed {
 			continue
 		}
 		if k, ok := m.Kinds[e.Kind]; ok && cost.Fit(m, k) > 0 {
--- a/coordination/layout/repair.go
+++ b/coordination/layout/repair.go
@@ -16,7 +16,7 @@
 	for _, e := range engines {
 		if e.Crashed {
 			r.crashed = append(r.crashed, e)
-		} else if e.Leaves {
+		} else if e.Leaving {
 			r.leaving = append(r.leaving, e)
 		}
 	}
--- a/coordination/layout/spare_test.go
+++ b/coordination/layout/spare_test.go
@@ -36,7 +36,7 @@
 // that fill the hole must not break them off.
 func TestRequestsOfLeavingEnginesAreNotCut(t *testing.T) {
 	one, two := quarter("leaving-1", 20), quarter("leaving-2", 40)
-	one.Leaves, two.Leaves = true, true
+	one.Leaving, two.Leaving = true, true
 	engines := []Engine{quarter("first", 0), quarter("spare", 0), one, two, quarter("last", 60)}
 	moves := Repair(hugeModel(), engines)
 	wantNoCuts(t, moves)
@@ -45,7 +45,7 @@
 // Two chains of a zone each lose an engine without a crash, and the remaining engines are
 // derived as chains that differ from the paths of running requests: nothing is cut.
 func TestRequestsAreNotCutWhenChainsAreDerivedAgain(t *testing.T) {
-	gone := Engine{ID: "leaving", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 0, To: 20}, Leaves: true}
+	gone := Engine{ID: "leaving", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 0, To: 20}, Leaving: true}
 	overlap := Engine{ID: "overlap", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 12, To: 20}}
 	engines := []Engine{gone, overlap, quarter("a1", 0), quarter("a2", 20), quarter("a3", 40), quarter("a4", 60), quarter("b2", 20), quarter("b3", 40), quarter("b4", 60)}
 	moves := Repair(hugeModel(), engines)
@@ -56,7 +56,7 @@
 // them, although another engine is leaving.
 func TestRequestsOfACrashedEngineAreCut(t *testing.T) {
 	crash, leave := quarter("crashed", 20), quarter("leaving", 40)
-	crash.Crashed, leave.Leaves = true, true
+	crash.Crashed, leave.Leaving = true, true
 	moves := Repair(hugeModel(), []Engine{quarter("first", 0), quarter("spare", 0), crash, leave, quarter("last", 60)})
 	if len(moves) == 0 || !moves[0].Cut {
 		t.Fatalf("moves %v, want the first to cut", moves)
@@ -67,7 +67,7 @@
 // hold. Nothing has crashed, so no running request is cut.
 func TestHolesWithoutCrashAreNotCut(t *testing.T) {
 	leaving := quarter("leaving", 0)
-	leaving.Leaves = true
+	leaving.Leaving = true
 	engines := []Engine{leaving, quarter("a1", 0), quarter("a2", 20), quarter("spare", 0), quarter("a4", 60)}
 	moves := Repair(hugeModel(), engines)
 	wantNoCuts(t, moves)
--- a/coordination/layoutrun/placer.go
+++ b/coordination/layoutrun/placer.go
@@ -87,8 +87,8 @@
 // Option changes a default of New.
 type Option func(*Placer)
 
-// WithSpread sets the source of the time in which an update reaches all daemons.
-func WithSpread(propagation func() spanrill.Millis) Option {
+// WithPropagationTime sets the source of the time in which an update reaches all daemons.
+func WithPropagationTime(propagation func() spanrill.Millis) Option {
 	return func(p *Placer) { p.propagation = propagation }
 }
 
@@ -198,7 +198,7 @@
 		}
 		e := layout.Engine{
 			ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers,
-			Leaves: !u.Takes() || leaves, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.KnownAt() < justJoinedTime,
+			Leaving: !u.Takes() || leaves, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.KnownAt() < justJoinedTime,
 		}
 		if t := u.Target(); t != nil {
 			e.Layers, e.Changing = t.Layers, !t.Done
@@ -229,7 +229,7 @@
 		}
 		if lost, _ := p.verify(ctx, u, now, true); !lost {
 			entry := u.Entry()
-			engines = append(engines, layout.Engine{ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers, Leaves: true})
+			engines = append(engines, layout.Engine{ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers, Leaving: true})
 		}
 	}
 	return engines
--- a/coordination/layoutrun/verify_test.go
+++ b/coordination/layoutrun/verify_test.go
@@ -111,7 +111,7 @@
 				_ = p.tasks.Wait()
 				leaving = 0
 				for _, e := range engines {
-					if e.Leaves {
+					if e.Leaving {
 						leaving++
 					}
 				}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -227,7 +227,7 @@
 		HoldsPlacement: g.holdsLease, Leaving: g.draining.Load, StoreSilent: g.storeSilent, LateRounds: g.entriesLate, Targets: g.targets, Budgets: g.budgets, Lease: g.lease,
 		Suspects: g.suspects,
 	}, g.clock, g.log, g.random)
-	g.placer = layoutrun.New(g.mayPlace, engines, g.fleet, g.models, g.clock, g.log, layoutrun.WithSpread(g.exchange.BroadcastTime))
+	g.placer = layoutrun.New(g.mayPlace, engines, g.fleet, g.models, g.clock, g.log, layoutrun.WithPropagationTime(g.exchange.BroadcastTime))
 	g.router = chainrouting.New(g.fleet, g.clock, g.log, g.random)
 	g.relay = relay.New(relay.Dependencies{
 		Config: g.config, Fleet: g.fleet, Router: g.router, Prober: g.prober,
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -187,7 +187,7 @@
 	}, d, log, g.random)
 	config := startStore{fleet: f, items: []spanrill.Item{{Name: "main", Revision: 7, Value: []byte(`{"version":1}`)}}}
 	g.follow(config, startStore{fleet: f, items: []spanrill.Item{simItem(simStays, 1, false)}, engines: f.engines})
-	g.placer = layoutrun.New(func() (uint64, bool) { return 0, false }, nil, g.fleet, d.models, d, log, layoutrun.WithSpread(g.exchange.BroadcastTime))
+	g.placer = layoutrun.New(func() (uint64, bool) { return 0, false }, nil, g.fleet, d.models, d, log, layoutrun.WithPropagationTime(g.exchange.BroadcastTime))
 	g.prober = probe.New(nil, d, log)
 	g.names = probe.NewNames(nil, d, log, func(string) string { return "" })
 	g.firstAt += d.starts - startBegin
