--- a/coordination/layout/describe.go
+++ b/coordination/layout/describe.go
@@ -8,12 +8,12 @@
 
 // ChainInfo describes one chain of a layout for display.
 type ChainInfo struct {
-	Zone      string                `json:"availability_zone"`
-	Engines   []Engine              `json:"engines"`
-	Holes     []spanrill.LayerRange `json:"holes,omitempty"`
-	Crossings int                   `json:"crossings"`   // hops between availability zones
-	CapacityTokens      float64               `json:"room_tokens"` // memory of the engine with the least, in tokens
-	Rate      float64               `json:"requests_per_second"`
+	Zone           string                `json:"availability_zone"`
+	Engines        []Engine              `json:"engines"`
+	Holes          []spanrill.LayerRange `json:"holes,omitempty"`
+	Crossings      int                   `json:"crossings"`   // hops between availability zones
+	CapacityTokens float64               `json:"room_tokens"` // memory of the engine with the least, in tokens
+	Rate           float64               `json:"requests_per_second"`
 }
 
 // Describe returns the chains formed by the layers that the engines hold. A chain with
@@ -61,11 +61,11 @@
 
 // Loss describes the effect of losing one engine.
 type Loss struct {
-	Engine   string  `json:"engine"`
-	RateBefore   float64 `json:"before"`   // requests per second before the loss
-	RateAfterLoss       float64 `json:"at"`       // requests per second right after the loss
-	RateRepaired float64 `json:"repaired"` // requests per second after the first round of repairs
-	Loads    int     `json:"loads"`    // engines that load layers for the repair
+	Engine        string  `json:"engine"`
+	RateBefore    float64 `json:"before"`   // requests per second before the loss
+	RateAfterLoss float64 `json:"at"`       // requests per second right after the loss
+	RateRepaired  float64 `json:"repaired"` // requests per second after the first round of repairs
+	Loads         int     `json:"loads"`    // engines that load layers for the repair
 }
 
 // Losses returns the effect of losing each engine that belongs to a chain.
--- a/coordination/layout/layout.go
+++ b/coordination/layout/layout.go
@@ -28,7 +28,7 @@
 	Kind       string              `json:"kind"`
 	Layers     spanrill.LayerRange `json:"layers"`           // held, or ordered and loading
 	Changing   bool                `json:"fixed,omitempty"`  // an order for it is not done yet; it gets no other
-	Leaving     bool                `json:"leaves,omitempty"` // finishes running requests and accepts no new ones
+	Leaving    bool                `json:"leaves,omitempty"` // finishes running requests and accepts no new ones
 	Crashed    bool                `json:"lost,omitempty"`   // crashed recently; its running requests are lost
 	Slow       bool                `json:"slow,omitempty"`   // serves, but slows its chain down
 	Tokens     int64               `json:"tokens,omitempty"` // reserved by running requests
