--- a/cli/spanrillcmd/fleet.go
+++ b/cli/spanrillcmd/fleet.go
@@ -231,7 +231,7 @@
 		for _, k := range stage {
 			layers := fmt.Sprintf("%d-%d", k.From, k.To)
 			printf(c, "%-16s %-14s %-9s %8.1f %10.1f %6.1f %8d %10.1f  %s\n",
-				k.Engine, k.Zone, layers, k.Load, k.Micros, k.Slow, k.Link, k.Score, k.Why)
+				k.Engine, k.Zone, layers, k.Load, k.MicrosPerToken, k.Slowdown, k.LinkMicros, k.Score, k.WhyNot)
 		}
 	}
 }
--- a/coordination/chain/builder_test.go
+++ b/coordination/chain/builder_test.go
@@ -27,7 +27,7 @@
 	const engines, zones, layers = 120, 5, 24
 	for seed := range int64(20) {
 		r := rand.New(rand.NewSource(seed))
-		reader := NewReader(layers)
+		reader := NewBuilder(layers)
 		var holders []Holder
 		for i := range engines {
 			holders = append(holders, randomHolder(r, i, zones, layers))
@@ -41,8 +41,8 @@
 			default:
 				holders[i].Layers.To = min(layers, holders[i].Layers.To+1)
 			}
-			got, spare := reader.Read(holders)
-			want, wantSpare := Read(layers, holders)
+			got, spare := reader.Build(holders)
+			want, wantSpare := Build(layers, holders)
 			if describe(got, spare) != describe(want, wantSpare) {
 				t.Fatalf("seed %d, step %d: built %s, want %s", seed, step, describe(got, spare), describe(want, wantSpare))
 			}
@@ -80,11 +80,11 @@
 	for _, n := range []int{975, 2922, 5844} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			holders := benchmarkHolders(n)
-			reader := NewReader(80)
-			reader.Read(holders)
+			reader := NewBuilder(80)
+			reader.Build(holders)
 			for i := 0; b.Loop(); i++ {
 				holders[1].Layers.To = holders[1].Layers.From + 5 + i%2*5
-				reader.Read(holders)
+				reader.Build(holders)
 			}
 		})
 	}
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -50,7 +50,7 @@
 }
 
 // Complete reports whether the chain covers every layer.
-func (c *Chain) Whole() bool { return c.Covered() == c.layers }
+func (c *Chain) Complete() bool { return c.Covered() == c.layers }
 
 // Holes returns the ranges that no engine of the chain holds.
 func (c *Chain) Holes() []spanrill.LayerRange {
--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -42,7 +42,7 @@
 		{"a range outside of the model is ignored", []Holder{holder("a", "z1", 0, 12), holder("b", "z1", 6, 14)}, "z1:1[] ", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			chains, spares := Read(12, c.holders)
+			chains, spares := Build(12, c.holders)
 			got := ""
 			for _, ch := range chains {
 				got += fmt.Sprintf("%s:%d%v ", ch.Zone(), len(ch.Parts()), ch.Holes())
@@ -60,7 +60,7 @@
 	for i := range 60 {
 		holders = append(holders, holder(fmt.Sprint(i), fmt.Sprint(i%3), i*7%40, min(40, i*7%40+3+i%9)))
 	}
-	chains, _ := Read(40, holders)
+	chains, _ := Build(40, holders)
 	if len(chains) == 0 {
 		t.Fatal("no chains")
 	}
@@ -85,6 +85,6 @@
 		holders = append(holders, Holder{ID: fmt.Sprint("e", i), Zone: fmt.Sprint("z", i%3), Layers: spanrill.LayerRange{From: from, To: from + 10}, Pace: 5})
 	}
 	for b.Loop() {
-		Read(80, holders)
+		Build(80, holders)
 	}
 }
--- a/coordination/chain/read.go
+++ b/coordination/chain/read.go
@@ -15,14 +15,14 @@
 
 // Build returns the chains of a model with that many layers, complete ones first, and the holders
 // that belong to none.
-func Read(layers int, holders []Holder) (chains []*Chain, spares []Holder) {
-	return NewReader(layers).Read(holders)
+func Build(layers int, holders []Holder) (chains []*Chain, spares []Holder) {
+	return NewBuilder(layers).Build(holders)
 }
 
 // Builder builds the chains of a model repeatedly. It keeps the complete chains of each
 // availability zone until a holder of that zone changes: with 2,922 engines, one changes at a
 // time, and the chains of the other zones are not built again. It is not safe for concurrent use.
-type Reader struct {
+type Builder struct {
 	layers int
 	zones  map[string]*zoneChains
 }
@@ -35,10 +35,10 @@
 }
 
 // NewBuilder returns a builder for a model with that many layers.
-func NewReader(layers int) *Reader { return &Reader{layers: layers, zones: map[string]*zoneChains{}} }
+func NewBuilder(layers int) *Builder { return &Builder{layers: layers, zones: map[string]*zoneChains{}} }
 
 // Build returns the chains, complete ones first, and the holders that belong to none.
-func (r *Reader) Read(holders []Holder) (chains []*Chain, spares []Holder) {
+func (r *Builder) Build(holders []Holder) (chains []*Chain, spares []Holder) {
 	chains, remaining := r.chainsInsideZones(r.groupByZone(holders))
 	crossing, remaining := extractComplete(r.layers, remaining)
 	chains = append(chains, crossing...)
@@ -53,7 +53,7 @@
 
 // groupByZone returns the holders by availability zone, without those whose range is empty or
 // outside of the model.
-func (r *Reader) groupByZone(holders []Holder) map[string][]*Holder {
+func (r *Builder) groupByZone(holders []Holder) map[string][]*Holder {
 	zones := map[string][]*Holder{}
 	for i := range holders {
 		h := &holders[i]
@@ -66,7 +66,7 @@
 
 // chainsInsideZones returns the complete chains that lie inside one availability zone, and the
 // remaining holders, sorted.
-func (r *Reader) chainsInsideZones(zones map[string][]*Holder) (chains []*Chain, remaining []*Holder) {
+func (r *Builder) chainsInsideZones(zones map[string][]*Holder) (chains []*Chain, remaining []*Holder) {
 	maps.DeleteFunc(r.zones, func(zone string, _ *zoneChains) bool { return zones[zone] == nil })
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		z := r.zones[zone]
@@ -99,7 +99,7 @@
 	remaining = holders
 	for {
 		c, _ := bestChain(layers, remaining)
-		if c == nil || !c.Whole() {
+		if c == nil || !c.Complete() {
 			return chains, remaining
 		}
 		chains, remaining = append(chains, c), without(remaining, c)
@@ -108,7 +108,7 @@
 
 // extractIncomplete takes chains with holes out of the holders, each from one availability zone,
 // the one with the best series first, and returns the remaining holders.
-func (r *Reader) extractIncomplete(holders []*Holder) (chains []*Chain, remaining []*Holder) {
+func (r *Builder) extractIncomplete(holders []*Holder) (chains []*Chain, remaining []*Holder) {
 	byZone, bestByZone := map[string][]*Holder{}, map[string]bestSeries{}
 	for _, h := range holders {
 		byZone[h.Zone] = append(byZone[h.Zone], h)
--- a/coordination/chainrouting/candidate.go
+++ b/coordination/chainrouting/candidate.go
@@ -22,7 +22,7 @@
 func (e *NoPathError) Unwrap() error { return e.cause }
 
 // DescribeCandidates describes for logs why each chain was not chosen.
-func (e *NoPathError) Considered() []string { return describeAll(e.candidates) }
+func (e *NoPathError) DescribeCandidates() []string { return describeAll(e.candidates) }
 
 // candidate describes, for logs, a path that was compared or a chain that is incomplete.
 type candidate struct {
--- a/coordination/chainrouting/flow.go
+++ b/coordination/chainrouting/flow.go
@@ -52,7 +52,7 @@
 	room, fullest := math.Inf(1), 0.0
 	for _, p := range parts {
 		capacity := max(1, s.capacityTokens(p.Upstream))
-		room = min(room, capacity/p.share()/cost.Tokens(s.model))
+		room = min(room, capacity/p.share()/cost.MeanTokens(s.model))
 		fullest = max(fullest, float64(p.Upstream.Tokens())/capacity)
 	}
 	if slots := parts[0].Upstream.Entry().Slots; slots > 0 {
--- a/coordination/chainrouting/load_test.go
+++ b/coordination/chainrouting/load_test.go
@@ -107,7 +107,7 @@
 		for _, e := range c {
 			stages = append(stages, cost.Stage{Kind: loadModel.Kinds[e.Kind], Zone: e.Zone, Layers: e.Layers.Len()})
 		}
-		n := min(cost.Room(loadModel, stages)/cost.Tokens(loadModel), float64(loadModel.Slots))
+		n := min(cost.MinCapacity(loadModel, stages)/cost.MeanTokens(loadModel), float64(loadModel.Slots))
 		perSecond += n / requestMillis(stages, n) * 1000
 	}
 	return perSecond
@@ -288,7 +288,7 @@
 		least := float64(loadModel.Slots)
 		for _, e := range c {
 			capacity := cost.Capacity(loadModel, loadModel.Kinds[e.Kind], e.Layers.Len())
-			least = min(least, capacity/cost.Tokens(loadModel))
+			least = min(least, capacity/cost.MeanTokens(loadModel))
 		}
 		requests += least
 	}
--- a/coordination/chainrouting/path.go
+++ b/coordination/chainrouting/path.go
@@ -37,7 +37,7 @@
 }
 
 // DescribeCandidates describes, for logs, the paths that were compared.
-func (p *Path) Considered() []string { return describeAll(p.candidates) }
+func (p *Path) DescribeCandidates() []string { return describeAll(p.candidates) }
 
 func (r *Router) newPath(parts []Part, tokens int64, expected float64) *Path {
 	p := &Path{parts: parts, reserved: make([]int64, len(parts)), expected: expected, pipes: &r.pipes}
@@ -116,7 +116,7 @@
 
 // LosesLayers reports whether an engine of the path is ordered to drop layers that the path runs
 // there. The engine serves running requests to their end, and the order waits for that.
-func (p *Path) GivenUp() bool {
+func (p *Path) LosesLayers() bool {
 	for _, part := range p.parts {
 		target := part.Upstream.Target()
 		if target != nil && !target.Done && (part.Layers.From < target.Layers.From || part.Layers.To > target.Layers.To) {
@@ -137,7 +137,7 @@
 
 // Covers reports whether the path runs each of that many layers once and in order, and no engine
 // twice. It is checked before a request is sent.
-func (p *Path) Whole(layers int) bool {
+func (p *Path) Covers(layers int) bool {
 	next := 0
 	seen := make(map[string]bool, len(p.parts))
 	for _, part := range p.parts {
--- a/coordination/chainrouting/router.go
+++ b/coordination/chainrouting/router.go
@@ -38,7 +38,7 @@
 	ErrNoRoom = errors.New("no path has room")
 	// ErrResting means that every usable path begins at an engine that has asked this daemon for
 	// rest.
-	ErrRests = errors.New("the engines at which paths begin have asked for rest")
+	ErrResting = errors.New("the engines at which paths begin have asked for rest")
 	// ErrLimited means that every usable path begins at an engine whose rate limit is exhausted.
 	ErrLimited = errors.New("the engines at which paths begin have used up their limits")
 )
@@ -117,7 +117,7 @@
 
 // serviceChains holds the chains of a service as of one version of the view.
 type serviceChains struct {
-	builder *chain.Reader
+	builder *chain.Builder
 	version uint64
 	model   *spanrill.EngineModel
 	chains  []*chain.Chain
@@ -149,9 +149,9 @@
 	if cached != nil && cached.model.Layers == m.Layers {
 		next.builder = cached.builder
 	} else {
-		next.builder = chain.NewReader(m.Layers)
+		next.builder = chain.NewBuilder(m.Layers)
 	}
-	next.chains, _ = next.builder.Read(holders)
+	next.chains, _ = next.builder.Build(holders)
 	next.summary = summarize(next.chains)
 	if cached == nil || cached.summary != next.summary {
 		events.ChainsChanged.Log(r.log, logrus.Fields{"service": service, "chains": next.summary, "view": v.Version()})
@@ -180,7 +180,7 @@
 // is given.
 func summarize(chains []*chain.Chain) string {
 	complete := 0
-	for complete < len(chains) && chains[complete].Whole() {
+	for complete < len(chains) && chains[complete].Complete() {
 		complete++
 	}
 	var s strings.Builder
@@ -221,7 +221,7 @@
 func (r *Router) pick(service string, m *spanrill.EngineModel, need Need, lenient bool) (*Path, error) {
 	v := r.table.View()
 	s := &search{view: v, service: service, model: m, need: need, now: r.clock.Now(), pipes: &r.pipes}
-	s.staleness, s.lenient = r.Lag(), lenient
+	s.staleness, s.lenient = r.Staleness(), lenient
 	var options []option
 	var candidates []candidate
 	covered := false
@@ -256,7 +256,7 @@
 	case covered:
 		return nil, &NoPathError{cause: ErrNoRoom, candidates: candidates}
 	case s.foundResting:
-		return nil, &NoPathError{cause: ErrRests, candidates: candidates}
+		return nil, &NoPathError{cause: ErrResting, candidates: candidates}
 	case s.foundLimited:
 		return nil, &NoPathError{cause: ErrLimited, candidates: candidates}
 	case s.bridgeErr != nil:
@@ -311,7 +311,7 @@
 
 // Staleness returns how stale the load figures of other daemons are, from 0 (one exchange round)
 // to 1 (staleRounds and more).
-func (r *Router) Lag() float64 { return float64(r.staleness.Load()) / stalenessUnit }
+func (r *Router) Staleness() float64 { return float64(r.staleness.Load()) / stalenessUnit }
 
 // Replace returns a path that keeps the first engine and every other engine of p that can be
 // used, and bridges the rest. Engines that leave, or that are ordered to hold other layers, serve
--- a/coordination/chainrouting/router_test.go
+++ b/coordination/chainrouting/router_test.go
@@ -144,7 +144,7 @@
 		{"all engines at which paths begin rest", func(f *testFleet) {
 			f.table.Notice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
 			f.table.Notice("b1:1", spanrill.Notice{Rest: 1000}, f.clock.Now())
-		}, needFrom("za"), "", ErrRests},
+		}, needFrom("za"), "", ErrResting},
 		{"the rest of one of these engines has ended", func(f *testFleet) {
 			f.table.Notice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
 			f.table.Notice("b1:1", spanrill.Notice{Rest: 1000}, f.clock.Now())
@@ -181,7 +181,7 @@
 			if err != nil {
 				return
 			}
-			if got := describePath(p); got != c.want || !p.Whole(model.Layers) {
+			if got := describePath(p); got != c.want || !p.Covers(model.Layers) {
 				t.Fatalf("path %s, want %s", got, c.want)
 			}
 		})
@@ -206,7 +206,7 @@
 			continue
 		}
 		found++
-		if !p.Whole(model.Layers) {
+		if !p.Covers(model.Layers) {
 			t.Fatalf("path %s over %v", p, entries)
 		}
 		for _, part := range p.Parts() {
@@ -255,7 +255,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := describePath(next); got != "a1=0-4 a4=4-8 a3=8-12 " || !next.Whole(model.Layers) {
+	if got := describePath(next); got != "a1=0-4 a4=4-8 a3=8-12 " || !next.Covers(model.Layers) {
 		t.Fatalf("path %s", got)
 	}
 	f.table.View().ByID("a4").SetDead(true)
@@ -263,7 +263,7 @@
 		t.Fatalf("near: error %v, want %v", err, ErrNoPath)
 	}
 	far, err := f.router.Replace(service, model, p, needFrom("za"), false)
-	if err != nil || !far.Whole(model.Layers) {
+	if err != nil || !far.Covers(model.Layers) {
 		t.Fatalf("anywhere: path %v, error %v", far, err)
 	}
 }
@@ -323,8 +323,8 @@
 				t.Fatal(err)
 			}
 			f.table.View().ByID("a2").SetTarget(c.target)
-			if p.GivenUp() != c.want {
-				t.Fatalf("loses layers: %t, want %t", p.GivenUp(), c.want)
+			if p.LosesLayers() != c.want {
+				t.Fatalf("loses layers: %t, want %t", p.LosesLayers(), c.want)
 			}
 		})
 	}
--- a/coordination/chainrouting/search.go
+++ b/coordination/chainrouting/search.go
@@ -207,7 +207,7 @@
 	fullest, requests := 0.0, 0.0
 	for _, p := range parts {
 		fullest = max(fullest, float64(p.Upstream.Tokens())/max(1, s.capacityTokens(p.Upstream)))
-		requests = max(requests, float64(p.Upstream.Tokens())/cost.Tokens(s.model))
+		requests = max(requests, float64(p.Upstream.Tokens())/cost.MeanTokens(s.model))
 	}
 	answer := max(1, float64(s.need.Answer))
 	millis := cost.PromptMillis(s.model, stages, float64(s.need.Prompt)) + answer*cost.TokenMillis(s.model, stages, requests+1)
--- a/coordination/cost/cost.go
+++ b/coordination/cost/cost.go
@@ -30,7 +30,7 @@
 }
 
 // MaxLayers returns how many layers an engine of a kind has memory for, with no room for tokens.
-func Fit(m *spanrill.EngineModel, k spanrill.KindModel) int {
+func MaxLayers(m *spanrill.EngineModel, k spanrill.KindModel) int {
 	if m.LayerMB <= 0 {
 		return m.Layers
 	}
@@ -47,9 +47,9 @@
 }
 
 // MaxLayersWithTokens returns how many layers an engine has memory for beside that many tokens.
-func Most(m *spanrill.EngineModel, k spanrill.KindModel, tokens float64) int {
+func MaxLayersWithTokens(m *spanrill.EngineModel, k spanrill.KindModel, tokens float64) int {
 	n := int(k.MemoryMB / (m.LayerMB + tokens*layerTokenMB(m)))
-	return max(0, min(n, Fit(m, k)))
+	return max(0, min(n, MaxLayers(m, k)))
 }
 
 // layerShare returns the fraction of the model that so many layers are.
@@ -58,13 +58,13 @@
 }
 
 // StepBaseMillis returns the time of one step over some layers with an empty batch.
-func Base(m *spanrill.EngineModel, k spanrill.KindModel, layers int) float64 {
+func StepBaseMillis(m *spanrill.EngineModel, k spanrill.KindModel, layers int) float64 {
 	return m.StepMillis * k.Pace * layerShare(m, layers)
 }
 
 // StepMillisPerRequest returns the time that each request with that many tokens of context adds
 // to a step over some layers.
-func PerWriter(m *spanrill.EngineModel, k spanrill.KindModel, layers int, context float64) float64 {
+func StepMillisPerRequest(m *spanrill.EngineModel, k spanrill.KindModel, layers int, context float64) float64 {
 	return (m.PerSequence + m.ContextPerK*context/perK) * k.Pace * layerShare(m, layers)
 }
 
@@ -95,7 +95,7 @@
 
 // MeanTokens returns the mean number of tokens that a running request holds: its prompt and half
 // of its answer.
-func Tokens(m *spanrill.EngineModel) float64 {
+func MeanTokens(m *spanrill.EngineModel) float64 {
 	return max(1, m.UsualPrompt+m.UsualAnswer/2)
 }
 
@@ -118,7 +118,7 @@
 	}
 	total, zone := 0.0, stages[0].Zone
 	for _, s := range stages {
-		total += Base(m, s.Kind, s.Layers) + PerWriter(m, s.Kind, s.Layers, Tokens(m))*requests + HopMillis(m, zone, s.Zone)
+		total += StepBaseMillis(m, s.Kind, s.Layers) + StepMillisPerRequest(m, s.Kind, s.Layers, MeanTokens(m))*requests + HopMillis(m, zone, s.Zone)
 		zone = s.Zone
 	}
 	return total + HopMillis(m, zone, stages[0].Zone) + handOverMillis*float64(len(stages))
@@ -142,7 +142,7 @@
 }
 
 // MinCapacity returns for how many tokens the stage with the least memory has room.
-func Room(m *spanrill.EngineModel, stages []Stage) float64 {
+func MinCapacity(m *spanrill.EngineModel, stages []Stage) float64 {
 	room := math.Inf(1)
 	for _, s := range stages {
 		room = min(room, Capacity(m, s.Kind, s.Layers))
@@ -157,8 +157,8 @@
 // Rate returns how many usual requests a second a chain can serve: as many as have room at once,
 // over the time that each takes (Little's law), and no more than its pipes carry.
 func Rate(m *spanrill.EngineModel, stages []Stage) float64 {
-	room := plannedMemoryShare * Room(m, stages)
-	requests := min(room/Tokens(m), float64(max(1, m.Slots)), maxPlannedRequests)
+	room := plannedMemoryShare * MinCapacity(m, stages)
+	requests := min(room/MeanTokens(m), float64(max(1, m.Slots)), maxPlannedRequests)
 	if requests < 1 {
 		return 0
 	}
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -83,7 +83,7 @@
 	q := &routing.Query{}
 	requestOutcome := spanrill.OutcomeNotRun
 	for attempt := 1; ; attempt++ {
-		u := d.router.One(d.table.View().Services(key), q)
+		u := d.router.PickOne(d.table.View().Services(key), q)
 		if u == nil {
 			return nil, spanrill.NewRefusal(spanrill.ReasonNoUpstream, "no upstream of service %s accepts requests", key.Service).
 				WithOutcome(requestOutcome).WithRetryAfter(spanrill.Second)
--- a/coordination/layout/copies.go
+++ b/coordination/layout/copies.go
@@ -32,10 +32,10 @@
 func maxSpareLayers(m *spanrill.EngineModel, engines []candidate) int {
 	most := m.Layers
 	for _, k := range m.Kinds {
-		most = min(most, cost.Most(m, k, spareRequests*cost.Tokens(m)))
+		most = min(most, cost.MaxLayersWithTokens(m, k, spareRequests*cost.MeanTokens(m)))
 	}
 	for _, e := range engines {
-		most = max(most, cost.Most(m, e.kind, spareRequests*cost.Tokens(m)))
+		most = max(most, cost.MaxLayersWithTokens(m, e.kind, spareRequests*cost.MeanTokens(m)))
 	}
 	return most
 }
@@ -52,7 +52,7 @@
 // and the remaining ones spares.
 func bestSpareRange(m *spanrill.EngineModel, e candidate, held *holdings, maxOtherLayers int) (spanrill.LayerRange, bool) {
 	best, bestScore, found := spanrill.LayerRange{}, 0, false
-	maxLayers := cost.Most(m, e.kind, spareRequests*cost.Tokens(m))
+	maxLayers := cost.MaxLayersWithTokens(m, e.kind, spareRequests*cost.MeanTokens(m))
 	for _, from := range held.froms {
 		for _, to := range held.tos {
 			r := spanrill.LayerRange{From: from, To: to}
--- a/coordination/layout/describe.go
+++ b/coordination/layout/describe.go
@@ -42,8 +42,8 @@
 		info.Engines = append(info.Engines, byID[p.ID].Engine)
 	}
 	stages := costStages(parts, ranges)
-	info.Crossings, info.CapacityTokens = cost.Crossings(stages), cost.Room(m, stages)
-	if c.Whole() {
+	info.Crossings, info.CapacityTokens = cost.Crossings(stages), cost.MinCapacity(m, stages)
+	if c.Complete() {
 		info.Rate = cost.Rate(m, stages)
 	}
 	return info
--- a/coordination/layout/layout.go
+++ b/coordination/layout/layout.go
@@ -60,7 +60,7 @@
 		if e.Leaving || e.Crashed {
 			continue
 		}
-		if k, ok := m.Kinds[e.Kind]; ok && cost.Fit(m, k) > 0 {
+		if k, ok := m.Kinds[e.Kind]; ok && cost.MaxLayers(m, k) > 0 {
 			out = append(out, candidate{Engine: e, kind: k})
 		}
 	}
@@ -87,7 +87,7 @@
 	sorted, cache := sortInAllOrders(all), divisionCache{}
 	for requests := minChainRequests; requests <= maxChainRequests; requests += chainRequestsStep {
 		for _, ordered := range sorted {
-			chains := formChains(m, ordered, float64(requests)*cost.Tokens(m))
+			chains := formChains(m, ordered, float64(requests)*cost.MeanTokens(m))
 			if rate := discountedRate(m, all, chains, cache); rate > bestRate {
 				best, bestRate = chains, rate
 			}
@@ -174,7 +174,7 @@
 	var current []candidate
 	layers := 0
 	for _, e := range from {
-		n := cost.Most(m, e.kind, tokens)
+		n := cost.MaxLayersWithTokens(m, e.kind, tokens)
 		if n == 0 {
 			left = append(left, e)
 			continue
@@ -207,7 +207,7 @@
 	var current []candidate
 	layers := 0
 	for i := range from {
-		n := cost.Most(m, from[i].kind, tokens)
+		n := cost.MaxLayersWithTokens(m, from[i].kind, tokens)
 		if n == 0 || !fits(&from[i]) {
 			continue
 		}
@@ -246,7 +246,7 @@
 	spareLayers := map[string]int{} // layers that spares can hold, by availability zone
 	for _, e := range all {
 		if !used[e.ID] {
-			spareLayers[e.Zone] += cost.Most(m, e.kind, minChainRequests*cost.Tokens(m))
+			spareLayers[e.Zone] += cost.MaxLayersWithTokens(m, e.kind, minChainRequests*cost.MeanTokens(m))
 		}
 	}
 	total := 0.0
@@ -320,14 +320,14 @@
 	layersBeside := func(tokens float64) int {
 		n := 0
 		for _, e := range c {
-			n += cost.Most(m, e.kind, tokens)
+			n += cost.MaxLayersWithTokens(m, e.kind, tokens)
 		}
 		return n
 	}
 	if layersBeside(0) < r.Len() {
 		return nil
 	}
-	low, high := 0.0, maxChainRequests*10*cost.Tokens(m)
+	low, high := 0.0, maxChainRequests*10*cost.MeanTokens(m)
 	for range divideIterations {
 		mid := (low + high) / 2
 		if layersBeside(mid) >= r.Len() {
@@ -339,7 +339,7 @@
 	ranges := make([]spanrill.LayerRange, len(c))
 	next, surplus := r.From, layersBeside(low)-r.Len()
 	for _, i := range slowestFirst(c) {
-		n := cost.Most(m, c[i].kind, low)
+		n := cost.MaxLayersWithTokens(m, c[i].kind, low)
 		drop := min(surplus, n)
 		surplus -= drop
 		ranges[i].To = n - drop
@@ -369,5 +369,5 @@
 	for _, e := range all {
 		holders = append(holders, chain.Holder{ID: e.ID, Zone: e.Zone, Layers: e.Layers, Used: e.Tokens, Pace: e.kind.Pace})
 	}
-	return chain.Read(m.Layers, holders)
+	return chain.Build(m.Layers, holders)
 }
--- a/coordination/layout/layout_test.go
+++ b/coordination/layout/layout_test.go
@@ -63,9 +63,9 @@
 	for _, e := range engines {
 		holders = append(holders, chain.Holder{ID: e.ID, Zone: e.Zone, Layers: e.Layers})
 	}
-	chains, _ := chain.Read(m.Layers, holders)
+	chains, _ := chain.Build(m.Layers, holders)
 	for _, c := range chains {
-		if c.Whole() {
+		if c.Complete() {
 			whole++
 		} else {
 			broken++
@@ -93,7 +93,7 @@
 			}
 		}
 		total += cost.Rate(m, s)
-		t.Logf("zone %s, %d parts, %d crossings, room %.0f, rate %.1f, token %.1f ms", c.Zone(), len(c.Parts()), cost.Crossings(s), cost.Room(m, s), cost.Rate(m, s), cost.TokenMillis(m, s, 70))
+		t.Logf("zone %s, %d parts, %d crossings, room %.0f, rate %.1f, token %.1f ms", c.Zone(), len(c.Parts()), cost.Crossings(s), cost.MinCapacity(m, s), cost.Rate(m, s), cost.TokenMillis(m, s, 70))
 	}
 	t.Logf("rate %.1f a second, %d spares", total, len(spares))
 	if whole < 3 || broken > 0 {
@@ -140,7 +140,7 @@
 func checkWithinMemory(t *testing.T, m *spanrill.EngineModel, engines []Engine) {
 	t.Helper()
 	for _, e := range engines {
-		if n := e.Layers.Len(); n < 0 || n > cost.Fit(m, m.Kinds[e.Kind]) || e.Layers.To > m.Layers {
+		if n := e.Layers.Len(); n < 0 || n > cost.MaxLayers(m, m.Kinds[e.Kind]) || e.Layers.To > m.Layers {
 			t.Fatalf("%s of kind %s is assigned %v, more than it can hold", e.ID, e.Kind, e.Layers)
 		}
 	}
@@ -287,7 +287,7 @@
 		t.Fatalf("%d chains", len(chains))
 	}
 	for _, c := range chains {
-		if !c.Whole() || spansZones(c) {
+		if !c.Complete() || spansZones(c) {
 			t.Fatalf("chain %v is not whole inside one zone, holes %v", c.Parts(), c.Holes())
 		}
 	}
--- a/coordination/layout/redistribute.go
+++ b/coordination/layout/redistribute.go
@@ -37,7 +37,7 @@
 // for its running requests too. An engine whose layers grow into that memory breaks
 // requests off.
 func maxTargetLayers(m *spanrill.EngineModel, e candidate, requests float64) int {
-	held, n := e.Layers.Len(), cost.Most(m, e.kind, requests*cost.Tokens(m))
+	held, n := e.Layers.Len(), cost.MaxLayersWithTokens(m, e.kind, requests*cost.MeanTokens(m))
 	running := float64(e.Tokens) * float64(held) // tokens times layers
 	for n > held && cost.Capacity(m, e.kind, n)*float64(n) < running {
 		n--
--- a/coordination/layout/relieve.go
+++ b/coordination/layout/relieve.go
@@ -11,11 +11,11 @@
 // a part of that engine's layers, and then the engine drops them.
 func (r *repair) relieveBottlenecks(chains []*chain.Chain) {
 	for _, c := range chains {
-		if !c.Whole() || r.zoneChanging(c.Zone()) {
+		if !c.Complete() || r.zoneChanging(c.Zone()) {
 			continue
 		}
 		tight, capacity := r.tightest(c)
-		if capacity >= requestCapacities[0]*cost.Tokens(r.model) || r.taken[tight.ID] {
+		if capacity >= requestCapacities[0]*cost.MeanTokens(r.model) || r.taken[tight.ID] {
 			continue
 		}
 		if !r.shrinkToSpare(tight, c.Zone()) {
--- a/coordination/layout/repair.go
+++ b/coordination/layout/repair.go
@@ -210,7 +210,7 @@
 func brokenChains(chains []*chain.Chain) []*chain.Chain {
 	var broken []*chain.Chain
 	for _, c := range chains {
-		if !c.Whole() {
+		if !c.Complete() {
 			broken = append(broken, c)
 		}
 	}
@@ -234,7 +234,7 @@
 	free := r.available(append(append([]candidate(nil), r.empty...), r.spare...))
 	for _, zone := range zonesOf(free) {
 		for _, requests := range requestCapacities[:sufficientCapacities] {
-			c := selectChain(r.model, free, requests*cost.Tokens(r.model), func(e *candidate) bool { return e.Zone == zone })
+			c := selectChain(r.model, free, requests*cost.MeanTokens(r.model), func(e *candidate) bool { return e.Zone == zone })
 			if c == nil {
 				continue
 			}
--- a/coordination/layout/restore.go
+++ b/coordination/layout/restore.go
@@ -138,13 +138,13 @@
 // fits reports whether an engine can hold a range beside memory for the given
 // number of requests.
 func (r *repair) fits(e candidate, layers spanrill.LayerRange, requests float64) bool {
-	return cost.Most(r.model, e.kind, requests*cost.Tokens(r.model)) >= layers.Len()
+	return cost.MaxLayersWithTokens(r.model, e.kind, requests*cost.MeanTokens(r.model)) >= layers.Len()
 }
 
 // allFit reports whether all engines keep memory for the given number of requests.
 func (r *repair) allFit(group []candidate, ranges []spanrill.LayerRange, requests float64) bool {
 	for i, e := range group {
-		if n := ranges[i].Len(); n > 0 && cost.Capacity(r.model, e.kind, n) < requests*cost.Tokens(r.model) {
+		if n := ranges[i].Len(); n > 0 && cost.Capacity(r.model, e.kind, n) < requests*cost.MeanTokens(r.model) {
 			return false
 		}
 	}
@@ -156,9 +156,9 @@
 // so that large engines are kept for large holes.
 func (r *repair) rankForHole(from []candidate, zone string, hole spanrill.LayerRange, requests float64) []candidate {
 	free := append([]candidate(nil), from...)
-	tokens := requests * cost.Tokens(r.model)
+	tokens := requests * cost.MeanTokens(r.model)
 	score := func(e candidate) int {
-		n := cost.Most(r.model, e.kind, tokens)
+		n := cost.MaxLayersWithTokens(r.model, e.kind, tokens)
 		s := 0
 		if n >= hole.Len() {
 			s += wholeBonus - (n - hole.Len())
--- a/coordination/layout/slow.go
+++ b/coordination/layout/slow.go
@@ -10,7 +10,7 @@
 // running on it continue, and it is used again when it has recovered.
 func (r *repair) replaceSlow(chains []*chain.Chain) {
 	for _, c := range chains {
-		if !c.Whole() {
+		if !c.Complete() {
 			continue
 		}
 		for _, p := range c.Parts() {
--- a/coordination/pipeline/generation.go
+++ b/coordination/pipeline/generation.go
@@ -60,7 +60,7 @@
 
 func (g *generation) choose() ([]*load.Upstream, bool) {
 	q := &routing.Query{Layers: g.req.Layers, Exclude: g.failed, Avoid: g.avoid}
-	q.Prefer, q.Saved = g.runner.affinity.Lookup(g.req.Body)
+	q.Prefer, q.SavedShare = g.runner.affinity.Lookup(g.req.Body)
 	index := g.runner.table.View().Model(g.req.Key)
 	return g.runner.router.Choose(index, q, make([]*load.Upstream, 0, inlineStages))
 }
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -107,12 +107,12 @@
 }
 
 // WithOnEjection sets a function to call when an upstream is ejected because it failed a request.
-func WithOnFailure(f func(*load.Upstream)) Option {
+func WithOnEjection(f func(*load.Upstream)) Option {
 	return func(r *Runner) { r.onEjection = f }
 }
 
 // WithTokenTimeouts sets how long the first and each later token may take.
-func WithWaits(first, later spanrill.Millis) Option {
+func WithTokenTimeouts(first, later spanrill.Millis) Option {
 	return func(r *Runner) { r.firstTokenTimeout, r.tokenTimeout = first, later }
 }
 
--- a/coordination/probe/identify.go
+++ b/coordination/probe/identify.go
@@ -14,7 +14,7 @@
 
 // AddressResolver finds out which upstream listens at an address that more than one entry claims.
 // It sends one query for each such address, which costs as much as a probe.
-type Names struct {
+type AddressResolver struct {
 	identifier spanrill.Identifier
 	clock      spanrill.Clock
 	log        logrus.FieldLogger
@@ -26,14 +26,14 @@
 }
 
 // NewAddressResolver returns a resolver. HealthPath returns the path of a service's health check.
-func NewNames(identifier spanrill.Identifier, clock spanrill.Clock, log logrus.FieldLogger, healthPath func(service string) string) *Names {
-	return &Names{identifier: identifier, clock: clock, log: log, healthPath: healthPath, queriedAt: map[string]spanrill.Millis{}}
+func NewAddressResolver(identifier spanrill.Identifier, clock spanrill.Clock, log logrus.FieldLogger, healthPath func(service string) string) *AddressResolver {
+	return &AddressResolver{identifier: identifier, clock: clock, log: log, healthPath: healthPath, queriedAt: map[string]spanrill.Millis{}}
 }
 
 // Resolve queries the addresses of claims that the table cannot decide, each one at intervals
 // until it answers. It does not wait for the answers, which go to the table. It is called a few
 // times a second.
-func (n *Names) Ask(ctx context.Context, table *fleet.Table) {
+func (n *AddressResolver) Resolve(ctx context.Context, table *fleet.Table) {
 	claims := table.Claims()
 	n.forget(claims)
 	for _, c := range claims {
@@ -46,9 +46,9 @@
 }
 
 // Wait waits until all queries have ended.
-func (n *Names) Wait() { _ = n.queries.Wait() } // errors are logged where they occur
+func (n *AddressResolver) Wait() { _ = n.queries.Wait() } // errors are logged where they occur
 
-func (n *Names) identify(ctx context.Context, table *fleet.Table, c fleet.Claim, healthPath string) error {
+func (n *AddressResolver) identify(ctx context.Context, table *fleet.Table, c fleet.Claim, healthPath string) error {
 	ctx, cancel := context.WithTimeout(ctx, identifyTimeout.Duration())
 	defer cancel()
 	name, err := n.identifier.Identify(ctx, c.Addr, healthPath)
@@ -69,7 +69,7 @@
 const restingInterval = 2 * spanrill.Second
 
 // queryInterval returns the least time between two queries to an address.
-func (n *Names) queryInterval(table *fleet.Table, addr string) spanrill.Millis {
+func (n *AddressResolver) queryInterval(table *fleet.Table, addr string) spanrill.Millis {
 	if u := table.View().ByAddr(addr); u != nil && u.Rests(n.clock.Now()) {
 		return restingInterval
 	}
@@ -77,7 +77,7 @@
 }
 
 // markIfDue reports whether an address may be queried now, and records the query if so.
-func (n *Names) markIfDue(addr string, interval spanrill.Millis) bool {
+func (n *AddressResolver) markIfDue(addr string, interval spanrill.Millis) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
@@ -89,7 +89,7 @@
 }
 
 // forget drops addresses that are no longer claimed.
-func (n *Names) forget(claims []fleet.Claim) {
+func (n *AddressResolver) forget(claims []fleet.Claim) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	claimed := make(map[string]bool, len(claims))
--- a/coordination/probe/identify_test.go
+++ b/coordination/probe/identify_test.go
@@ -43,10 +43,10 @@
 	}
 	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{entry("old")}, At: 1, Change: 1}, 0)
 	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{entry("old"), entry("new")}, At: 2, Change: 2}, 0)
-	resolver := NewNames(identifier, c, log, func(string) string { return "/healthz" })
+	resolver := NewAddressResolver(identifier, c, log, func(string) string { return "/healthz" })
 	check := func(wantQueries int, wantName string) {
 		t.Helper()
-		resolver.Ask(context.Background(), table)
+		resolver.Resolve(context.Background(), table)
 		resolver.Wait()
 		if identifier.queries != wantQueries || table.View().ByAddr("1:1").Name() != wantName {
 			t.Fatalf("%d queries, want %d; upstream at the address: %s, want %s", identifier.queries, wantQueries, table.View().ByAddr("1:1").Name(), wantName)
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -81,7 +81,7 @@
 // CheckListening opens a connection to an upstream and records whether anything listens at its
 // address. It does not check that the upstream works: a silent one is not taken for dead.
 // Requests that break off at the same upstream at the same time share one connection.
-func (p *Prober) Knock(ctx context.Context, u *fleet.Upstream) {
+func (p *Prober) CheckListening(ctx context.Context, u *fleet.Upstream) {
 	check, isNew := p.dialCheckFor(u.ID())
 	if isNew {
 		p.dialAndRecord(ctx, u)
@@ -137,7 +137,7 @@
 }
 
 // WithLastHeard sets the function that returns when anything last came from any engine.
-func WithHeard(lastHeard func() spanrill.Millis) Option {
+func WithLastHeard(lastHeard func() spanrill.Millis) Option {
 	return func(p *Prober) { p.lastHeard = lastHeard }
 }
 
--- a/coordination/probe/probe_test.go
+++ b/coordination/probe/probe_test.go
@@ -74,7 +74,7 @@
 		return spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1"}, nil
 	}, fleet.WithLogger(log))
 	table.Listed([]spanrill.Item{{Name: "e"}}, 1, 0)
-	p := New(engine, now, log, WithHeard(func() spanrill.Millis { return lastHeard(now.Now()) }))
+	p := New(engine, now, log, WithLastHeard(func() spanrill.Millis { return lastHeard(now.Now()) }))
 	u := table.View().ByID("e")
 	p.Check(context.Background(), []*fleet.Upstream{u})
 	return u
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -112,7 +112,7 @@
 	})
 	repeated = repeated || r.Suspects.Verdict(q.content).Losses() > 0
 	check := func() {
-		r.Prober.Knock(context.WithoutCancel(q.ctx), u)
+		r.Prober.CheckListening(context.WithoutCancel(q.ctx), u)
 		r.reportTerminatedUpstreams()
 	}
 	if repeated {
--- a/coordination/relay/chained.go
+++ b/coordination/relay/chained.go
@@ -199,7 +199,7 @@
 	if err != nil {
 		return g.noPathRefusal(err)
 	}
-	if !path.Whole(g.service.Model.Layers) {
+	if !path.Covers(g.service.Model.Layers) {
 		path.Release()
 		return spanrill.NewRefusal(spanrill.ReasonInternal, "path %s does not run every layer once", path)
 	}
@@ -213,7 +213,7 @@
 		return g.endedRefusal(g.mayHaveRun)
 	}
 	g.considered = consideredChains(err)
-	if errors.Is(err, chainrouting.ErrRests) || errors.Is(err, chainrouting.ErrLimited) {
+	if errors.Is(err, chainrouting.ErrResting) || errors.Is(err, chainrouting.ErrLimited) {
 		if refusal := g.limitOrRestRefusal(); refusal != nil {
 			return refusal
 		}
--- a/coordination/relay/continuation.go
+++ b/coordination/relay/continuation.go
@@ -78,7 +78,7 @@
 		return false
 	}
 	path, err := r.Router.Pick(g.service.Name, g.service.Model, g.continuationNeed())
-	if err == nil && !path.Whole(g.service.Model.Layers) {
+	if err == nil && !path.Covers(g.service.Model.Layers) {
 		path.Release()
 		err = errors.Errorf("path %s does not run every layer once", path)
 	}
--- a/coordination/relay/log.go
+++ b/coordination/relay/log.go
@@ -45,7 +45,7 @@
 		f["view"] = q.relay.Fleet.View().Version()
 		addSendLimits(f, u, q.relay.Clock.Now())
 		if path != nil {
-			f["path"], f["prompt"], f["considered"] = path.String(), q.head.PromptTokens, path.Considered()
+			f["path"], f["prompt"], f["considered"] = path.String(), q.head.PromptTokens, path.DescribeCandidates()
 		}
 		if lastEvent != "" {
 			f["behind_event"] = lastEvent
@@ -90,7 +90,7 @@
 	if !errors.As(err, &none) {
 		return nil
 	}
-	return none.Considered()
+	return none.DescribeCandidates()
 }
 
 func (q *request) logEnded(status int, extra logrus.Fields) {
--- a/coordination/relay/streams.go
+++ b/coordination/relay/streams.go
@@ -39,7 +39,7 @@
 func (r *Relay) RecheckDeadPaths() { r.generations.checkDeadPaths() }
 
 // checkVacatedPaths does the same for paths with an engine that is to give up layers of the path.
-func (s *runningGenerations) checkVacatedPaths() { s.checkPaths((*chainrouting.Path).GivenUp) }
+func (s *runningGenerations) checkVacatedPaths() { s.checkPaths((*chainrouting.Path).LosesLayers) }
 
 func (s *runningGenerations) checkPaths(matches func(*chainrouting.Path) bool) {
 	s.mu.Lock()
--- a/coordination/relay/watch.go
+++ b/coordination/relay/watch.go
@@ -72,7 +72,7 @@
 	}
 	answered := g.probeWhenSilent(silent)
 	switch {
-	case answered && g.begun && silent < g.undeliveredAfter() && g.path.GivenUp():
+	case answered && g.begun && silent < g.undeliveredAfter() && g.path.LosesLayers():
 		g.vacate()
 	case g.firstEngine.Dead():
 		g.recordBrokenAttempt(g.firstEngine, g.streamingTime())
--- a/coordination/routing/explain.go
+++ b/coordination/routing/explain.go
@@ -13,11 +13,11 @@
 	From   int     `json:"from"`
 	To     int     `json:"to"`
 	Load   float64 `json:"load"`           // requests expected on it
-	Micros float64 `json:"micros_a_token"` // at a full batch
-	Slow   float64 `json:"slow"`           // factor by which it is slower than it reports
-	Link   int64   `json:"link_micros"`
+	MicrosPerToken float64 `json:"micros_a_token"` // at a full batch
+	Slowdown   float64 `json:"slow"`           // factor by which it is slower than it reports
+	LinkMicros   int64   `json:"link_micros"`
 	Score  float64 `json:"score"`             // lower is better
-	Why    string  `json:"why_not,omitempty"` // why the engine cannot be used, if it cannot
+	WhyNot    string  `json:"why_not,omitempty"` // why the engine cannot be used, if it cannot
 }
 
 // Explanation reports which chain a request would take, and the candidates of each stage.
@@ -31,11 +31,11 @@
 func (r *Router) Explain(index *load.ModelIndex, q *Query) Explanation {
 	e := Explanation{Policy: r.policy.Name(), Chain: []string{}, Stages: [][]Candidate{}}
 	chain, _ := r.Choose(index, q, nil)
-	q.Last = nil
+	q.Previous = nil
 	for _, chosen := range chain {
 		e.Chain = append(e.Chain, chosen.Name())
 		e.Stages = append(e.Stages, stageCandidates(index, q, chosen.Layers().From))
-		q.Last = chosen
+		q.Previous = chosen
 	}
 	return e
 }
@@ -47,14 +47,14 @@
 	for _, u := range index.From(from) {
 		c := Candidate{
 			Engine: u.Name(), Zone: u.Zone(), From: u.Layers().From, To: u.Layers().To,
-			Load: u.Load(q.Now), Micros: u.MicrosPerToken(), Slow: u.Slow(q.Now),
-			Link: u.LinkMicros(), Score: Score(u, q),
+			Load: u.Load(q.Now), MicrosPerToken: u.MicrosPerToken(), Slowdown: u.Slow(q.Now),
+			LinkMicros: u.LinkMicros(), Score: Score(u, q),
 		}
 		switch {
 		case !ways.Open(u.Layers().To):
-			c.Why = "no chain leads on from it"
+			c.WhyNot = "no chain leads on from it"
 		case u.Ejected(q.Now):
-			c.Why = "ejected"
+			c.WhyNot = "ejected"
 		}
 		result = append(result, c)
 	}
--- a/coordination/routing/leastwork.go
+++ b/coordination/routing/leastwork.go
@@ -97,10 +97,10 @@
 func Score(u *load.Upstream, q *Query) float64 {
 	work := (u.Load(q.Now) + 1) * u.MicrosPerToken() * u.Slow(q.Now) / u.Ramp(q.Now)
 	if contains(q.Prefer, u) {
-		work *= 1 - q.Saved
+		work *= 1 - q.SavedShare
 	}
 	link := float64(u.LinkMicros())
-	if q.Last != nil && q.Last.Zone() != u.Zone() {
+	if q.Previous != nil && q.Previous.Zone() != u.Zone() {
 		link = max(link, minCrossingMicros)
 	}
 	return work + link
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -24,9 +24,9 @@
 	Exclude []*load.Upstream // upstreams that have failed this request
 	Avoid   []*load.Upstream // upstreams to use only if there are no others
 	Prefer  []*load.Upstream // upstreams that cache a prefix of the prompt
-	Saved   float64          // share of the work that a cached prefix saves, from 0 to 1
+	SavedShare   float64          // share of the work that a cached prefix saves, from 0 to 1
 	Now     spanrill.Millis  // set by the router
-	Last    *load.Upstream   // the upstream of the previous stage, set by the router
+	Previous    *load.Upstream   // the upstream of the previous stage, set by the router
 
 	ways       *load.Ways // nil for a plain service
 	lastResort bool       // ejected and avoided upstreams may be picked too
@@ -102,7 +102,7 @@
 		return dst, false
 	}
 	q.Now = r.clock.Now()
-	q.Last = nil
+	q.Previous = nil
 	q.ways = index.Ways(q.Layers)
 	for layer := 0; layer < q.Layers; {
 		u := r.pick(index.From(layer), q)
@@ -110,7 +110,7 @@
 			return dst, false
 		}
 		dst = append(dst, u)
-		q.Last = u
+		q.Previous = u
 		layer = u.Layers().To
 	}
 	return dst, true
@@ -128,7 +128,7 @@
 }
 
 // PickOne picks a single upstream of a plain service, or nil.
-func (r *Router) One(candidates []*load.Upstream, q *Query) *load.Upstream {
+func (r *Router) PickOne(candidates []*load.Upstream, q *Query) *load.Upstream {
 	q.Now = r.clock.Now()
 	return r.pick(candidates, q)
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -148,8 +148,8 @@
 	waits, limits := d.settings.Waits, d.settings.Limits
 	runner := pipeline.New(engines, d.table, d.router, d.clock,
 		pipeline.WithLogger(d.log), pipeline.WithMeters(d.meters),
-		pipeline.WithOnFailure(func(u *load.Upstream) { d.observer.Suspect(u.Zone()) }),
-		pipeline.WithWaits(waits.FirstToken, waits.Token))
+		pipeline.WithOnEjection(func(u *load.Upstream) { d.observer.Suspect(u.Zone()) }),
+		pipeline.WithTokenTimeouts(waits.FirstToken, waits.Token))
 	dispatcher := dispatch.New(services, d.table, d.router, d.clock,
 		dispatch.WithLogger(d.log), dispatch.WithMeters(d.meters), dispatch.WithTimeout(waits.Service))
 	bounds := callerapi.DefaultLimits
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -88,7 +88,7 @@
 	relay     *relay.Relay
 	router    *chainrouting.Router
 	prober    *probe.Prober
-	names     *probe.Names
+	names     *probe.AddressResolver
 	budgets   *retry.Budgets
 	suspects  *suspect.Ledger
 	keeper    *suspect.Keeper
@@ -205,8 +205,8 @@
 	g.fleet = fleet.New(g.clock, g.adapter.DecodeEntry, fleet.WithLogger(g.log), fleet.WithDrain(g.settings.Bounds.Drain),
 		fleet.WithOnRestart(g.upstreamRestarted))
 	engines := g.fleet.Observe(g.adapter.Engines)
-	g.prober = probe.New(engines, g.clock, g.log, probe.WithHeard(g.fleet.LastHeard))
-	g.names = probe.NewNames(g.adapter.Names, g.clock, g.log, g.healthPath)
+	g.prober = probe.New(engines, g.clock, g.log, probe.WithLastHeard(g.fleet.LastHeard))
+	g.names = probe.NewAddressResolver(g.adapter.Names, g.clock, g.log, g.healthPath)
 	b := g.settings.Bounds
 	g.budgets = retry.NewBudgets(g.clock, retry.Limits{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow}, firstDaemons,
 		retry.WithBorrow(func(ctx context.Context, service string, want float64) float64 {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -92,7 +92,7 @@
 	for ctx.Err() == nil {
 		g.fleet.Tend()
 		g.prober.Recheck(ctx, g.fleet)
-		g.names.Ask(ctx, g.fleet)
+		g.names.Resolve(ctx, g.fleet)
 		g.noteFreshness()
 		g.noteOdd()
 		g.noteEra()
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -189,7 +189,7 @@
 	g.follow(config, startStore{fleet: f, items: []spanrill.Item{simItem(simStays, 1, false)}, engines: f.engines})
 	g.placer = layoutrun.New(func() (uint64, bool) { return 0, false }, nil, g.fleet, d.models, d, log, layoutrun.WithPropagationTime(g.exchange.BroadcastTime))
 	g.prober = probe.New(nil, d, log)
-	g.names = probe.NewNames(nil, d, log, func(string) string { return "" })
+	g.names = probe.NewAddressResolver(nil, d, log, func(string) string { return "" })
 	g.firstAt += d.starts - startBegin
 	g.startedAt = d.starts
 	g.callersWait = func() (spanrill.Millis, bool) {
@@ -270,7 +270,7 @@
 		d.every("upkeep", func() spanrill.Millis {
 			d.Gateway.fleet.Tend()
 			d.prober.Recheck(context.Background(), d.Gateway.fleet)
-			d.names.Ask(context.Background(), d.Gateway.fleet)
+			d.names.Resolve(context.Background(), d.Gateway.fleet)
 			return upkeepGap
 		})
 	}
