--- a/coordination/chain/read.go
+++ b/coordination/chain/read.go
@@ -35,7 +35,9 @@
 }
 
 // NewBuilder returns a builder for a model with that many layers.
-func NewBuilder(layers int) *Builder { return &Builder{layers: layers, zones: map[string]*zoneChains{}} }
+func NewBuilder(layers int) *Builder {
+	return &Builder{layers: layers, zones: map[string]*zoneChains{}}
+}
 
 // Build returns the chains, complete ones first, and the holders that belong to none.
 func (r *Builder) Build(holders []Holder) (chains []*Chain, spares []Holder) {
--- a/coordination/routing/explain.go
+++ b/coordination/routing/explain.go
@@ -8,16 +8,16 @@
 
 // Candidate is an engine that could run a stage, with the figures by which it is compared.
 type Candidate struct {
-	Engine string  `json:"engine"`
-	Zone   string  `json:"availability_zone"`
-	From   int     `json:"from"`
-	To     int     `json:"to"`
-	Load   float64 `json:"load"`           // requests expected on it
+	Engine         string  `json:"engine"`
+	Zone           string  `json:"availability_zone"`
+	From           int     `json:"from"`
+	To             int     `json:"to"`
+	Load           float64 `json:"load"`           // requests expected on it
 	MicrosPerToken float64 `json:"micros_a_token"` // at a full batch
-	Slowdown   float64 `json:"slow"`           // factor by which it is slower than it reports
-	LinkMicros   int64   `json:"link_micros"`
-	Score  float64 `json:"score"`             // lower is better
-	WhyNot    string  `json:"why_not,omitempty"` // why the engine cannot be used, if it cannot
+	Slowdown       float64 `json:"slow"`           // factor by which it is slower than it reports
+	LinkMicros     int64   `json:"link_micros"`
+	Score          float64 `json:"score"`             // lower is better
+	WhyNot         string  `json:"why_not,omitempty"` // why the engine cannot be used, if it cannot
 }
 
 // Explanation reports which chain a request would take, and the candidates of each stage.
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -20,13 +20,13 @@
 
 // Query describes the request for which upstreams are chosen.
 type Query struct {
-	Layers  int              // layers of the model
-	Exclude []*load.Upstream // upstreams that have failed this request
-	Avoid   []*load.Upstream // upstreams to use only if there are no others
-	Prefer  []*load.Upstream // upstreams that cache a prefix of the prompt
-	SavedShare   float64          // share of the work that a cached prefix saves, from 0 to 1
-	Now     spanrill.Millis  // set by the router
-	Previous    *load.Upstream   // the upstream of the previous stage, set by the router
+	Layers     int              // layers of the model
+	Exclude    []*load.Upstream // upstreams that have failed this request
+	Avoid      []*load.Upstream // upstreams to use only if there are no others
+	Prefer     []*load.Upstream // upstreams that cache a prefix of the prompt
+	SavedShare float64          // share of the work that a cached prefix saves, from 0 to 1
+	Now        spanrill.Millis  // set by the router
+	Previous   *load.Upstream   // the upstream of the previous stage, set by the router
 
 	ways       *load.Ways // nil for a plain service
 	lastResort bool       // ejected and avoided upstreams may be picked too
