--- a/gateway/run.go
+++ b/gateway/run.go
@@ -92,7 +92,7 @@
 	for ctx.Err() == nil {
 		g.fleet.Tend()
 		g.prober.Recheck(ctx, g.fleet)
-		g.names.Ask(ctx, g.fleet)
+		g.names.Resolve(ctx, g.fleet)
 		g.noteFreshness()
 		g.noteOdd()
 		g.noteEra()
@@ -100,7 +100,7 @@
 		g.noteDropped()
 		daemons := len(g.peers.list.Live())
 		g.daemons.Store(int64(daemons))
-		g.router.SetFleet(daemons, g.exchange.Rounds(), g.exchange.Settled())
+		g.router.SetFleet(daemons, g.exchange.AggregationRounds(), g.exchange.Settled())
 		g.router.SetStarting(g.starting() && g.clock.Now()-g.startedAt < crowdTime)
 		g.router.SetDemand(g.budgets.Demand())
 		select {
