--- a/coordination/chainrouting/candidate.go
+++ b/coordination/chainrouting/candidate.go
@@ -84,7 +84,7 @@
 		fullText += " lenient=true"
 	}
 	return fmt.Sprintf("%s est=%.0f base=%.0f tokens=%d lag=%.1f risk=%.2f room=%t pipe=%t%s", c.first.ID(), c.estimate, c.base,
-		c.first.Tokens(), c.first.Lag(c.now), c.first.Risk(c.now), c.hasRoom, c.pipesHaveRoom, fullText)
+		c.first.Tokens(), c.first.Lag(c.now), c.first.FailureRate(c.now), c.hasRoom, c.pipesHaveRoom, fullText)
 }
 
 func (c candidate) describeFaults() string {
@@ -95,7 +95,7 @@
 			continue
 		}
 		fmt.Fprintf(&b, " %s=%d-%d:dead=%t,avoided=%t,takes=%t,rest_ms=%d,limit_wait_ms=%d", f.upstream.ID(), f.layers.From, f.layers.To,
-			f.upstream.Dead(), f.upstream.Avoided(c.now), f.upstream.Takes(), f.upstream.RestLeft(c.now), f.upstream.LimitWait(c.now))
+			f.upstream.Dead(), f.upstream.Avoided(c.now), f.upstream.AcceptsRequests(), f.upstream.RestRemaining(c.now), f.upstream.LimitWait(c.now))
 	}
 	return b.String()
 }
--- a/coordination/chainrouting/load_test.go
+++ b/coordination/chainrouting/load_test.go
@@ -144,7 +144,7 @@
 	}
 	at := uint64(sim.clock.Now())
 	for _, t := range sim.tables {
-		t.Merge(fleet.Knowledge{Entries: entries, At: at, Change: at}, sim.clock.Now())
+		t.Merge(fleet.Update{Entries: entries, Revision: at, LastChange: at}, sim.clock.Now())
 	}
 }
 
@@ -181,7 +181,7 @@
 	for i, t := range sim.tables {
 		sim.daemons[i].SetDemand(map[string]float64{service: sim.rate})
 		t.View().Each(func(u *fleet.Upstream) {
-			u.SetPeers(max(0, stale[u.ID()].tokens-u.OwnTokens()), max(0, stale[u.ID()].calls-u.OwnCalls()))
+			u.SetPeerLoad(max(0, stale[u.ID()].tokens-u.OwnTokens()), max(0, stale[u.ID()].calls-u.OwnCalls()))
 		})
 	}
 }
--- a/coordination/chainrouting/router.go
+++ b/coordination/chainrouting/router.go
@@ -138,10 +138,10 @@
 	if cached != nil && cached.version == v.Version() && cached.model == m {
 		return cached.chains
 	}
-	holders := make([]chain.Holder, 0, len(v.Of(service)))
-	for _, u := range v.Of(service) {
+	holders := make([]chain.Holder, 0, len(v.ByService(service)))
+	for _, u := range v.ByService(service) {
 		e := u.Entry()
-		if l := u.Layers(); u.Takes() && l.Len() > 0 && l.To <= m.Layers && !slowAndReplaceable(v, u) {
+		if l := u.Layers(); u.AcceptsRequests() && l.Len() > 0 && l.To <= m.Layers && !slowAndReplaceable(v, u) {
 			holders = append(holders, chain.Holder{ID: u.ID(), Zone: e.Zone, Layers: l, Pace: m.Kinds[e.Kind].Pace})
 		}
 	}
@@ -167,8 +167,8 @@
 		return false
 	}
 	var others []spanrill.LayerRange
-	for _, u := range v.Of(slow.Service()) {
-		if u != slow && u.Zone() == slow.Zone() && u.Takes() && !u.Dead() && !u.Slow() {
+	for _, u := range v.ByService(slow.Service()) {
+		if u != slow && u.Zone() == slow.Zone() && u.AcceptsRequests() && !u.Dead() && !u.Slow() {
 			others = append(others, u.Layers())
 		}
 	}
--- a/coordination/chainrouting/router_test.go
+++ b/coordination/chainrouting/router_test.go
@@ -108,7 +108,7 @@
 		{"a path begins at an engine in First", func(*testFleet) {}, Need{Prompt: 100, Answer: 100, Zone: "za", First: map[string]bool{"b1": true}}, "b1=0-6 b2=6-12 ", nil},
 		{"an engine ordered to hold other layers is skipped", func(f *testFleet) {
 			f.table.View().ByID("a2").SetTarget(&fleet.Target{Layers: spanrill.LayerRange{From: 0, To: 5}})
-			f.table.Touch()
+			f.table.RefreshView()
 		}, needFrom("za"), "b1=0-6 b2=6-12 ", nil},
 		{"a hole that no other engine covers", func(f *testFleet) {
 			f.table.View().ByID("a2").SetDead(true)
@@ -136,18 +136,18 @@
 			f.table.View().ByID("b1").Reserve(1e7)
 		}, needFrom("za"), "", ErrNoRoom},
 		{"no path begins at an engine that rests", func(f *testFleet) {
-			f.table.Notice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
+			f.table.HandleNotice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
 		}, needFrom("za"), "b1=0-6 b2=6-12 ", nil},
 		{"an engine that rests receives requests from another engine", func(f *testFleet) {
-			f.table.Notice("a2:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
+			f.table.HandleNotice("a2:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
 		}, needFrom("za"), "a1=0-4 a2=4-8 a3=8-12 ", nil},
 		{"all engines at which paths begin rest", func(f *testFleet) {
-			f.table.Notice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
-			f.table.Notice("b1:1", spanrill.Notice{Rest: 1000}, f.clock.Now())
+			f.table.HandleNotice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
+			f.table.HandleNotice("b1:1", spanrill.Notice{Rest: 1000}, f.clock.Now())
 		}, needFrom("za"), "", ErrResting},
 		{"the rest of one of these engines has ended", func(f *testFleet) {
-			f.table.Notice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
-			f.table.Notice("b1:1", spanrill.Notice{Rest: 1000}, f.clock.Now())
+			f.table.HandleNotice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
+			f.table.HandleNotice("b1:1", spanrill.Notice{Rest: 1000}, f.clock.Now())
 			f.clock.Advance(1000)
 		}, needFrom("za"), "b1=0-6 b2=6-12 ", nil},
 		{"no path begins at an engine whose rate limit is exhausted", func(f *testFleet) { f.exhaustLimit("a1") }, needFrom("za"), "b1=0-6 b2=6-12 ", nil},
@@ -163,11 +163,11 @@
 			f.exhaustLimit("a1")
 		}, needFrom("za"), "b1=0-6 b2=6-12 ", nil},
 		{"an engine that has announced in an answer that it leaves is skipped", func(f *testFleet) {
-			f.table.Notice("a2:1", spanrill.Notice{Leaving: true}, f.clock.Now())
+			f.table.HandleNotice("a2:1", spanrill.Notice{Leaving: true}, f.clock.Now())
 		}, needFrom("za"), "b1=0-6 b2=6-12 ", nil},
 		{"a path whose first events are slow is avoided", func(f *testFleet) {
 			for range 8 {
-				f.table.View().ByID("a1").NoteLag(f.clock.Now(), 6)
+				f.table.View().ByID("a1").RecordLag(f.clock.Now(), 6)
 			}
 		}, needFrom("za"), "b1=0-6 b2=6-12 ", nil},
 	} {
@@ -372,6 +372,6 @@
 // exhaustLimit sets a rate limit for an engine and defers requests to it.
 func (f *testFleet) exhaustLimit(id string) {
 	limit := spanrill.RateLimit{Set: true, PerSecond: 2}
-	f.table.Notice(id+":1", spanrill.Notice{Limit: limit}, f.clock.Now())
+	f.table.HandleNotice(id+":1", spanrill.Notice{Limit: limit}, f.clock.Now())
 	f.table.View().ByID(id).DeferRequests(f.clock.Now(), limitDelay)
 }
--- a/coordination/chainrouting/search.go
+++ b/coordination/chainrouting/search.go
@@ -27,10 +27,10 @@
 }
 
 func (s *search) usable(u *fleet.Upstream) bool {
-	if u == nil || !u.TakesAt(s.now) || u.Dead() || s.need.Avoid[u.ID()] {
+	if u == nil || !u.AcceptsRequestsAt(s.now) || u.Dead() || s.need.Avoid[u.ID()] {
 		return false
 	}
-	return !u.Avoided(s.now) || s.lenient && !u.Refuses(s.now)
+	return !u.Avoided(s.now) || s.lenient && !u.AvoidedForRefusal(s.now)
 }
 
 // canRun reports whether an engine may run layers beginning with from. A path cannot begin at an
@@ -38,8 +38,8 @@
 // there. Later engines receive it from another engine.
 func (s *search) canRun(u *fleet.Upstream, from int) bool {
 	if u != nil && from == 0 {
-		err := u.MaySend(s.now)
-		s.foundResting = s.foundResting || errors.Is(err, fleet.ErrRests)
+		err := u.CheckSend(s.now)
+		s.foundResting = s.foundResting || errors.Is(err, fleet.ErrResting)
 		s.foundLimited = s.foundLimited || errors.Is(err, fleet.ErrLimited)
 		if err != nil {
 			return false
@@ -109,7 +109,7 @@
 	skippedFull := false
 	for next := hole.From; next < hole.To; {
 		best, bestTo, weight := (*fleet.Upstream)(nil), next, 0.0
-		for _, u := range s.view.Of(s.service) {
+		for _, u := range s.view.ByService(s.service) {
 			l := u.Layers()
 			if used[u.ID()] || l.From > next || l.To <= next || s.zone != "" && u.Zone() != s.zone || !s.canRun(u, next) {
 				continue
@@ -215,7 +215,7 @@
 	millis *= 1 + fullnessWeight*fullest*fullest
 	millis *= parts[0].Upstream.Lag(s.now)
 	for _, p := range parts {
-		millis *= 1 + riskWeight*p.Upstream.Risk(s.now)
+		millis *= 1 + riskWeight*p.Upstream.FailureRate(s.now)
 	}
 	if parts[0].Upstream.Zone() != s.need.Zone {
 		millis *= otherZoneFactor
@@ -227,7 +227,7 @@
 // moved.
 func (s *search) acceptsMove(p Part) bool {
 	u, held := p.Upstream, p.Upstream.Layers()
-	return u.TakesAt(s.now) && !u.Dead() && !s.need.Avoid[u.ID()] && held.From <= p.Layers.From && p.Layers.To <= held.To
+	return u.AcceptsRequestsAt(s.now) && !u.Dead() && !s.need.Avoid[u.ID()] && held.From <= p.Layers.From && p.Layers.To <= held.To
 }
 
 // holeEnd returns the end of the run of parts from start on that are bridged together: several
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -113,11 +113,11 @@
 	answer, err := d.services.Call(ctx, u.Addr(), req)
 	now := d.clock.Now()
 	if err == nil {
-		u.Succeed(now)
+		u.RecordSuccess(now)
 		d.meters.ServiceCall.Update((now - started).Duration().Seconds())
 		return answer, nil
 	}
-	if u.Fail(now) {
+	if u.RecordFailure(now) {
 		events.UpstreamEjected.Log(d.log, logrus.Fields{"upstream": u.Name(), "cause": err})
 	}
 	return nil, err
--- a/coordination/exchange/apply.go
+++ b/coordination/exchange/apply.go
@@ -34,7 +34,7 @@
 		e.applyUnnamed(others.unnamed)
 	}
 	if e.applyTargets(e.currentTargets(now)) {
-		e.state.Fleet.Touch()
+		e.state.Fleet.RefreshView()
 	}
 }
 
@@ -57,12 +57,12 @@
 			continue
 		}
 		if u := view.ByKey(key); u != nil {
-			u.SetPeers(0, 0)
+			u.SetPeerLoad(0, 0)
 		}
 	}
 	for key, s := range uses {
 		if u := view.ByKey(key); u != nil {
-			u.SetPeers(max(0, s.tokens), max(0, s.calls))
+			u.SetPeerLoad(max(0, s.tokens), max(0, s.calls))
 		}
 	}
 	e.applied.uses = uses
@@ -132,7 +132,7 @@
 	view := e.state.Fleet.View()
 	for key := range refusing {
 		if u := view.ByKey(key); u != nil {
-			u.Told(now)
+			u.RefusalReported(now)
 		}
 	}
 }
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -242,7 +242,7 @@
 // later and end earlier than the real one, which claims less.
 func (e *Exchange) mergeStoreAnswered(news *peermsg.News, sent spanrill.Millis) {
 	if news.UpstreamsAt != 0 {
-		e.state.Fleet.Answered(e.clock.Now()-news.StoreAnswered, sent-news.UpstreamsAge)
+		e.state.Fleet.RecordStoreAvailable(e.clock.Now()-news.StoreAnswered, sent-news.UpstreamsAge)
 	}
 }
 
@@ -279,8 +279,8 @@
 		Name: e.state.Name, Revision: e.state.Config.Revision(), ProofAge: e.state.Config.Age(),
 		Placement: e.placementNews(knownOrders{req.Holder, req.Sequence}), Leaving: e.state.Leaving(), StoreSilent: e.state.StoreSilent(),
 	}
-	reply.UpstreamsAt, reply.UpstreamsChange, reply.UpstreamsAge = e.state.Fleet.Proof()
-	reply.StoreAnswered = min(e.state.Fleet.AnsweredFor(), maxStoreAnswered)
+	reply.UpstreamsAt, reply.UpstreamsChange, reply.UpstreamsAge = e.state.Fleet.Freshness()
+	reply.StoreAnswered = min(e.state.Fleet.StoreAvailableFor(), maxStoreAnswered)
 	reply.Suspects = e.suspectNews(req.Suspects)
 	reply.Limits = ratelimit.News(e.state.Fleet, e.clock, req.Limits)
 	e.storeChildSums(req)
@@ -292,7 +292,7 @@
 	}
 	now := e.clock.Now()
 	e.state.Fleet.EachActive(func(u *fleet.Upstream) {
-		if u.RefusedHere(now) {
+		if u.RefusesThisDaemon(now) {
 			reply.Refusing = append(reply.Refusing, u.Key())
 		}
 	})
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -210,7 +210,7 @@
 			held := spanrill.LayerRange{From: 4, To: 8}
 			list := func(d *daemon, at uint64, born int64, beats uint64) {
 				entry := spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Revision: at, Born: born, Beats: beats}
-				d.table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{entry}, At: at, Change: at}, now.Now())
+				d.table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{entry}, Revision: at, LastChange: at}, now.Now())
 			}
 			list(there, 9, c.first, 7)
 			list(here, 9, c.first, 7)
@@ -318,12 +318,12 @@
 	wire.silent = true
 	for range 20 {
 		c.Advance(1000)
-		there.table.Prove(9, 9, c.Now())
+		there.table.ConfirmUnchanged(9, 9, c.Now())
 	}
 	wire.silent = false
-	before := there.table.AnsweredFor()
+	before := there.table.StoreAvailableFor()
 	here.exchange.Round(context.Background())
-	if got := here.table.AnsweredFor(); got > before+200 || got < before {
+	if got := here.table.StoreAvailableFor(); got > before+200 || got < before {
 		t.Fatalf("the store has answered for %d ms here, %d ms at the peer", got, before)
 	}
 }
--- a/coordination/exchange/packed.go
+++ b/coordination/exchange/packed.go
@@ -77,11 +77,11 @@
 // takes 1 ms of a core and 158 KB; compressed once they take 22 KB (BenchmarkEntries). In a
 // starting fleet all daemons ask a seed within half a second.
 func (e *Exchange) Entries(req *peermsg.AskEntries) *peermsg.Entries {
-	at, change, age := e.state.Fleet.Proof()
+	at, change, age := e.state.Fleet.Freshness()
 	v, err := e.packedEntries.get(change, req.After, func() ([]byte, uint64, error) {
-		k := e.state.Fleet.KnowledgeAfter(req.After)
-		plain, err := peermsg.Encode(&peermsg.EntryList{Entries: k.Entries, Unreadable: k.Unreadable, Gone: k.Gone})
-		return plain, k.After, err
+		k := e.state.Fleet.UpdateSince(req.After)
+		plain, err := peermsg.Encode(&peermsg.EntryList{Entries: k.Entries, Unreadable: k.Unreadable, Gone: k.Removed})
+		return plain, k.Since, err
 	})
 	if err != nil {
 		events.FrameRefused.Log(e.log, logrus.Fields{"kind": peermsg.KindEntries, "error": err})
--- a/coordination/exchange/packed_test.go
+++ b/coordination/exchange/packed_test.go
@@ -10,8 +10,8 @@
 )
 
 // manyEntries returns the entries of n engines.
-func manyEntries(n int) fleet.Knowledge {
-	k := fleet.Knowledge{At: 9, Change: 9}
+func manyEntries(n int) fleet.Update {
+	k := fleet.Update{Revision: 9, LastChange: 9}
 	for i := range n {
 		k.Entries = append(k.Entries, spanrill.EngineEntry{
 			ID: fmt.Sprintf("i-%010x", i*7919), Service: "advice", Addr: fmt.Sprintf("10.1.%d.%d:8120", i/250, i%250), Zone: fmt.Sprint("zone-", i%3),
@@ -30,12 +30,12 @@
 	if &first.Packed[0] != &again.Packed[0] {
 		t.Error("entries were encoded twice")
 	}
-	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil || len(here.table.Knowledge().Entries) != 40 {
-		t.Fatalf("%d entries received, want 40, error %v", len(here.table.Knowledge().Entries), err)
+	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil || len(here.table.FullUpdate().Entries) != 40 {
+		t.Fatalf("%d entries received, want 40, error %v", len(here.table.FullUpdate().Entries), err)
 	}
-	there.table.Merge(fleet.Knowledge{Entries: manyEntries(39).Entries, At: 10, Change: 10}, 0)
-	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil || len(here.table.Knowledge().Entries) != 39 {
-		t.Fatalf("%d entries received after a change, want 39, error %v", len(here.table.Knowledge().Entries), err)
+	there.table.Merge(fleet.Update{Entries: manyEntries(39).Entries, Revision: 10, LastChange: 10}, 0)
+	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil || len(here.table.FullUpdate().Entries) != 39 {
+		t.Fatalf("%d entries received after a change, want 39, error %v", len(here.table.FullUpdate().Entries), err)
 	}
 }
 
@@ -43,15 +43,15 @@
 func TestSingleChangeIsSentAlone(t *testing.T) {
 	c, here, there, _ := pair(1)
 	k := manyEntries(2922)
-	k.At, k.Change = 5000, 5000
+	k.Revision, k.LastChange = 5000, 5000
 	there.table.Merge(k, c.Now())
-	ask := func() *peermsg.Entries { return there.exchange.Entries(&peermsg.AskEntries{After: here.table.At()}) }
+	ask := func() *peermsg.Entries { return there.exchange.Entries(&peermsg.AskEntries{After: here.table.Revision()}) }
 	whole := len(ask().Packed)
 	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil {
 		t.Fatal(err)
 	}
 	k.Entries[7].Layers, k.Entries[7].Revision = spanrill.LayerRange{From: 40, To: 44}, 5001
-	there.table.Merge(fleet.Knowledge{Entries: k.Entries[7:8], At: 5001, Change: 5001, After: 5000, Gone: []string{k.Entries[9].ID}}, c.Now())
+	there.table.Merge(fleet.Update{Entries: k.Entries[7:8], Revision: 5001, LastChange: 5001, Since: 5000, Removed: []string{k.Entries[9].ID}}, c.Now())
 	if one := len(ask().Packed); one > 200 {
 		t.Errorf("one change takes %d bytes, all entries %d", one, whole)
 	}
@@ -59,8 +59,8 @@
 		t.Fatal(err)
 	}
 	view := here.table.View()
-	if u := view.ByID(k.Entries[7].ID); u.Layers() != k.Entries[7].Layers || view.ByID(k.Entries[9].ID) != nil || len(view.Of("advice")) != 2921 {
-		t.Errorf("layers %v, %d upstreams", u.Layers(), len(view.Of("advice")))
+	if u := view.ByID(k.Entries[7].ID); u.Layers() != k.Entries[7].Layers || view.ByID(k.Entries[9].ID) != nil || len(view.ByService("advice")) != 2921 {
+		t.Errorf("layers %v, %d upstreams", u.Layers(), len(view.ByService("advice")))
 	}
 }
 
@@ -71,7 +71,7 @@
 	there.table.Merge(manyEntries(1001), 0)
 	b.Run("encoded each time", func(b *testing.B) {
 		for b.Loop() {
-			k := there.table.Knowledge()
+			k := there.table.FullUpdate()
 			data, _ := peermsg.Encode(&peermsg.EntryList{Entries: k.Entries})
 			b.ReportMetric(float64(len(data)), "bytes")
 		}
--- a/coordination/exchange/placement.go
+++ b/coordination/exchange/placement.go
@@ -184,6 +184,6 @@
 		}
 	}
 	if changed {
-		e.state.Fleet.Touch()
+		e.state.Fleet.RefreshView()
 	}
 }
--- a/coordination/exchange/start.go
+++ b/coordination/exchange/start.go
@@ -33,7 +33,7 @@
 // initialized reports whether this daemon has a configuration and a list of upstreams.
 func (e *Exchange) initialized() bool {
 	select {
-	case <-e.state.Fleet.Seen():
+	case <-e.state.Fleet.Ready():
 		return e.state.Config.Table() != nil
 	default:
 		return false
--- a/coordination/exchange/zones.go
+++ b/coordination/exchange/zones.go
@@ -112,12 +112,12 @@
 		return
 	}
 	for _, service := range e.servicesOf(shares) {
-		for _, u := range view.Of(service) {
+		for _, u := range view.ByService(service) {
 			if u.Zone() == e.state.Zone {
 				continue
 			}
 			share := shares[zoneService{u.Zone(), service}]
-			u.SetPeers(share.tokens, share.calls)
+			u.SetPeerLoad(share.tokens, share.calls)
 		}
 	}
 	e.applied.zoneShares, e.applied.viewVersion = shares, view.Version()
@@ -130,7 +130,7 @@
 	}
 	counts := map[zoneService]int64{}
 	for group := range unnamed.byZone {
-		for _, u := range view.Of(group.service) {
+		for _, u := range view.ByService(group.service) {
 			if u.Zone() == group.zone && (u.Entry().Kind == "" || u.Layers().Len() > 0) {
 				counts[group]++
 			}
--- a/coordination/exchange/zones_test.go
+++ b/coordination/exchange/zones_test.go
@@ -13,7 +13,7 @@
 // daemon has requests at upstreams of its own zone.
 func newBusyNetwork(daemons, upstreams int) *network {
 	n := newNetwork(daemons)
-	k := fleet.Knowledge{At: 20, Change: 20}
+	k := fleet.Update{Revision: 20, LastChange: 20}
 	for i := range upstreams {
 		k.Entries = append(k.Entries, spanrill.EngineEntry{
 			ID: fmt.Sprintf("u%04d", i), Service: "s", Addr: fmt.Sprint("u", i), Zone: fmt.Sprint("zone-", i%3), Kind: "card",
--- a/coordination/layoutrun/executor.go
+++ b/coordination/layoutrun/executor.go
@@ -56,7 +56,7 @@
 
 func (x *orderExecutor) reachTarget(ctx context.Context) bool {
 	limit := x.placer.clock.Now() + x.loadTime(maxLoadFactor) + maxOrdersPerMove*callTimeout*2
-	for ctx.Err() == nil && x.placer.clock.Now() < limit && x.upstream.Takes() {
+	for ctx.Err() == nil && x.placer.clock.Now() < limit && x.upstream.AcceptsRequests() {
 		report, err := x.report(ctx)
 		if err != nil {
 			if ctx.Err() == nil && !spanrill.OwnLack(err) {
--- a/coordination/layoutrun/pace.go
+++ b/coordination/layoutrun/pace.go
@@ -52,8 +52,8 @@
 		if s.Model == nil {
 			continue
 		}
-		for _, u := range p.table.View().Of(s.Name) {
-			if u.Takes() && !u.Dead() && u.Layers().Len() > 0 {
+		for _, u := range p.table.View().ByService(s.Name) {
+			if u.AcceptsRequests() && !u.Dead() && u.Layers().Len() > 0 {
 				engines = append(engines, u)
 			}
 		}
@@ -90,5 +90,5 @@
 		event = events.UpstreamSlow
 	}
 	event.Log(p.log, logrus.Fields{"upstream": u.ID(), "pace": u.Pace()})
-	p.table.Touch()
+	p.table.RefreshView()
 }
--- a/coordination/layoutrun/placer.go
+++ b/coordination/layoutrun/placer.go
@@ -140,7 +140,7 @@
 		if s.Model == nil {
 			continue
 		}
-		allAppeared := p.allAppeared(s.Name, len(p.table.View().Of(s.Name)))
+		allAppeared := p.allAppeared(s.Name, len(p.table.View().ByService(s.Name)))
 		if mayAct {
 			p.planAndOrder(ctx, s, allAppeared)
 		}
@@ -184,7 +184,7 @@
 func (p *Placer) planInput(ctx context.Context, s *spanrill.ServiceInfo) (engines []layout.Engine, anyHeld bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, upstreams := p.clock.Now(), p.table.View().Of(s.Name)
+	now, upstreams := p.clock.Now(), p.table.View().ByService(s.Name)
 	engines = make([]layout.Engine, 0, len(upstreams))
 	for _, u := range upstreams {
 		lost, leaves := p.verify(ctx, u, now, true)
@@ -198,7 +198,7 @@
 		}
 		e := layout.Engine{
 			ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers,
-			Leaving: !u.Takes() || leaves, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.KnownAt() < justJoinedTime,
+			Leaving: !u.AcceptsRequests() || leaves, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.DiscoveredAt() < justJoinedTime,
 		}
 		if t := u.Target(); t != nil {
 			e.Layers, e.Changing = t.Layers, !t.Done
@@ -223,7 +223,7 @@
 // out. The caller holds the lock.
 func (p *Placer) departedEngines(ctx context.Context, s *spanrill.ServiceInfo, now spanrill.Millis) []layout.Engine {
 	var engines []layout.Engine
-	for _, u := range p.table.Departed() {
+	for _, u := range p.table.RecentlyRemoved() {
 		if u.Service() != s.Name || u.Dead() {
 			continue
 		}
@@ -242,7 +242,7 @@
 	defer p.mu.Unlock()
 	now, view := p.clock.Now(), p.table.View()
 	departed := map[string]bool{}
-	for _, u := range p.table.Departed() {
+	for _, u := range p.table.RecentlyRemoved() {
 		departed[u.ID()] = true
 	}
 	for id := range p.verifications {
--- a/coordination/layoutrun/placer_test.go
+++ b/coordination/layoutrun/placer_test.go
@@ -218,13 +218,13 @@
 	if got := look(); got["e0"] || got["e1"] {
 		t.Fatalf("after %d ms: just joined are %v, want none", justJoinedTime, got)
 	}
-	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}, {ID: "new", Service: "s", Addr: "e1"}}, At: 2}, now.Now())
+	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}, {ID: "new", Service: "s", Addr: "e1"}}, Revision: 2}, now.Now())
 	if got := look(); got["e0"] || !got["new"] {
 		t.Fatalf("one replaced: just joined are %v, want the new one only", got)
 	}
-	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}}, At: 3}, now.Now())
+	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}}, Revision: 3}, now.Now())
 	now.Advance(justJoinedTime)
-	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}, {ID: "e1", Service: "s", Addr: "e1"}}, At: 4}, now.Now())
+	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}, {ID: "e1", Service: "s", Addr: "e1"}}, Revision: 4}, now.Now())
 	if got := look(); !got["e1"] {
 		t.Fatalf("one came back: just joined are %v, want it too", got)
 	}
--- a/coordination/layoutrun/verify.go
+++ b/coordination/layoutrun/verify.go
@@ -46,7 +46,7 @@
 func (p *Placer) verify(ctx context.Context, u *fleet.Upstream, now spanrill.Millis, mayAct bool) (lost, leaves bool) {
 	id := u.ID()
 	v := p.verifications[id]
-	if !u.Removed() && !u.Dead() && !u.Refusing(now) && (v == nil || now-u.RefusedAt() > verifyWindow) {
+	if !u.Removed() && !u.Dead() && !u.RefusesPersistently(now) && (v == nil || now-u.LastRefusalAt() > verifyWindow) {
 		delete(p.verifications, id)
 		return false, false
 	}
@@ -74,7 +74,7 @@
 	}
 	lost := err != nil
 	v.recordRoom(!lost && report.Waiting == 0 && report.KVUsed < fullThreshold*report.KVTotal, p.clock.Now())
-	leaves := v.hasRoom && u.RefusedAt() > v.roomSince+minRoomTime
+	leaves := v.hasRoom && u.LastRefusalAt() > v.roomSince+minRoomTime
 	if lost == v.lost && leaves == v.leaving {
 		return nil
 	}
--- a/coordination/observe/observe.go
+++ b/coordination/observe/observe.go
@@ -271,7 +271,7 @@
 func (o *Observer) missed(u *load.Upstream, err error) {
 	v, _ := o.misses.LoadOrStore(u.Name(), new(atomic.Int64))
 	n := v.(*atomic.Int64).Add(1) // two questions to one upstream may be under way
-	if (n >= maxMisses || unreachable(err)) && u.Fail(o.clock.Now()) {
+	if (n >= maxMisses || unreachable(err)) && u.RecordFailure(o.clock.Now()) {
 		events.UpstreamEjected.Log(o.log, logrus.Fields{"upstream": u.Name(), "cause": err})
 	}
 }
--- a/coordination/pipeline/failure.go
+++ b/coordination/pipeline/failure.go
@@ -44,7 +44,7 @@
 	g.failed = append(g.failed, f.stage)
 	var refusal *spanrill.RunError
 	if errors.As(f.cause, &refusal) && refusal.Code == spanrill.CodeLeaving {
-		g.runner.table.Refused(f.stage.Name())
+		g.runner.table.MarkLeaving(f.stage.Name())
 		return
 	}
 	if f.reason == meter.RetryRefused {
@@ -54,7 +54,7 @@
 }
 
 func (g *generation) eject(u *load.Upstream, cause error) {
-	if u.Fail(g.runner.clock.Now()) {
+	if u.RecordFailure(g.runner.clock.Now()) {
 		g.runner.onEjection(u)
 		events.UpstreamEjected.Log(g.runner.log, logrus.Fields{"upstream": u.Name(), "cause": cause})
 	}
--- a/coordination/pipeline/generation.go
+++ b/coordination/pipeline/generation.go
@@ -179,7 +179,7 @@
 	}
 	now := g.runner.clock.Now()
 	for _, u := range chain {
-		u.Succeed(now)
+		u.RecordSuccess(now)
 	}
 	g.runner.affinity.Remember(g.req.Body, chain)
 	return nil
@@ -208,7 +208,7 @@
 		return
 	}
 	for i, r := range ran {
-		chain[i].Observe(now, r.Micros)
-		chain[i].ObserveLink(r.Link)
+		chain[i].RecordStep(now, r.Micros)
+		chain[i].RecordLink(r.Link)
 	}
 }
--- a/coordination/probe/identify.go
+++ b/coordination/probe/identify.go
@@ -34,7 +34,7 @@
 // until it answers. It does not wait for the answers, which go to the table. It is called a few
 // times a second.
 func (n *AddressResolver) Resolve(ctx context.Context, table *fleet.Table) {
-	claims := table.Claims()
+	claims := table.AddressConflicts()
 	n.forget(claims)
 	for _, c := range claims {
 		healthPath := n.healthPath(c.Service)
@@ -48,7 +48,7 @@
 // Wait waits until all queries have ended.
 func (n *AddressResolver) Wait() { _ = n.queries.Wait() } // errors are logged where they occur
 
-func (n *AddressResolver) identify(ctx context.Context, table *fleet.Table, c fleet.Claim, healthPath string) error {
+func (n *AddressResolver) identify(ctx context.Context, table *fleet.Table, c fleet.AddressConflict, healthPath string) error {
 	ctx, cancel := context.WithTimeout(ctx, identifyTimeout.Duration())
 	defer cancel()
 	name, err := n.identifier.Identify(ctx, c.Addr, healthPath)
@@ -56,7 +56,7 @@
 		events.AddressSilent.Log(n.log, logrus.Fields{"upstream": c.Name, "addr": c.Addr, "error": err})
 		return err
 	}
-	table.Identified(c.Addr, name)
+	table.ResolveAddress(c.Addr, name)
 	return nil
 }
 
@@ -70,7 +70,7 @@
 
 // queryInterval returns the least time between two queries to an address.
 func (n *AddressResolver) queryInterval(table *fleet.Table, addr string) spanrill.Millis {
-	if u := table.View().ByAddr(addr); u != nil && u.Rests(n.clock.Now()) {
+	if u := table.View().ByAddr(addr); u != nil && u.Resting(n.clock.Now()) {
 		return restingInterval
 	}
 	return recheckInterval
@@ -89,7 +89,7 @@
 }
 
 // forget drops addresses that are no longer claimed.
-func (n *AddressResolver) forget(claims []fleet.Claim) {
+func (n *AddressResolver) forget(claims []fleet.AddressConflict) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	claimed := make(map[string]bool, len(claims))
--- a/coordination/probe/identify_test.go
+++ b/coordination/probe/identify_test.go
@@ -41,8 +41,8 @@
 	entry := func(name string) spanrill.EngineEntry {
 		return spanrill.EngineEntry{ID: name, Service: "s", Addr: "1:1"}
 	}
-	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{entry("old")}, At: 1, Change: 1}, 0)
-	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{entry("old"), entry("new")}, At: 2, Change: 2}, 0)
+	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{entry("old")}, Revision: 1, LastChange: 1}, 0)
+	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{entry("old"), entry("new")}, Revision: 2, LastChange: 2}, 0)
 	resolver := NewAddressResolver(identifier, c, log, func(string) string { return "/healthz" })
 	check := func(wantQueries int, wantName string) {
 		t.Helper()
@@ -56,7 +56,7 @@
 	check(1, "old")
 	c.Advance(recheckInterval)
 	check(2, "old")
-	table.Notice("1:1", spanrill.Notice{Rest: restingInterval}, c.Now())
+	table.HandleNotice("1:1", spanrill.Notice{Rest: restingInterval}, c.Now())
 	c.Advance(recheckInterval)
 	check(2, "old")
 	c.Advance(restingInterval)
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -113,9 +113,9 @@
 	err := p.dial(ctx, u.Addr())
 	switch {
 	case err == nil:
-		u.Listens(p.clock.Now())
+		u.RecordListening(p.clock.Now())
 	case spanrill.NothingListens(err):
-		u.NotListening()
+		u.RecordNotListening()
 	}
 }
 
@@ -266,11 +266,11 @@
 	}
 	dead := q.err != nil
 	if spanrill.NothingListens(q.err) {
-		u.NotListening()
+		u.RecordNotListening()
 	}
 	if !dead {
 		u.SetPace(q.report.Pace)
-		u.Heard(p.clock.Now())
+		u.RecordResponse(p.clock.Now())
 	}
 	if !u.SetDead(dead) {
 		return
--- a/coordination/ratelimit/limiter_test.go
+++ b/coordination/ratelimit/limiter_test.go
@@ -49,7 +49,7 @@
 	for i := range daemons {
 		n.daemons = append(n.daemons, n.newMember(fmt.Sprint(i)))
 		n.daemons[i].granters = []int{0, min(1, daemons-1)}
-		n.daemons[i].table.Notice("1:1", limitNotice(limit), n.clock.Now())
+		n.daemons[i].table.HandleNotice("1:1", limitNotice(limit), n.clock.Now())
 	}
 	return n
 }
@@ -58,7 +58,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	m := &member{network: n, name: name, table: fleet.New(n.clock, nil, fleet.WithLogger(log))}
-	m.table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: upstreamID, Service: "s", Addr: "1:1"}}, At: 1, Change: 1}, 0)
+	m.table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: upstreamID, Service: "s", Addr: "1:1"}}, Revision: 1, LastChange: 1}, 0)
 	m.limiter = New(m.table, n.clock, m)
 	return m
 }
@@ -107,7 +107,7 @@
 				continue
 			}
 			u := m.upstream()
-			if u.MaySend(n.clock.Now()) == nil && m.limiter.Permit(context.Background(), u) == nil {
+			if u.CheckSend(n.clock.Now()) == nil && m.limiter.Permit(context.Background(), u) == nil {
 				sent = append(sent, n.clock.Now())
 			}
 		}
@@ -204,7 +204,7 @@
 	n := newNetwork(2, 0.5, 1)
 	asker, granter := n.daemons[1], n.daemons[0]
 	n.clock.Advance(1000)
-	granter.table.Notice("1:1", spanrill.Notice{}, n.clock.Now())
+	granter.table.HandleNotice("1:1", spanrill.Notice{}, n.clock.Now())
 	if err := asker.limiter.Permit(context.Background(), asker.upstream()); err != nil {
 		t.Fatal(err)
 	}
@@ -256,7 +256,7 @@
 	if news := News(from.table, n.clock, to.table.LimitsDigest()); news != nil {
 		t.Errorf("unchanged limits are sent again: %v", news)
 	}
-	from.table.Notice("1:1", spanrill.Notice{}, n.clock.Now())
+	from.table.HandleNotice("1:1", spanrill.Notice{}, n.clock.Now())
 	exchange()
 	if to.upstream().Limit().Set {
 		t.Error("the limit is still set after the removal was sent")
--- a/coordination/ratelimit/news.go
+++ b/coordination/ratelimit/news.go
@@ -26,7 +26,7 @@
 		if m.Age < 0 {
 			continue // a timestamp in the future would override later answers of the upstream
 		}
-		table.TakeLimit(fleet.KnownLimit{Upstream: m.Upstream, Limit: spanrill.RateLimit{Set: m.Set, PerSecond: m.PerSecond}, At: at - m.Age})
+		table.MergeLimit(fleet.KnownLimit{Upstream: m.Upstream, Limit: spanrill.RateLimit{Set: m.Set, PerSecond: m.PerSecond}, At: at - m.Age})
 	}
 }
 
--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -62,12 +62,12 @@
 	case failure.engineAtFault != nil:
 		g.recordRefusal(first, failure, now)
 	case failure.retry == meter.RetryBadToken:
-		first.Failed(now)
+		first.RecordFailure(now)
 	case failure.retry == meter.RetryWithheld:
 		g.avoid[first.ID()] = true
 	case g.ctx.Err() == nil && !errors.Is(failure, errStageDead):
 		g.avoid[first.ID()] = true
-		first.Failed(now)
+		first.RecordFailure(now)
 		first.Avoid(now + failedAvoidTime)
 		if failure.outcome != spanrill.OutcomeNotRun {
 			g.recordBrokenAttempt(first, 0)
@@ -81,7 +81,7 @@
 		g.uncountSend(first)
 	}
 	if spanrill.NothingListens(failure) {
-		first.NotListening()
+		first.RecordNotListening()
 	}
 }
 
--- a/coordination/relay/attempts_test.go
+++ b/coordination/relay/attempts_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := fleet.New(clock.NewManual(), nil)
-			table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "a", Addr: "1:1"}, {ID: "b", Addr: "1:2"}}, At: 1}, 0)
+			table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "a", Addr: "1:1"}, {ID: "b", Addr: "1:2"}}, Revision: 1}, 0)
 			a, b := table.View().ByID("a"), table.View().ByID("b")
 			g := &generation{
 				request: &request{route: &spanrill.Route{MaxAttempts: 2}},
@@ -31,7 +31,7 @@
 			}
 			a.SetDead(c.dead)
 			if c.gone {
-				table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{*b.Entry()}, At: 2}, 0)
+				table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{*b.Entry()}, Revision: 2}, 0)
 			}
 			if got := g.allowedFirstEngines() == nil; got != c.wantAny {
 				t.Fatalf("any engine is allowed: %t, want %t", got, c.wantAny)
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -50,7 +50,7 @@
 	switch {
 	case u.Ended():
 		return true, false
-	case u.ListenedAt() > a.brokeAt:
+	case u.LastListening() > a.brokeAt:
 		return false, true
 	case u.Removed() && u.Dead():
 		return !a.leaving, a.leaving // a leaving upstream terminates as planned
--- a/coordination/relay/chained.go
+++ b/coordination/relay/chained.go
@@ -154,7 +154,7 @@
 	}
 	g.keepFailedAnswer()
 	g.avoid[g.firstEngine.ID()] = true
-	g.firstEngine.Failed(g.relay.Clock.Now())
+	g.firstEngine.RecordFailure(g.relay.Clock.Now())
 	return &sendError{outcome: spanrill.OutcomeRan, retry: meter.RetryStageLost, cause: errors.Errorf("engine %s answered %d", g.firstEngine.ID(), status)}
 }
 
--- a/coordination/relay/limits_test.go
+++ b/coordination/relay/limits_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	q, clock := plainRequest()
 	q.relay.limitRetries, q.relay.Daemons = &limitRetryTimes{}, func() int { return daemons }
-	q.relay.Fleet.Notice("1:1", spanrill.Notice{Limit: spanrill.RateLimit{Set: true, PerSecond: perSecond}}, clock.Now())
+	q.relay.Fleet.HandleNotice("1:1", spanrill.Notice{Limit: spanrill.RateLimit{Set: true, PerSecond: perSecond}}, clock.Now())
 	u := q.relay.Fleet.View().ByID("a")
 	u.DeferRequests(clock.Now(), 400)
 	return q, func(d spanrill.Millis) { clock.Advance(d) }, u
@@ -57,8 +57,8 @@
 	advance(400)
 	a := attempt{upstream: u}
 	a.recordFailure(q.relay.Clock.Now(), &spanrill.CallError{Phase: spanrill.PhaseDial, Cause: fleet.ErrLimited})
-	if a.reached || a.outcome != spanrill.OutcomeNotRun || u.Avoided(q.relay.Clock.Now()) || u.Risk(q.relay.Clock.Now()) > 0 {
-		t.Errorf("reached %t, outcome %v, avoided %t, risk %v", a.reached, a.outcome, u.Avoided(q.relay.Clock.Now()), u.Risk(q.relay.Clock.Now()))
+	if a.reached || a.outcome != spanrill.OutcomeNotRun || u.Avoided(q.relay.Clock.Now()) || u.FailureRate(q.relay.Clock.Now()) > 0 {
+		t.Errorf("reached %t, outcome %v, avoided %t, risk %v", a.reached, a.outcome, u.Avoided(q.relay.Clock.Now()), u.FailureRate(q.relay.Clock.Now()))
 	}
 	if !q.mayRetry(&a) {
 		t.Error("the request is not retried")
--- a/coordination/relay/log.go
+++ b/coordination/relay/log.go
@@ -56,13 +56,13 @@
 
 // addSendLimits adds the rest, avoidance and rate limit of the upstream that gets a request.
 func addSendLimits(f logrus.Fields, u *fleet.Upstream, now spanrill.Millis) {
-	if rest := u.RestLeft(now); rest > 0 {
+	if rest := u.RestRemaining(now); rest > 0 {
 		f["rest_ms"] = rest
 	}
 	if u.Avoided(now) {
 		f["avoided"] = true
 	}
-	if u.SaidLeaving() {
+	if u.AnnouncedLeaving() {
 		f["said_leaving"] = true
 	}
 	if l := u.Limit(); l.Set {
@@ -108,7 +108,7 @@
 	q.relay.failureLog.Log(events.RequestRetried, q.relay.Log, func() logrus.Fields {
 		f := q.logFields()
 		f["upstream"], f["why"], f["outcome"], f["error"] = u.ID(), reason, outcome.String(), err
-		f["risk"], f["budget_left"] = u.Risk(q.relay.Clock.Now()), q.relay.Budgets.Of(q.service.Name).Left()
+		f["risk"], f["budget_left"] = u.FailureRate(q.relay.Clock.Now()), q.relay.Budgets.Of(q.service.Name).Left()
 		return f
 	})
 }
--- a/coordination/relay/maysend.go
+++ b/coordination/relay/maysend.go
@@ -58,7 +58,7 @@
 // store answers other daemons: an upstream may have announced that it leaves. The maximum age
 // leaves time for a new connection.
 func (q *request) checkUpstreamsFresh() *spanrill.Refusal {
-	age, stale := q.relay.Fleet.Behind()
+	age, stale := q.relay.Fleet.Stale()
 	if !stale {
 		return nil
 	}
--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -71,7 +71,7 @@
 		return true
 	}
 	if !a.reached {
-		return len(q.relay.Fleet.View().Of(q.service.Name)) > 1
+		return len(q.relay.Fleet.View().ByService(q.service.Name)) > 1
 	}
 	if a.sends >= q.route.MaxAttempts {
 		return false
@@ -257,10 +257,10 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		a.retry = meter.RetryStalled
 	}
-	a.upstream.Failed(now)
+	a.upstream.RecordFailure(now)
 	a.upstream.Avoid(now + failedAvoidTime)
 	if spanrill.NothingListens(err) {
-		a.upstream.NotListening()
+		a.upstream.RecordNotListening()
 	}
 }
 
@@ -305,7 +305,7 @@
 // upstream.
 func (a *attempt) classifyAnswer(now spanrill.Millis, head spanrill.UpstreamHead) {
 	a.outcome = spanrill.OutcomeRan
-	a.upstream.Listens(now)
+	a.upstream.RecordListening(now)
 	switch {
 	case head.NotRun:
 		a.notRun, a.outcome, a.retry = true, spanrill.OutcomeNotRun, meter.RetryRefused
@@ -314,9 +314,9 @@
 	case a.resp.StatusCode() >= fasthttp.StatusInternalServerError:
 		a.retry = meter.RetryStageLost
 		a.err = errors.Errorf("status %d", a.resp.StatusCode())
-		a.upstream.Failed(now)
+		a.upstream.RecordFailure(now)
 	default:
-		a.upstream.Succeeded(now)
+		a.upstream.RecordSuccess(now)
 		a.upstream.Accepted(a.sentAt)
 	}
 }
--- a/coordination/relay/plain_test.go
+++ b/coordination/relay/plain_test.go
@@ -17,7 +17,7 @@
 	c := clock.NewManual()
 	table := fleet.New(c, nil, fleet.WithDrain(testDrain))
 	r := &Relay{Dependencies: Dependencies{Fleet: table, Clock: c, Random: rng.New(1)}}
-	table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "a", Service: "s", Addr: "1:1"}}, At: 1, Change: 1}, 0)
+	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "a", Service: "s", Addr: "1:1"}}, Revision: 1, LastChange: 1}, 0)
 	return &request{ctx: context.Background(), relay: r, trial: suspect.New(c).Begin(0), route: &spanrill.Route{}, service: &spanrill.ServiceInfo{Name: "s"}}, c
 }
 
@@ -41,7 +41,7 @@
 			q, manual := plainRequest()
 			manual.Advance(c.age)
 			if c.others >= 0 {
-				q.relay.Fleet.Answered(c.age-c.others, c.age-c.others)
+				q.relay.Fleet.RecordStoreAvailable(c.age-c.others, c.age-c.others)
 			}
 			refusal := q.checkBeforeSend()
 			if (refusal == nil) != c.want {
@@ -53,7 +53,7 @@
 			if refusal.Reason() != spanrill.ReasonUpstreamsStale || refusal.RetryAfter() <= 0 {
 				t.Fatalf("refused with %v", refusal)
 			}
-			if q.relay.Fleet.Prove(2, 1, manual.Now()); q.checkBeforeSend() != nil {
+			if q.relay.Fleet.ConfirmUnchanged(2, 1, manual.Now()); q.checkBeforeSend() != nil {
 				t.Fatal("refused after the entries were confirmed")
 			}
 		})
@@ -64,8 +64,8 @@
 // connection attempt, even if the table has not checked for expired entries by then.
 func TestLapsingEntryServesUntilExpiry(t *testing.T) {
 	q, manual := plainRequest()
-	q.relay.Fleet.NoteOutage()
-	q.relay.Fleet.Merge(fleet.Knowledge{At: 2, Change: 2}, manual.Now())
+	q.relay.Fleet.RecordStoreFailure()
+	q.relay.Fleet.Merge(fleet.Update{Revision: 2, LastChange: 2}, manual.Now())
 	const latest = testDrain - 350 // the time of a connection attempt
 	sent := spanrill.Millis(0)
 	for ; manual.Now() < testDrain; manual.Advance(10) {
--- a/coordination/relay/plainchoice.go
+++ b/coordination/relay/plainchoice.go
@@ -11,8 +11,8 @@
 	now := q.relay.Clock.Now()
 	var best *fleet.Upstream
 	bestScore := 0.0
-	for _, u := range q.relay.Fleet.View().Of(q.service.Name) {
-		if tried[u.ID()] || u.MaySend(now) != nil {
+	for _, u := range q.relay.Fleet.View().ByService(q.service.Name) {
+		if tried[u.ID()] || u.CheckSend(now) != nil {
 			continue
 		}
 		score := q.plainScore(u, now)
@@ -33,7 +33,7 @@
 
 // plainScore returns the load of an upstream plus penalties. Lower is better.
 func (q *request) plainScore(u *fleet.Upstream, now spanrill.Millis) float64 {
-	score := float64(u.Calls()) + failureWeight*u.Risk(now) + tieWeight*q.relay.Random.Float64()
+	score := float64(u.Calls()) + failureWeight*u.FailureRate(now) + tieWeight*q.relay.Random.Float64()
 	if u.Avoided(now) || u.Dead() {
 		score += avoidedWeight
 	}
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -119,7 +119,7 @@
 func New(deps Dependencies, options Options) *Relay {
 	return &Relay{
 		Dependencies: deps, options: options, callers: newCallerConns(deps.Clock, deps.Meters), generations: newRunningGenerations(), brokenAttempts: &brokenAttempts{}, roomRetries: &roomRetryTimes{}, limitRetries: &limitRetryTimes{}, eventTokens: newEventTokenEstimator(),
-		startup:    newStartupHold(deps.Clock, deps.StoreUnresponsive, deps.Config.Ready(), deps.Fleet.Seen()),
+		startup:    newStartupHold(deps.Clock, deps.StoreUnresponsive, deps.Config.Ready(), deps.Fleet.Ready()),
 		routineLog: events.NewLimiter(deps.Clock, routineLinesPerSecond), failureLog: events.NewLimiter(deps.Clock, failureLinesPerSecond),
 	}
 }
--- a/coordination/relay/rests.go
+++ b/coordination/relay/rests.go
@@ -13,14 +13,14 @@
 // isWithheld reports whether a call was ended before its first byte because its upstream rests,
 // leaves, or has exhausted its rate limit. Such a call is not a failure of the upstream.
 func isWithheld(err error) bool {
-	return errors.Is(err, fleet.ErrRests) || errors.Is(err, fleet.ErrLeaves) || errors.Is(err, fleet.ErrLimited)
+	return errors.Is(err, fleet.ErrResting) || errors.Is(err, fleet.ErrLeaving) || errors.Is(err, fleet.ErrLimited)
 }
 
 // withSendCheck returns a context that makes a call check once more, when it has a connection,
 // whether the upstream may be sent a request.
 func (r *Relay) withSendCheck(ctx context.Context, u *fleet.Upstream) context.Context {
 	return httpcall.Before(ctx, func() error {
-		if err := u.MaySend(r.Clock.Now()); err != nil {
+		if err := u.CheckSend(r.Clock.Now()); err != nil {
 			return err
 		}
 		return r.Permit(ctx, u)
@@ -35,8 +35,8 @@
 func restRetryAfter(upstreams []*fleet.Upstream, now spanrill.Millis) spanrill.Millis {
 	earliest := spanrill.Millis(0)
 	for _, u := range upstreams {
-		wait := u.RestLeft(now) + u.RestedFor(now)/restSpreadDivisor
-		if u.Rests(now) && (earliest == 0 || wait < earliest) {
+		wait := u.RestRemaining(now) + u.RestElapsed(now)/restSpreadDivisor
+		if u.Resting(now) && (earliest == 0 || wait < earliest) {
 			earliest = wait
 		}
 	}
@@ -48,15 +48,15 @@
 const restSpreadDivisor = 2
 
 // restingUpstreams returns the upstreams that could take the request if they did not rest.
-func (q *request) restingUpstreams() []*fleet.Upstream { return q.blockedBy(fleet.ErrRests) }
+func (q *request) restingUpstreams() []*fleet.Upstream { return q.blockedBy(fleet.ErrResting) }
 
 // blockedBy returns the upstreams of the request's service for which MaySend returns the given
 // error. For a request that runs on a path, these are only engines with the first layer.
 func (q *request) blockedBy(cause error) []*fleet.Upstream {
 	now := q.relay.Clock.Now()
 	var blocked []*fleet.Upstream
-	for _, u := range q.relay.Fleet.View().Of(q.service.Name) {
-		if errors.Is(u.MaySend(now), cause) && (!q.route.Chained || u.Layers().From == 0) {
+	for _, u := range q.relay.Fleet.View().ByService(q.service.Name) {
+		if errors.Is(u.CheckSend(now), cause) && (!q.route.Chained || u.Layers().From == 0) {
 			blocked = append(blocked, u)
 		}
 	}
--- a/coordination/relay/rests_test.go
+++ b/coordination/relay/rests_test.go
@@ -20,7 +20,7 @@
 		maxPerWindow                 = 2 * int(window/gap)
 	)
 	q, clock := plainRequest()
-	q.relay.Fleet.Notice("1:1", spanrill.Notice{Rest: rest}, clock.Now())
+	q.relay.Fleet.HandleNotice("1:1", spanrill.Notice{Rest: rest}, clock.Now())
 	restStart, returns := clock.Now(), map[spanrill.Millis]int{}
 	for ; clock.Now() < restStart+rest; clock.Advance(gap) {
 		refusal := q.noUpstreamRefusal(&attempt{})
@@ -43,11 +43,11 @@
 // The upstream whose rest ends first determines the retry time.
 func TestRestRetryTimeOfShortestRest(t *testing.T) {
 	q, clock := plainRequest()
-	q.relay.Fleet.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{
+	q.relay.Fleet.Merge(fleet.Update{Entries: []spanrill.EngineEntry{
 		{ID: "a", Service: "s", Addr: "1:1"}, {ID: "b", Service: "s", Addr: "1:2"}, {ID: "c", Service: "s", Addr: "1:3", Leaving: true},
-	}, At: 2, Change: 2}, clock.Now())
+	}, Revision: 2, LastChange: 2}, clock.Now())
 	for addr, rest := range map[string]spanrill.Millis{"1:1": 3000, "1:2": 1000, "1:3": 10} {
-		q.relay.Fleet.Notice(addr, spanrill.Notice{Rest: rest}, clock.Now())
+		q.relay.Fleet.HandleNotice(addr, spanrill.Notice{Rest: rest}, clock.Now())
 	}
 	if got := q.noUpstreamRefusal(&attempt{}).RetryAfter(); got != 1000 {
 		t.Errorf("retry after %d ms, want the 1000 that are left of the shorter rest", got)
@@ -63,14 +63,14 @@
 		want   error
 	}{
 		{"no notice", spanrill.Notice{}, nil},
-		{"asks for rest", spanrill.Notice{Rest: 1000}, fleet.ErrRests},
-		{"leaves", spanrill.Notice{Leaving: true}, fleet.ErrLeaves},
+		{"asks for rest", spanrill.Notice{Rest: 1000}, fleet.ErrResting},
+		{"leaves", spanrill.Notice{Leaving: true}, fleet.ErrLeaving},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q, clock := plainRequest()
 			u := q.pickPlain(nil)
-			q.relay.Fleet.Notice(u.Addr(), c.notice, clock.Now())
-			err := u.MaySend(clock.Now())
+			q.relay.Fleet.HandleNotice(u.Addr(), c.notice, clock.Now())
+			err := u.CheckSend(clock.Now())
 			if !errors.Is(err, c.want) || isWithheld(err) != (c.want != nil) {
 				t.Fatalf("error %v, want %v", err, c.want)
 			}
@@ -79,8 +79,8 @@
 			}
 			a := attempt{upstream: u}
 			a.recordFailure(clock.Now(), &spanrill.CallError{Phase: spanrill.PhaseDial, Cause: err})
-			if a.reached || a.outcome != spanrill.OutcomeNotRun || u.Avoided(clock.Now()) || u.Risk(clock.Now()) > 0 {
-				t.Errorf("reached %t, outcome %v, avoided %t, risk %v", a.reached, a.outcome, u.Avoided(clock.Now()), u.Risk(clock.Now()))
+			if a.reached || a.outcome != spanrill.OutcomeNotRun || u.Avoided(clock.Now()) || u.FailureRate(clock.Now()) > 0 {
+				t.Errorf("reached %t, outcome %v, avoided %t, risk %v", a.reached, a.outcome, u.Avoided(clock.Now()), u.FailureRate(clock.Now()))
 			}
 		})
 	}
--- a/coordination/relay/sentto_test.go
+++ b/coordination/relay/sentto_test.go
@@ -31,7 +31,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			q := testRequest(context.Background())
 			table := fleet.New(q.relay.Clock, nil)
-			table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{{ID: "a", Addr: "1:1"}}, At: 1}, 0)
+			table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "a", Addr: "1:1"}}, Revision: 1}, 0)
 			q.relay.Router = chainrouting.New(table, q.relay.Clock, q.relay.Log, rng.New(1))
 			q.service = &spanrill.ServiceInfo{Model: &spanrill.EngineModel{}}
 			a := table.View().ByID("a")
--- a/coordination/relay/stream.go
+++ b/coordination/relay/stream.go
@@ -87,11 +87,11 @@
 	if g.begun {
 		g.relay.Meters.BetweenTokens.Update(seconds)
 		b.longestPause = max(b.longestPause, now-b.lastEventAt)
-		g.firstEngine.NoteEventGap((now - b.lastEventAt) / spanrill.Millis(count))
+		g.firstEngine.RecordEventGap((now - b.lastEventAt) / spanrill.Millis(count))
 	} else {
 		b.firstEventDelay = now - g.start
 		g.relay.Meters.FirstToken.Update(float64(now-g.start) / float64(spanrill.Second))
-		g.firstEngine.NoteLag(now, float64(now-g.sentAt)/g.expectedFirstEvent()/slowFirstEventFactor)
+		g.firstEngine.RecordLag(now, float64(now-g.sentAt)/g.expectedFirstEvent()/slowFirstEventFactor)
 		g.begun = true
 		for _, p := range g.path.Parts() {
 			p.Upstream.Accepted(g.sentAt)
@@ -107,7 +107,7 @@
 	b.events += count
 	g.relay.Meters.Tokens.Add(count)
 	for _, p := range g.path.Parts() {
-		p.Upstream.Worked(now)
+		p.Upstream.RecordProgress(now)
 	}
 	if b.events%growInterval == 0 {
 		g.path.Grow(int64(g.head.PromptTokens + b.events*g.relay.eventTokens.tokensPerEvent(g.service)))
@@ -152,7 +152,7 @@
 	g.mayHaveRun = true
 	if g.ctx.Err() == nil {
 		g.avoid[g.firstEngine.ID()] = true
-		g.firstEngine.Failed(g.relay.Clock.Now())
+		g.firstEngine.RecordFailure(g.relay.Clock.Now())
 		g.recordBrokenAttempt(g.firstEngine, g.streamingTime())
 	}
 	g.release()
@@ -196,7 +196,7 @@
 	whole := b.complete && len(b.ready) == 0
 	if whole {
 		g.recordServed()
-		g.firstEngine.Succeeded(g.relay.Clock.Now())
+		g.firstEngine.RecordSuccess(g.relay.Clock.Now())
 		if g.head.LastEvent == "" {
 			g.relay.eventTokens.recordAnswer(g.service.Name, b.events)
 		}
--- a/coordination/relay/watch.go
+++ b/coordination/relay/watch.go
@@ -176,7 +176,7 @@
 	now := g.relay.Clock.Now()
 	waited := float64(now - g.sentAt)
 	if expected := g.expectedFirstEvent(); waited > expected*slowFirstEventFactor {
-		g.firstEngine.NoteLag(now, waited/expected)
+		g.firstEngine.RecordLag(now, waited/expected)
 	}
 }
 
@@ -205,7 +205,7 @@
 	since := g.relay.Clock.Now() - g.watchGap() + engineIdleMargin
 	var silentEngines []*fleet.Upstream
 	for _, p := range g.path.Parts() {
-		if !p.Upstream.Dead() && p.Upstream.LastOK() < since {
+		if !p.Upstream.Dead() && p.Upstream.LastResponse() < since {
 			silentEngines = append(silentEngines, p.Upstream)
 		}
 	}
--- a/coordination/relay/watch_test.go
+++ b/coordination/relay/watch_test.go
@@ -28,7 +28,7 @@
 			table.Listed([]spanrill.Item{{Name: "e"}}, 1, 0)
 			g := &generation{firstEngine: table.View().ByID("e")}
 			for _, p := range c.pauses {
-				g.firstEngine.NoteEventGap(p)
+				g.firstEngine.RecordEventGap(p)
 			}
 			if got := g.watchGap(); got != c.want {
 				t.Fatalf("%d ms, want %d", got, c.want)
--- a/coordination/routing/explain.go
+++ b/coordination/routing/explain.go
@@ -42,16 +42,16 @@
 
 // stageCandidates returns the engines whose layers start at from, the best first.
 func stageCandidates(index *load.ModelIndex, q *Query, from int) []Candidate {
-	ways := index.Ways(q.Layers)
+	ways := index.Reachability(q.Layers)
 	var result []Candidate
-	for _, u := range index.From(from) {
+	for _, u := range index.StartingAt(from) {
 		c := Candidate{
 			Engine: u.Name(), Zone: u.Zone(), From: u.Layers().From, To: u.Layers().To,
-			Load: u.Load(q.Now), MicrosPerToken: u.MicrosPerToken(), Slowdown: u.Slow(q.Now),
+			Load: u.Load(q.Now), MicrosPerToken: u.MicrosPerToken(), Slowdown: u.Slowdown(q.Now),
 			LinkMicros: u.LinkMicros(), Score: Score(u, q),
 		}
 		switch {
-		case !ways.Open(u.Layers().To):
+		case !ways.ReachesEnd(u.Layers().To):
 			c.WhyNot = "no chain leads on from it"
 		case u.Ejected(q.Now):
 			c.WhyNot = "ejected"
--- a/coordination/routing/leastwork.go
+++ b/coordination/routing/leastwork.go
@@ -95,7 +95,7 @@
 // Score returns the time in microseconds that a step is expected to take on an upstream with one
 // more request, including the link.
 func Score(u *load.Upstream, q *Query) float64 {
-	work := (u.Load(q.Now) + 1) * u.MicrosPerToken() * u.Slow(q.Now) / u.Ramp(q.Now)
+	work := (u.Load(q.Now) + 1) * u.MicrosPerToken() * u.Slowdown(q.Now) / u.RampShare(q.Now)
 	if contains(q.Prefer, u) {
 		work *= 1 - q.SavedShare
 	}
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -95,7 +95,7 @@
 	tab, c := newTable(6)
 	ejected := tab.Upstream("e00000")
 	r := New(c)
-	ejected.Fail(c.Now())
+	ejected.RecordFailure(c.Now())
 	for range 50 {
 		chain, _ := r.Choose(tab.View().Model(key), &Query{Layers: 24}, nil)
 		if contains(chain, ejected) {
@@ -119,10 +119,10 @@
 	u := tab.Upstream("e00000")
 	previous := spanrill.Millis(0)
 	for range 12 {
-		if !u.Fail(c.Now()) {
+		if !u.RecordFailure(c.Now()) {
 			t.Fatal("a failure after the ejection had ended did not eject again")
 		}
-		if u.Fail(c.Now()) {
+		if u.RecordFailure(c.Now()) {
 			t.Fatal("a failure during the ejection ejected again")
 		}
 		started := c.Now()
@@ -134,13 +134,13 @@
 		} else {
 			previous = duration
 		}
-		if u.Ramp(c.Now()) > 0.2 {
+		if u.RampShare(c.Now()) > 0.2 {
 			t.Fatal("the full share returned at once")
 		}
 	}
 	c.Advance(10 * spanrill.Second)
-	u.Succeed(c.Now())
-	if u.Ramp(c.Now()) != 1 {
+	u.RecordSuccess(c.Now())
+	if u.RampShare(c.Now()) != 1 {
 		t.Fatal("the full share did not return")
 	}
 }
@@ -150,10 +150,10 @@
 	u := tab.Upstream("e00000")
 	r := New(c)
 	for range 40 {
-		u.Observe(c.Now(), 80_000)
+		u.RecordStep(c.Now(), 80_000)
 	}
-	if u.Slow(c.Now()) < 5 {
-		t.Fatalf("slowness is %.1f, want at least 5", u.Slow(c.Now()))
+	if u.Slowdown(c.Now()) < 5 {
+		t.Fatalf("slowness is %.1f, want at least 5", u.Slowdown(c.Now()))
 	}
 	for range 20 {
 		chain, _ := r.Choose(tab.View().Model(key), &Query{Layers: 24}, nil)
@@ -162,7 +162,7 @@
 		}
 	}
 	c.Advance(spanrill.Minute)
-	if u.Slow(c.Now()) > 1.1 {
+	if u.Slowdown(c.Now()) > 1.1 {
 		t.Fatal("slowness did not decay within a minute")
 	}
 }
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -218,7 +218,7 @@
 		Suspects: suspect.New(d),
 	}, d, log, rng.New(seed+1000))
 	g.configs = follow.New(d, d, g.fleet)
-	g.upstreams = follow.New(d, d, g.fleet, follow.WithDue(func() spanrill.Millis { return 0 }), follow.WithAt(g.fleet.At),
+	g.upstreams = follow.New(d, d, g.fleet, follow.WithDue(func() spanrill.Millis { return 0 }), follow.WithAt(g.fleet.Revision),
 		follow.WithJitter(g.random.Float64), follow.WithLongestPause(g.retryPause), follow.WithLogger(log, "upstreams"))
 	d.Gateway = g
 	return d
@@ -231,11 +231,11 @@
 	for now := simStart; now < f.end; now += simStep {
 		f.move(now)
 		for _, d := range f.daemons {
-			if u := d.Gateway.fleet.View().ByID(simSays); u != nil && u.Takes() && d.proved() >= simLeaves {
+			if u := d.Gateway.fleet.View().ByID(simSays); u != nil && u.AcceptsRequests() && d.proved() >= simLeaves {
 				t.Fatalf("rank %d takes its entries for proved by a read of %d, and does not know of the leaving at %d", d.rank, d.proved(), simLeaves)
 			}
 			if !f.trouble.ends(d.rank) && now > simLeaves && d.sends(simStays) {
-				_, _, age := d.Gateway.fleet.Proof()
+				_, _, age := d.Gateway.fleet.Freshness()
 				f.blind = max(f.blind, age)
 			}
 			if !f.trouble.ends(d.rank) && (d.sends(simGoes) || d.sends(simSays)) {
@@ -260,19 +260,19 @@
 // relay decides it.
 func (d *drainDaemon) sends(engine string) bool {
 	u := d.Gateway.fleet.View().ByID(engine)
-	_, behind := d.Gateway.fleet.Behind()
-	return u != nil && u.TakesAt(d.Now()) && !behind
+	_, behind := d.Gateway.fleet.Stale()
+	return u != nil && u.AcceptsRequestsAt(d.Now()) && !behind
 }
 
 // proved returns since when this daemon takes its entries for proved.
 func (d *drainDaemon) proved() spanrill.Millis {
-	_, _, age := d.Gateway.fleet.Proof()
+	_, _, age := d.Gateway.fleet.Freshness()
 	return spanrill.Millis(d.fleet.now.Load()) - age
 }
 
 // move does what this daemon has to do by now.
 func (d *drainDaemon) move(now spanrill.Millis) {
-	if _, _, age := d.Gateway.fleet.Proof(); now > simStart+2*spanrill.Second {
+	if _, _, age := d.Gateway.fleet.Freshness(); now > simStart+2*spanrill.Second {
 		d.oldest = max(d.oldest, age)
 	}
 	d.callStore(now)
@@ -283,7 +283,7 @@
 		d.round = now + exchange.RoundInterval*9/10 + spanrill.Millis(d.random.Float64()*float64(exchange.RoundInterval)/5)
 	}
 	if now >= d.tend {
-		d.Gateway.fleet.Tend()
+		d.Gateway.fleet.Maintain()
 		d.tend = now + upkeepGap
 	}
 }
@@ -292,7 +292,7 @@
 func (d *drainDaemon) callStore(now spanrill.Millis) {
 	if d.callEnd == 0 && now >= d.step {
 		select {
-		case <-d.Gateway.fleet.Seen():
+		case <-d.Gateway.fleet.Ready():
 			if pause := d.upstreamsDue(); pause > 0 {
 				d.step = now + pause
 				return
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -25,7 +25,7 @@
 	if g.draining.Load() || g.exchange.PlacementHeld() {
 		return 0, false
 	}
-	_, _, age := g.fleet.Proof()
+	_, _, age := g.fleet.Freshness()
 	heldLast := now-spanrill.Millis(g.heldAt.Load()) < heldMemory
 	return 0, age > storeAway && heldLast || age > storeLong && g.peers.rank("placement") == 0
 }
@@ -166,7 +166,7 @@
 
 // upstreamsDue is the same for the entries of upstreams.
 func (g *Gateway) upstreamsDue() spanrill.Millis {
-	_, _, age := g.fleet.Proof()
+	_, _, age := g.fleet.Freshness()
 	goal := g.entriesGoal()
 	late := age - goal - newsRound
 	if late < 0 || !g.exchange.AnyPeerStoreSilent() {
@@ -184,7 +184,7 @@
 // entriesLate returns for how many rounds what the first in rank has read should have been
 // here.
 func (g *Gateway) entriesLate() int {
-	_, _, age := g.fleet.Proof()
+	_, _, age := g.fleet.Freshness()
 	due := g.entriesGoal() + g.exchange.BroadcastTime()
 	return int(max(0, age-due) / newsRound)
 }
@@ -229,7 +229,7 @@
 // upstreamsLimit is how long a first call for the entries may take: until a second one,
 // after a pause, and a request on a new connection are still in time.
 func (g *Gateway) upstreamsLimit() spanrill.Millis {
-	_, _, age := g.fleet.Proof()
+	_, _, age := g.fleet.Freshness()
 	return callLimit(age, g.settings.Bounds.Drain)
 }
 
@@ -357,7 +357,7 @@
 // storeCalled notes calls of the store that failed.
 func (g *Gateway) storeCalled(_ string, err error) {
 	if err != nil {
-		g.fleet.NoteOutage()
+		g.fleet.RecordStoreFailure()
 	}
 }
 
--- a/gateway/fleetsize_test.go
+++ b/gateway/fleetsize_test.go
@@ -149,7 +149,7 @@
 		f.run(simStep)
 		behind = false
 		for _, d := range f.daemons {
-			behind = behind || d.Gateway.fleet.At() < e.revision(e.until)
+			behind = behind || d.Gateway.fleet.Revision() < e.revision(e.until)
 		}
 	}
 	return c
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -238,11 +238,11 @@
 	g.callersWait = g.relay.FirstHeldAt
 	g.meters.Gauge("spanrill_log_lines_dropped", func() float64 { return float64(g.dropped()) })
 	g.meters.Gauge("spanrill_upstream_restarts", func() float64 { return float64(g.fleet.Restarts()) })
-	g.meters.Gauge("spanrill_upstream_rests", func() float64 { return float64(g.fleet.Notices().Rests) })
-	g.meters.Gauge("spanrill_upstream_rests_unreadable", func() float64 { return float64(g.fleet.Notices().Unreadable) })
-	g.meters.Gauge("spanrill_upstreams_said_leaving", func() float64 { return float64(g.fleet.Notices().Leaving) })
-	g.meters.Gauge("spanrill_upstream_limits", func() float64 { return float64(g.fleet.Notices().Limits) })
-	g.meters.Gauge("spanrill_upstream_limits_unreadable", func() float64 { return float64(g.fleet.Notices().UnreadableLimits) })
+	g.meters.Gauge("spanrill_upstream_rests", func() float64 { return float64(g.fleet.NoticeCounts().Rests) })
+	g.meters.Gauge("spanrill_upstream_rests_unreadable", func() float64 { return float64(g.fleet.NoticeCounts().UnreadableRests) })
+	g.meters.Gauge("spanrill_upstreams_said_leaving", func() float64 { return float64(g.fleet.NoticeCounts().Leaving) })
+	g.meters.Gauge("spanrill_upstream_limits", func() float64 { return float64(g.fleet.NoticeCounts().Limits) })
+	g.meters.Gauge("spanrill_upstream_limits_unreadable", func() float64 { return float64(g.fleet.NoticeCounts().UnreadableLimits) })
 	g.meters.Gauge("spanrill_upstreams_limited", func() float64 { return float64(g.fleet.LimitedUpstreams()) })
 	g.meters.Gauge("spanrill_limit_permits_granted", func() float64 { return float64(g.limiter.Granted()) })
 	g.meters.Gauge("spanrill_limit_permits_denied", func() float64 { return float64(g.limiter.Denied()) })
@@ -265,7 +265,7 @@
 	first := follow.WithFirst(g.firstDue)
 	g.configs = follow.New(config, g.clock, configSink{g}, follow.WithDue(g.proofDue), follow.WithAt(g.config.Revision), first, jitter, patience,
 		follow.WithLogger(g.log, "configuration"))
-	g.upstreams = follow.New(upstreams, g.clock, g.fleet, follow.WithDue(g.upstreamsDue), follow.WithAt(g.fleet.At), first, jitter, patience,
+	g.upstreams = follow.New(upstreams, g.clock, g.fleet, follow.WithDue(g.upstreamsDue), follow.WithAt(g.fleet.Revision), first, jitter, patience,
 		follow.WithLimit(g.upstreamsLimit), follow.WithBehind(g.configs), follow.WithLogger(g.log, "upstreams"))
 }
 
@@ -320,7 +320,7 @@
 
 // noteHead takes what an upstream says of itself in an answer, whatever it was asked.
 func (g *Gateway) noteHead(addr string, h *fasthttp.ResponseHeader, took spanrill.Millis) {
-	g.fleet.Notice(addr, g.adapter.Codec.ReadNotice(h), g.clock.Now()-took)
+	g.fleet.HandleNotice(addr, g.adapter.Codec.ReadNotice(h), g.clock.Now()-took)
 }
 
 // targets returns what this daemon is ordering engines to hold.
--- a/gateway/ready.go
+++ b/gateway/ready.go
@@ -30,7 +30,7 @@
 		return fmt.Errorf("configuration was last proved fresh %d ms ago", g.config.Age())
 	}
 	select {
-	case <-g.fleet.Seen():
+	case <-g.fleet.Ready():
 		return nil
 	default:
 		return errors.New("no upstreams seen yet")
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -90,7 +90,7 @@
 // upkeep does what becomes due with time.
 func (g *Gateway) upkeep(ctx context.Context) error {
 	for ctx.Err() == nil {
-		g.fleet.Tend()
+		g.fleet.Maintain()
 		g.prober.Recheck(ctx, g.fleet)
 		g.names.Resolve(ctx, g.fleet)
 		g.noteFreshness()
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -268,13 +268,13 @@
 			return sizePlacerRound
 		})
 		d.every("upkeep", func() spanrill.Millis {
-			d.Gateway.fleet.Tend()
+			d.Gateway.fleet.Maintain()
 			d.prober.Recheck(context.Background(), d.Gateway.fleet)
 			d.names.Resolve(context.Background(), d.Gateway.fleet)
 			return upkeepGap
 		})
 	}
-	if d.ready < 0 && d.config.Table() != nil && d.isFresh() && closed(d.Gateway.fleet.Seen()) {
+	if d.ready < 0 && d.config.Table() != nil && d.isFresh() && closed(d.Gateway.fleet.Ready()) {
 		d.ready = d.Now() - d.starts
 	}
 }
--- a/state/fleet/active.go
+++ b/state/fleet/active.go
@@ -54,7 +54,7 @@
 
 // hasActivity reports whether the upstream has state from requests of this daemon.
 func (u *Upstream) hasActivity(now spanrill.Millis) bool {
-	return u.OwnTokens() != 0 || u.OwnCalls() != 0 || u.dead.Load() || u.pace.Load() > paceUnit || u.RefusedHere(now)
+	return u.OwnTokens() != 0 || u.OwnCalls() != 0 || u.dead.Load() || u.pace.Load() > paceUnit || u.RefusesThisDaemon(now)
 }
 
 // EachActive calls f for every upstream with state from this daemon's own requests: they run there,
--- a/state/fleet/active_test.go
+++ b/state/fleet/active_test.go
@@ -13,7 +13,7 @@
 	now := clock.NewManual()
 	now.Advance(100 * spanrill.Second)
 	t := New(now, nil)
-	k := Knowledge{At: 1, Change: 1}
+	k := Update{Revision: 1, LastChange: 1}
 	for i := range n {
 		id := "e" + string(rune('a'+i/26/26%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i%26))
 		k.Entries = append(k.Entries, spanrill.EngineEntry{ID: id, Service: "s", Addr: id, Revision: 1})
@@ -73,15 +73,15 @@
 // peers.
 func TestRestingUpstreamStaysActiveAfterRestart(t *testing.T) {
 	table, now := manyUpstreams(3)
-	table.Notice("eaab", spanrill.Notice{Rest: 3000}, now.Now())
+	table.HandleNotice("eaab", spanrill.Notice{Rest: 3000}, now.Now())
 	entry := *table.View().ByID("eaab").Entry()
 	entry.Revision, entry.Beats = 5, 1
 	old := entry
 	old.Revision, old.Beats = 4, 9
-	table.Merge(Knowledge{Entries: []spanrill.EngineEntry{old}, At: 4, Change: 4}, now.Now())
-	table.Merge(Knowledge{Entries: []spanrill.EngineEntry{entry}, At: 5, Change: 5}, now.Now())
+	table.Merge(Update{Entries: []spanrill.EngineEntry{old}, Revision: 4, LastChange: 4}, now.Now())
+	table.Merge(Update{Entries: []spanrill.EngineEntry{entry}, Revision: 5, LastChange: 5}, now.Now())
 	refusing := false
-	table.EachActive(func(u *Upstream) { refusing = refusing || u.Name() == "eaab" && u.RefusedHere(now.Now()) })
+	table.EachActive(func(u *Upstream) { refusing = refusing || u.Name() == "eaab" && u.RefusesThisDaemon(now.Now()) })
 	if table.Restarts() != 1 || !refusing {
 		t.Fatalf("%d restarts, want 1; refusing: %t, want true", table.Restarts(), refusing)
 	}
@@ -92,19 +92,19 @@
 func TestUnchangedViewsShareIndexes(t *testing.T) {
 	table, now := manyUpstreams(50)
 	before := table.View()
-	table.Touch()
+	table.RefreshView()
 	entry := *before.ByID("eaab").Entry()
 	entry.Layers, entry.Revision = spanrill.LayerRange{From: 0, To: 4}, 2
 	table.Changed(nil, 2, now.Now())
 	after := table.View()
-	if after.Version() == before.Version() || &after.Of("s")[0] != &before.Of("s")[0] {
-		t.Fatalf("versions %d and %d, want different ones; shared lists: %t, want true", before.Version(), after.Version(), &after.Of("s")[0] == &before.Of("s")[0])
+	if after.Version() == before.Version() || &after.ByService("s")[0] != &before.ByService("s")[0] {
+		t.Fatalf("versions %d and %d, want different ones; shared lists: %t, want true", before.Version(), after.Version(), &after.ByService("s")[0] == &before.ByService("s")[0])
 	}
 	entry.Addr = "moved"
-	table.Merge(Knowledge{Entries: []spanrill.EngineEntry{entry}, At: 3, Change: 3}, now.Now())
+	table.Merge(Update{Entries: []spanrill.EngineEntry{entry}, Revision: 3, LastChange: 3}, now.Now())
 	moved := table.View()
-	if moved.ByAddr("moved") == nil || moved.ByAddr("eaab") != nil || len(moved.Of("s")) != 1 || len(before.Of("s")) != 50 {
-		t.Fatalf("after a change of address: upstream %v at the new one, %d upstreams, want 1", moved.ByAddr("moved"), len(moved.Of("s")))
+	if moved.ByAddr("moved") == nil || moved.ByAddr("eaab") != nil || len(moved.ByService("s")) != 1 || len(before.ByService("s")) != 50 {
+		t.Fatalf("after a change of address: upstream %v at the new one, %d upstreams, want 1", moved.ByAddr("moved"), len(moved.ByService("s")))
 	}
 }
 
@@ -113,7 +113,7 @@
 func TestKeyCollisionFindsNeitherUpstream(t *testing.T) {
 	now := clock.NewManual()
 	table, keys := New(now, nil), map[uint32]int{}
-	k := Knowledge{At: 1, Change: 1}
+	k := Update{Revision: 1, LastChange: 1}
 	for i := range 2922 {
 		id := fmt.Sprintf("i-%010x", i*7919)
 		k.Entries = append(k.Entries, spanrill.EngineEntry{ID: id, Service: "s", Addr: id, Revision: 1})
@@ -137,6 +137,6 @@
 func BenchmarkRefreshView(b *testing.B) {
 	table, _ := manyUpstreams(2922)
 	for b.Loop() {
-		table.Touch()
+		table.RefreshView()
 	}
 }
--- a/state/fleet/available.go
+++ b/state/fleet/available.go
@@ -27,7 +27,7 @@
 // RecordStoreAvailable records that the store answered other daemons from one time to the other
 // without a break. For entries that were removed in this period, the time for which they are held
 // counts from when they were last confirmed.
-func (t *Table) Answered(from, to spanrill.Millis) {
+func (t *Table) RecordStoreAvailable(from, to spanrill.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.storeAvailable.merge(availableSpan{from: from, to: to}, t.unavailableTime)
@@ -40,7 +40,7 @@
 
 // StoreAvailableFor returns for how long the store has answered this daemon or others without a
 // break.
-func (t *Table) AnsweredFor() spanrill.Millis {
+func (t *Table) StoreAvailableFor() spanrill.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.clock.Now() - t.storeAvailable.from
@@ -55,7 +55,7 @@
 // Stale returns the time since the entries were last confirmed, and whether they are too old for
 // sending requests although the store has answered others recently: an upstream may have announced
 // in its entry that it leaves. While the store answers no daemon, the entries stay in use.
-func (t *Table) Behind() (age spanrill.Millis, behind bool) {
+func (t *Table) Stale() (age spanrill.Millis, behind bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
--- a/state/fleet/conflict.go
+++ b/state/fleet/conflict.go
@@ -21,27 +21,27 @@
 }
 
 // AddressConflict is an address that more than one entry has.
-type Claim struct {
+type AddressConflict struct {
 	Addr    string
 	Service string // of the conflicting entry
 	Name    string // of the conflicting entry
 }
 
 // AddressConflicts returns the unresolved conflicts.
-func (t *Table) Claims() []Claim {
+func (t *Table) AddressConflicts() []AddressConflict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var unresolved []Claim
+	var unresolved []AddressConflict
 	for name, c := range t.conflicts {
 		if !c.rejected {
-			unresolved = append(unresolved, Claim{Addr: c.entry.Addr, Service: c.entry.Service, Name: name})
+			unresolved = append(unresolved, AddressConflict{Addr: c.entry.Addr, Service: c.entry.Service, Name: name})
 		}
 	}
 	return unresolved
 }
 
 // ResolveAddress resolves the conflicts at an address whose process has answered with a name.
-func (t *Table) Identified(addr, name string) {
+func (t *Table) ResolveAddress(addr, name string) {
 	defer t.notifyRestarts()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/fleet/conflict_test.go
+++ b/state/fleet/conflict_test.go
@@ -11,7 +11,7 @@
 func TestAddressConflict(t *testing.T) {
 	type step func(t *testing.T, table *Table, now spanrill.Millis)
 	answers := func(name string) step {
-		return func(_ *testing.T, table *Table, _ spanrill.Millis) { table.Identified("1:1", name) }
+		return func(_ *testing.T, table *Table, _ spanrill.Millis) { table.ResolveAddress("1:1", name) }
 	}
 	changes := func(c func(*testing.T) spanrill.Change) step {
 		return func(t *testing.T, table *Table, now spanrill.Millis) { table.Changed([]spanrill.Change{c(t)}, 4, now) }
@@ -29,7 +29,7 @@
 		{"the address answers with the old name, and the old entry changes later", []step{answers("a"), changes(func(t *testing.T) spanrill.Change { return change(item(t, "a", "1:1", 4, false)) })}, "a", 0},
 		{"the old upstream is dead", []step{func(_ *testing.T, table *Table, _ spanrill.Millis) {
 			table.View().ByID("a").SetDead(true)
-			table.Tend()
+			table.Maintain()
 		}}, "c", 0},
 		{"the old entry is removed", []step{changes(func(*testing.T) spanrill.Change { return removal("a") })}, "c", 0},
 		{"the conflicting entry is removed", []step{changes(func(*testing.T) spanrill.Change { return removal("c") })}, "a", 0},
@@ -41,10 +41,10 @@
 			for _, run := range c.steps {
 				run(t, table, manual.Now())
 			}
-			if u := table.View().ByAddr("1:1"); u == nil || u.Name() != c.want || !u.Takes() {
+			if u := table.View().ByAddr("1:1"); u == nil || u.Name() != c.want || !u.AcceptsRequests() {
 				t.Errorf("upstream %v at the address, want %s, accepting requests", u, c.want)
 			}
-			if open := table.Claims(); len(open) != c.unresolved {
+			if open := table.AddressConflicts(); len(open) != c.unresolved {
 				t.Errorf("unresolved conflicts %v, want %d", open, c.unresolved)
 			}
 			if table.View().ByID("b") == nil {
@@ -65,8 +65,8 @@
 	if u == nil || u.Name() != "c" || table.View().ByID("a") != nil {
 		t.Fatalf("upstream %v at the address, want c", u)
 	}
-	table.Identified("1:1", "c")
-	if len(table.Claims()) > 0 || table.View().ByAddr("1:1") != u {
+	table.ResolveAddress("1:1", "c")
+	if len(table.AddressConflicts()) > 0 || table.View().ByAddr("1:1") != u {
 		t.Fatal("the conflict is unresolved, or the upstream at the address was replaced")
 	}
 }
@@ -77,11 +77,11 @@
 	table, manual := newTable(t)
 	b := table.View().ByID("b")
 	table.Changed([]spanrill.Change{change(item(t, "a", "1:2", 3, false))}, 3, manual.Now())
-	if table.View().ByID("a") != nil || table.View().ByAddr("1:2") != b || !b.Takes() {
+	if table.View().ByID("a") != nil || table.View().ByAddr("1:2") != b || !b.AcceptsRequests() {
 		t.Fatal("the entry was applied before the address answered")
 	}
-	table.Identified("1:2", "a")
-	if u := table.View().ByAddr("1:2"); u == nil || u.Name() != "a" || b.Takes() {
+	table.ResolveAddress("1:2", "a")
+	if u := table.View().ByAddr("1:2"); u == nil || u.Name() != "a" || b.AcceptsRequests() {
 		t.Fatal("the entry was not applied after the address answered with its name")
 	}
 }
@@ -92,8 +92,8 @@
 	peer, manual := newTable(t)
 	peer.Changed([]spanrill.Change{change(item(t, "c", "1:1", 3, false))}, 3, manual.Now())
 	table, _ := newTable(t)
-	table.Merge(peer.Knowledge(), manual.Now())
-	if open := table.Claims(); len(open) != 1 || open[0] != (Claim{Addr: "1:1", Service: "s", Name: "c"}) {
+	table.Merge(peer.FullUpdate(), manual.Now())
+	if open := table.AddressConflicts(); len(open) != 1 || open[0] != (AddressConflict{Addr: "1:1", Service: "s", Name: "c"}) {
 		t.Fatalf("unresolved conflicts %v, want that of c", open)
 	}
 }
@@ -115,18 +115,18 @@
 		{"from a peer", func(t *testing.T, table *Table, now spanrill.Millis) {
 			peer, _ := newTable(t)
 			peer.Changed([]spanrill.Change{change(bad)}, 3, now)
-			table.Merge(peer.Knowledge(), now)
+			table.Merge(peer.FullUpdate(), now)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, manual := newTable(t)
-			table.NoteOutage()
+			table.RecordStoreFailure()
 			before := table.View().ByID("a")
 			c.hears(t, table, manual.Now())
-			if table.View().ByID("a") != nil || table.View().ByAddr("1:1") != nil || before.Takes() || table.View().ByID("b") == nil {
+			if table.View().ByID("a") != nil || table.View().ByAddr("1:1") != nil || before.AcceptsRequests() || table.View().ByID("b") == nil {
 				t.Fatal("the upstream with the unreadable entry is in use, or the other one is not")
 			}
-			if before.Dead() || len(table.Departed()) != 1 {
+			if before.Dead() || len(table.RecentlyRemoved()) != 1 {
 				t.Error("the upstream is dead or not among the recently removed ones")
 			}
 			if now, _ := table.Unreadable(); now != 1 {
--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -130,13 +130,13 @@
 }
 
 // Ready returns a channel that is closed once all entries have been received.
-func (t *Table) Seen() <-chan struct{} { return t.ready }
+func (t *Table) Ready() <-chan struct{} { return t.ready }
 
 // View returns the current view.
 func (t *Table) View() *View { return t.view.Load() }
 
 // RecordStoreFailure records that a call to the store has failed.
-func (t *Table) NoteOutage() { t.lastStoreFailure.Store(int64(t.clock.Now())) }
+func (t *Table) RecordStoreFailure() { t.lastStoreFailure.Store(int64(t.clock.Now())) }
 
 // applyEntry adds or updates the upstream of an entry. Entries of ended incarnations and entries
 // older than the known one are ignored. The caller holds the lock.
@@ -241,7 +241,7 @@
 }
 
 // RefreshView publishes a view with a new version after the health of an upstream has changed.
-func (t *Table) Touch() {
+func (t *Table) RefreshView() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.publishView()
--- a/state/fleet/fleet_test.go
+++ b/state/fleet/fleet_test.go
@@ -63,14 +63,14 @@
 			table, manual := newTable(t)
 			manual.Advance(c.confirmedAge - max(0, c.outage))
 			if c.outage >= 0 {
-				table.NoteOutage()
+				table.RecordStoreFailure()
 				manual.Advance(c.outage)
 			}
 			table.Changed([]spanrill.Change{removal("a")}, 3, manual.Now())
 			manual.Advance(c.after)
-			table.Tend()
+			table.Maintain()
 			u := table.View().ByID("a")
-			if got := u != nil && u.Takes(); got != c.want {
+			if got := u != nil && u.AcceptsRequests(); got != c.want {
 				t.Fatalf("accepts requests: %t, want %t", got, c.want)
 			}
 		})
@@ -81,7 +81,7 @@
 func TestLeavingEntryIsNotHeld(t *testing.T) {
 	table, manual := newTable(t)
 	table.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 3, true)}}, 3, manual.Now())
-	table.NoteOutage()
+	table.RecordStoreFailure()
 	table.Changed([]spanrill.Change{removal("a")}, 4, manual.Now())
 	if table.View().ByID("a") != nil {
 		t.Fatal("the leaving upstream is still in the view")
@@ -95,21 +95,21 @@
 	peer.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 7, true)}}, 7, 0)
 	table, manual := newTable(t)
 	manual.Advance(1000)
-	if table.Prove(7, 7, manual.Now()) {
+	if table.ConfirmUnchanged(7, 7, manual.Now()) {
 		t.Fatal("a change that is not known here was confirmed")
 	}
-	if !table.Merge(peer.Knowledge(), manual.Now()) || table.View().ByID("a").Takes() {
+	if !table.Merge(peer.FullUpdate(), manual.Now()) || table.View().ByID("a").AcceptsRequests() {
 		t.Fatal("the leaving upstream still accepts requests")
 	}
-	if !table.Prove(9, 7, manual.Now()) {
+	if !table.ConfirmUnchanged(9, 7, manual.Now()) {
 		t.Fatal("a revision without later changes was not confirmed")
 	}
 	old, _ := newTable(t)
-	if table.Merge(old.Knowledge(), manual.Now()) || table.View().ByID("a").Takes() {
+	if table.Merge(old.FullUpdate(), manual.Now()) || table.View().ByID("a").AcceptsRequests() {
 		t.Fatal("an older update replaced a newer one")
 	}
 	table.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 2, false)}}, 3, manual.Now())
-	if table.View().ByID("a").Takes() {
+	if table.View().ByID("a").AcceptsRequests() {
 		t.Fatal("an older answer of the store replaced a newer update")
 	}
 }
@@ -154,10 +154,10 @@
 		}
 		last, now = wait, now+wait
 	}
-	if u.Accepted(now - last - 1); !u.Refusing(now - 1) {
+	if u.Accepted(now - last - 1); !u.RefusesPersistently(now - 1) {
 		t.Fatal("a request sent before the last refusal ended the avoidance")
 	}
-	if u.Accepted(now); u.Refusing(now-1) || u.Avoided(now-1) {
+	if u.Accepted(now); u.RefusesPersistently(now-1) || u.Avoided(now-1) {
 		t.Fatal("the upstream is still avoided after it accepted a request")
 	}
 }
@@ -167,7 +167,7 @@
 func TestProgressDoesNotEndRefusal(t *testing.T) {
 	u := newTestUpstream(spanrill.EngineEntry{}, 0)
 	u.Refused(100, true)
-	if u.Worked(110); !u.Avoided(120) {
+	if u.RecordProgress(110); !u.Avoided(120) {
 		t.Fatal("a running stream ended the avoidance")
 	}
 }
@@ -185,13 +185,13 @@
 // would take them for confirmed and send requests to an upstream that has left.
 func TestHeldEntriesAreNotSentToPeers(t *testing.T) {
 	peer, manual := newTable(t)
-	peer.NoteOutage()
+	peer.RecordStoreFailure()
 	peer.Changed([]spanrill.Change{removal("a")}, 3, manual.Now())
-	if u := peer.View().ByID("a"); u == nil || !u.Takes() {
+	if u := peer.View().ByID("a"); u == nil || !u.AcceptsRequests() {
 		t.Fatal("the entry was not held")
 	}
 	table, _ := newTable(t)
-	if !table.Merge(peer.Knowledge(), 0) || table.View().ByID("a") != nil {
+	if !table.Merge(peer.FullUpdate(), 0) || table.View().ByID("a") != nil {
 		t.Fatal("the upstream that has left is still in the view")
 	}
 	if table.View().ByID("b") == nil {
@@ -204,11 +204,11 @@
 // the time counts from the last confirmation.
 func TestLateNewsOfRemoval(t *testing.T) {
 	table, manual := newTable(t)
-	table.NoteOutage()
+	table.RecordStoreFailure()
 	manual.Advance(holdTime + 100)
-	table.NoteOutage()
-	table.Merge(Knowledge{Entries: []spanrill.EngineEntry{{ID: "b", Addr: "1:2"}}, At: 3, Change: 3}, 600)
-	table.Tend()
+	table.RecordStoreFailure()
+	table.Merge(Update{Entries: []spanrill.EngineEntry{{ID: "b", Addr: "1:2"}}, Revision: 3, LastChange: 3}, 600)
+	table.Maintain()
 	if u := table.View().ByID("a"); u != nil {
 		t.Fatalf("the upstream accepts requests %d ms after the last confirmation", manual.Now())
 	}
@@ -218,12 +218,12 @@
 // update from a peer.
 func TestOldChangesRestoreNothing(t *testing.T) {
 	table, manual := newTable(t)
-	table.NoteOutage()
+	table.RecordStoreFailure()
 	manual.Advance(1000)
-	table.Merge(Knowledge{Entries: []spanrill.EngineEntry{{ID: "b", Addr: "1:2"}}, At: 8, Change: 7}, 900)
+	table.Merge(Update{Entries: []spanrill.EngineEntry{{ID: "b", Addr: "1:2"}}, Revision: 8, LastChange: 7}, 900)
 	table.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 5, false)}, removal("a")}, 9, 950)
 	manual.Advance(holdTime - 1000)
-	table.Tend()
+	table.Maintain()
 	if table.View().ByID("a") != nil {
 		t.Fatal("the hold time counts from when a later read was sent")
 	}
@@ -246,10 +246,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			table, manual := newTable(t)
 			manual.Advance(unheard)
-			table.NoteOutage()
+			table.RecordStoreFailure()
 			table.Changed([]spanrill.Change{removal("a")}, 3, manual.Now())
-			table.Answered(c.from, c.to)
-			table.Tend()
+			table.RecordStoreAvailable(c.from, c.to)
+			table.Maintain()
 			if got := table.View().ByID("a") != nil; got != c.want {
 				t.Fatalf("in the view: %t, want %t", got, c.want)
 			}
@@ -263,7 +263,7 @@
 	table, manual := newTable(t)
 	before := table.View().ByID("a")
 	table.Changed([]spanrill.Change{removal("a"), {Item: item(t, "a", "1:1", 5, false)}}, 5, manual.Now())
-	if u := table.View().ByID("a"); u != before || !u.Takes() {
+	if u := table.View().ByID("a"); u != before || !u.AcceptsRequests() {
 		t.Fatal("the upstream was replaced, or accepts no requests")
 	}
 }
--- a/state/fleet/incarnation_test.go
+++ b/state/fleet/incarnation_test.go
@@ -32,12 +32,12 @@
 	u.SetTarget(&Target{Layers: spanrill.LayerRange{To: 8}, Done: true})
 	u.Reserve(900)
 	u.Begin()
-	u.SetPeers(500, 2)
+	u.SetPeerLoad(500, 2)
 	u.Refused(c.Now(), true)
-	u.Failed(c.Now())
+	u.RecordFailure(c.Now())
 	u.Avoid(c.Now() + spanrill.Minute)
 	u.SetPace(3)
-	u.NoteLag(c.Now(), 5)
+	u.RecordLag(c.Now(), 5)
 	return table, c, u
 }
 
@@ -49,10 +49,10 @@
 	if u == nil || u == before || u.ID() == before.ID() || u.Name() != "a" {
 		t.Fatalf("upstream %v at the address, want a new incarnation of a", u)
 	}
-	if u.Layers().Len() != held || u.Target() != nil || u.Tokens() != 0 || u.Calls() != 0 || u.Avoided(now) || u.Slow() || u.Risk(now) != 0 || u.Lag(now) != 1 || u.Dead() {
-		t.Errorf("state of the previous incarnation remains: layers %v, target %v, tokens %d, calls %d, risk %v", u.Layers(), u.Target(), u.Tokens(), u.Calls(), u.Risk(now))
+	if u.Layers().Len() != held || u.Target() != nil || u.Tokens() != 0 || u.Calls() != 0 || u.Avoided(now) || u.Slow() || u.FailureRate(now) != 0 || u.Lag(now) != 1 || u.Dead() {
+		t.Errorf("state of the previous incarnation remains: layers %v, target %v, tokens %d, calls %d, risk %v", u.Layers(), u.Target(), u.Tokens(), u.Calls(), u.FailureRate(now))
 	}
-	if !before.Dead() || before.Takes() || table.View().ByID(before.ID()) != nil {
+	if !before.Dead() || before.AcceptsRequests() || table.View().ByID(before.ID()) != nil {
 		t.Error("the previous incarnation has not ended")
 	}
 	before.SetDead(false)
@@ -87,11 +87,11 @@
 	case "peer":
 		peer := New(table.clock, decode)
 		peer.Listed([]spanrill.Item{entry}, entry.Revision, now)
-		table.Merge(peer.Knowledge(), now)
+		table.Merge(peer.FullUpdate(), now)
 	case "gone":
 		table.Changed([]spanrill.Change{removal("a")}, entry.Revision, now)
 	case "outage":
-		table.NoteOutage()
+		table.RecordStoreFailure()
 	case "report":
 		table.HandleReport("1:1", &spanrill.EngineReport{Born: o.born, Sequence: o.count}, now+o.at)
 	}
--- a/state/fleet/limit.go
+++ b/state/fleet/limit.go
@@ -100,8 +100,8 @@
 	return KnownLimit{Upstream: u.Key(), Limit: l.RateLimit, At: l.receivedAt}
 }
 
-// TakeLimit stores a limit received from another daemon if it is newer than the known one.
-func (t *Table) TakeLimit(known KnownLimit) {
+// MergeLimit stores a limit received from another daemon if it is newer than the known one.
+func (t *Table) MergeLimit(known KnownLimit) {
 	rate := known.Limit.PerSecond
 	if math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
 		return
--- a/state/fleet/limit_test.go
+++ b/state/fleet/limit_test.go
@@ -35,7 +35,7 @@
 			table, clock := newTable(t)
 			for _, a := range c.answers {
 				clock.Advance(100)
-				table.Notice("1:1", a.notice, clock.Now()-a.callDuration)
+				table.HandleNotice("1:1", a.notice, clock.Now()-a.callDuration)
 			}
 			if got := table.View().ByID("a").Limit(); got != c.want {
 				t.Errorf("limit %+v, want %+v", got, c.want)
@@ -48,7 +48,7 @@
 func TestLimitOutlivesRestart(t *testing.T) {
 	table, c := newTable(t)
 	limit := spanrill.RateLimit{Set: true, PerSecond: 2}
-	table.Notice("1:1", spanrill.Notice{Limit: limit}, c.Now())
+	table.HandleNotice("1:1", spanrill.Notice{Limit: limit}, c.Now())
 	table.HandleReport("1:1", &spanrill.EngineReport{Sequence: 5}, c.Now())
 	c.Advance(10)
 	table.HandleReport("1:1", &spanrill.EngineReport{Sequence: 1}, c.Now())
--- a/state/fleet/loglimit_test.go
+++ b/state/fleet/loglimit_test.go
@@ -12,12 +12,12 @@
 )
 
 // foundUpstreams returns a logger, its output and an update with n upstreams.
-func foundUpstreams(n int) (*logrus.Logger, *strings.Builder, Knowledge) {
+func foundUpstreams(n int) (*logrus.Logger, *strings.Builder, Update) {
 	out := &strings.Builder{}
 	log := logrus.New()
 	log.SetFormatter(&logrus.JSONFormatter{})
 	log.SetOutput(out)
-	k := Knowledge{At: 1, Change: 1}
+	k := Update{Revision: 1, LastChange: 1}
 	for i := range n {
 		id := fmt.Sprintf("i-%010x", i)
 		k.Entries = append(k.Entries, spanrill.EngineEntry{ID: id, Service: "s", Addr: id + ":1", Zone: "z", Kind: "card", Revision: 1})
@@ -38,7 +38,7 @@
 	}
 	now.Advance(spanrill.Second)
 	k.Entries = append(k.Entries, spanrill.EngineEntry{ID: "one more", Service: "s", Addr: "x:1", Revision: 2})
-	k.At = 2
+	k.Revision = 2
 	table.Merge(k, now.Now())
 	if want := fmt.Sprintf(`"skipped_before":%d`, 1000-maxLinesPerSecond); !strings.Contains(out.String(), want) {
 		t.Fatalf("no line states that %d were left out", 1000-maxLinesPerSecond)
--- a/state/fleet/notice.go
+++ b/state/fleet/notice.go
@@ -67,7 +67,7 @@
 // NoticeCounts holds the number of notices of each kind from all upstreams.
 type NoticeCounts struct {
 	Rests      uint64 // requests for rest
-	Unreadable uint64 // of these, with an invalid time
+	UnreadableRests uint64 // of these, with an invalid time
 	Leaving    uint64 // upstreams that announced that they leave
 	Limits     uint64 // rate limits that were set or changed
 
@@ -80,10 +80,10 @@
 }
 
 // NoticeCounts returns the number of notices received so far.
-func (t *Table) Notices() NoticeCounts {
+func (t *Table) NoticeCounts() NoticeCounts {
 	c := &t.noticeCounts
 	return NoticeCounts{
-		Rests: c.rests.Load(), Unreadable: c.unreadable.Load(), Leaving: c.leaving.Load(),
+		Rests: c.rests.Load(), UnreadableRests: c.unreadable.Load(), Leaving: c.leaving.Load(),
 		Limits: c.limits.Load(), UnreadableLimits: c.unreadableLimits.Load(),
 	}
 }
@@ -91,7 +91,7 @@
 // HandleNotice applies a notice that the upstream at an address sent in an answer to a call begun at
 // the time given. If the upstream has had the address for a shorter time, the answer is from the
 // previous upstream at the address and is ignored.
-func (t *Table) Notice(addr string, n spanrill.Notice, begun spanrill.Millis) {
+func (t *Table) HandleNotice(addr string, n spanrill.Notice, begun spanrill.Millis) {
 	if n.Empty() && !t.addrHasLimit(addr) {
 		return
 	}
@@ -124,7 +124,7 @@
 	now := t.clock.Now()
 	t.noticeCounts.rests.Add(1)
 	u.notices.requestRest(n, now)
-	events.UpstreamRests.Log(t.log, logrus.Fields{"upstream": u.ID(), "rest_ms": n.Rest, "left_ms": u.RestLeft(now)})
+	events.UpstreamRests.Log(t.log, logrus.Fields{"upstream": u.ID(), "rest_ms": n.Rest, "left_ms": u.RestRemaining(now)})
 }
 
 // upstreamAt returns the upstream at an address, including one that was removed recently and may
@@ -183,20 +183,20 @@
 // Reasons why no request may be sent to an upstream now.
 var (
 	// ErrResting means that the upstream has asked this daemon for rest.
-	ErrRests = errors.New("the upstream has asked for rest")
+	ErrResting = errors.New("the upstream has asked for rest")
 	// ErrLeaving means that the upstream leaves or that its entry was removed.
-	ErrLeaves = errors.New("the upstream is leaving or was removed")
+	ErrLeaving = errors.New("the upstream is leaving or was removed")
 )
 
 // CheckSend returns the reason why no request may be sent to the upstream now, or nil. It is called
 // on an open connection just before the first byte is sent, since opening one takes up to 350 ms, in
 // which the upstream may ask for rest or leave.
-func (u *Upstream) MaySend(now spanrill.Millis) error {
+func (u *Upstream) CheckSend(now spanrill.Millis) error {
 	switch {
-	case !u.TakesAt(now):
-		return ErrLeaves
-	case u.Rests(now):
-		return ErrRests
+	case !u.AcceptsRequestsAt(now):
+		return ErrLeaving
+	case u.Resting(now):
+		return ErrResting
 	case u.LimitWait(now) > 0:
 		return ErrLimited
 	}
@@ -204,10 +204,10 @@
 }
 
 // Resting reports whether a rest that the upstream has asked this daemon for is not over yet.
-func (u *Upstream) Rests(now spanrill.Millis) bool { return u.RestLeft(now) > 0 }
+func (u *Upstream) Resting(now spanrill.Millis) bool { return u.RestRemaining(now) > 0 }
 
 // RestRemaining returns how much longer the upstream wants no requests, or 0.
-func (u *Upstream) RestLeft(now spanrill.Millis) spanrill.Millis {
+func (u *Upstream) RestRemaining(now spanrill.Millis) spanrill.Millis {
 	r := u.notices.rest.Load()
 	if r == nil {
 		return 0
@@ -216,7 +216,7 @@
 }
 
 // RestElapsed returns how long ago the current rest of the upstream began, or 0 without a rest.
-func (u *Upstream) RestedFor(now spanrill.Millis) spanrill.Millis {
+func (u *Upstream) RestElapsed(now spanrill.Millis) spanrill.Millis {
 	r := u.notices.rest.Load()
 	if r == nil || now >= r.until {
 		return 0
@@ -225,7 +225,7 @@
 }
 
 // AnnouncedLeaving reports whether the upstream has announced in an answer that it leaves.
-func (u *Upstream) SaidLeaving() bool { return u.notices.leaving.Load() }
+func (u *Upstream) AnnouncedLeaving() bool { return u.notices.leaving.Load() }
 
 // Leaving reports whether the upstream leaves, according to its entry or an answer.
-func (u *Upstream) Leaving() bool { return u.Entry().Leaving || u.SaidLeaving() }
+func (u *Upstream) Leaving() bool { return u.Entry().Leaving || u.AnnouncedLeaving() }
--- a/state/fleet/notice_test.go
+++ b/state/fleet/notice_test.go
@@ -33,18 +33,18 @@
 			for _, at := range []spanrill.Millis{0, 200} {
 				clock.Advance(start + at - clock.Now())
 				if n, ok := c.notices[at]; ok {
-					table.Notice("1:1", n, clock.Now())
+					table.HandleNotice("1:1", n, clock.Now())
 				}
 			}
 			for _, at := range c.at {
-				if err := u.MaySend(start + at); !errors.Is(err, ErrRests) {
-					t.Errorf("at %d ms: %v, want %v", at, err, ErrRests)
+				if err := u.CheckSend(start + at); !errors.Is(err, ErrResting) {
+					t.Errorf("at %d ms: %v, want %v", at, err, ErrResting)
 				}
 			}
-			if err := u.MaySend(start + max(c.ends, 200)); err != nil {
+			if err := u.CheckSend(start + max(c.ends, 200)); err != nil {
 				t.Errorf("after the rest: %v", err)
 			}
-			if err := table.View().ByID("b").MaySend(start + 1); err != nil {
+			if err := table.View().ByID("b").CheckSend(start + 1); err != nil {
 				t.Errorf("another upstream: %v", err)
 			}
 		})
@@ -56,7 +56,7 @@
 func noticedTable(t *testing.T) (*Table, *clock.Manual) {
 	t.Helper()
 	table, c := newTable(t)
-	table.Notice("1:1", spanrill.Notice{Rest: 3000, Leaving: true}, c.Now())
+	table.HandleNotice("1:1", spanrill.Notice{Rest: 3000, Leaving: true}, c.Now())
 	return table, c
 }
 
@@ -87,10 +87,10 @@
 			if u == nil {
 				t.Fatalf("no upstream %s", c.id)
 			}
-			if u.Rests(clock.Now()) != c.rests || u.Leaving() != c.leaving {
-				t.Errorf("resting %t, leaving %t, want %t, %t", u.Rests(clock.Now()), u.Leaving(), c.rests, c.leaving)
+			if u.Resting(clock.Now()) != c.rests || u.Leaving() != c.leaving {
+				t.Errorf("resting %t, leaving %t, want %t, %t", u.Resting(clock.Now()), u.Leaving(), c.rests, c.leaving)
 			}
-			if got := u.MaySend(clock.Now()) == nil; got != !(c.rests || c.leaving) {
+			if got := u.CheckSend(clock.Now()) == nil; got != !(c.rests || c.leaving) {
 				t.Errorf("requests may be sent: %t, want the opposite", got)
 			}
 		})
@@ -101,7 +101,7 @@
 // is kept: a restart detected by mistake would otherwise end it early, and it is over in seconds.
 func TestNoticesAfterRestart(t *testing.T) {
 	table, c := newTable(t)
-	table.Notice("1:1", spanrill.Notice{Rest: 3000, Leaving: true}, c.Now())
+	table.HandleNotice("1:1", spanrill.Notice{Rest: 3000, Leaving: true}, c.Now())
 	table.HandleReport("1:1", &spanrill.EngineReport{Sequence: 5}, c.Now())
 	c.Advance(10)
 	table.HandleReport("1:1", &spanrill.EngineReport{Sequence: 1}, c.Now())
@@ -109,8 +109,8 @@
 	if u.ID() == "a" {
 		t.Fatal("the restart was not detected")
 	}
-	if u.Leaving() || !u.Rests(c.Now()) {
-		t.Errorf("leaving %t, resting %t, want false and true", u.Leaving(), u.Rests(c.Now()))
+	if u.Leaving() || !u.Resting(c.Now()) {
+		t.Errorf("leaving %t, resting %t, want false and true", u.Leaving(), u.Resting(c.Now()))
 	}
 }
 
@@ -133,12 +133,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			manual := clock.NewManual()
 			table := New(manual, decode)
-			table.Merge(Knowledge{Entries: []spanrill.EngineEntry{c.first}, At: 1, Change: 1}, 0)
+			table.Merge(Update{Entries: []spanrill.EngineEntry{c.first}, Revision: 1, LastChange: 1}, 0)
 			manual.Advance(100 * spanrill.Second)
-			table.Notice("1:1", spanrill.Notice{Leaving: true}, manual.Now())
-			table.Merge(Knowledge{At: 2, Change: 2}, manual.Now())
+			table.HandleNotice("1:1", spanrill.Notice{Leaving: true}, manual.Now())
+			table.Merge(Update{Revision: 2, LastChange: 2}, manual.Now())
 			manual.Advance(2 * serveAfterRemoval)
-			table.Merge(Knowledge{Entries: []spanrill.EngineEntry{c.then}, At: 3, Change: 3}, manual.Now())
+			table.Merge(Update{Entries: []spanrill.EngineEntry{c.then}, Revision: 3, LastChange: 3}, manual.Now())
 			if u := table.View().ByAddr("1:1"); u == nil || u.Leaving() != c.leaves {
 				t.Errorf("upstream %v, want one with leaving %t", u, c.leaves)
 			}
@@ -153,12 +153,12 @@
 	begun := c.Now()
 	c.Advance(50)
 	table.Changed([]spanrill.Change{removal("a"), {Item: item(t, "c", "1:1", 6, false)}}, 6, c.Now())
-	table.Notice("1:1", spanrill.Notice{Rest: 3000, Leaving: true}, begun)
-	if u := table.View().ByID("c"); u == nil || u.MaySend(c.Now()) != nil {
+	table.HandleNotice("1:1", spanrill.Notice{Rest: 3000, Leaving: true}, begun)
+	if u := table.View().ByID("c"); u == nil || u.CheckSend(c.Now()) != nil {
 		t.Errorf("the notice of the previous upstream applies to the current one: %v", u)
 	}
-	table.Notice("1:1", spanrill.Notice{Rest: 3000}, c.Now())
-	if u := table.View().ByID("c"); !u.Rests(c.Now()) {
+	table.HandleNotice("1:1", spanrill.Notice{Rest: 3000}, c.Now())
+	if u := table.View().ByID("c"); !u.Resting(c.Now()) {
 		t.Error("the notice of the current upstream was ignored")
 	}
 }
@@ -171,7 +171,7 @@
 		revision++
 		id := string(rune('A'+i%26)) + string(rune('0'+i/26%10)) + string(rune(0x100+i))
 		table.Changed([]spanrill.Change{{Item: item(t, id, "2:1", revision, false)}}, revision, c.Now())
-		table.Notice("2:1", spanrill.Notice{Leaving: true}, c.Now())
+		table.HandleNotice("2:1", spanrill.Notice{Leaving: true}, c.Now())
 		revision++
 		table.Changed([]spanrill.Change{removal(id)}, revision, c.Now())
 	}
--- a/state/fleet/refusal.go
+++ b/state/fleet/refusal.go
@@ -55,7 +55,7 @@
 }
 
 // RefusalReported records that another daemon has reported that the upstream refuses new requests.
-func (u *Upstream) Told(now spanrill.Millis) {
+func (u *Upstream) RefusalReported(now spanrill.Millis) {
 	if !u.Avoided(now) {
 		u.refusal.unexplained.Store(true)
 		u.refusal.avoidFor(now, reportedRefusalWait)
@@ -64,20 +64,20 @@
 
 // RefusesPersistently reports whether the upstream has recently refused new requests, and not only
 // because it was briefly full.
-func (u *Upstream) Refusing(now spanrill.Millis) bool {
+func (u *Upstream) RefusesPersistently(now spanrill.Millis) bool {
 	r := &u.refusal
 	return r.inEffect(now) && (r.unexplained.Load() || r.consecutive.Load() >= persistentRefusals)
 }
 
 // LastRefusalAt returns when the upstream last refused a request of this daemon.
-func (u *Upstream) RefusedAt() spanrill.Millis { return spanrill.Millis(u.refusal.lastHereAt.Load()) }
+func (u *Upstream) LastRefusalAt() spanrill.Millis { return spanrill.Millis(u.refusal.lastHereAt.Load()) }
 
 // RefusesThisDaemon reports whether the upstream refuses requests, rests or leaves according to its
 // answers to this daemon. A rest is requested from a single daemon, and an announcement that
 // the upstream leaves may have reached only this one. Other daemons may still send requests to it,
 // but prefer other upstreams.
-func (u *Upstream) RefusedHere(now spanrill.Millis) bool {
-	return u.refusal.consecutive.Load() > 0 && u.Refusing(now) || u.Rests(now) || u.SaidLeaving()
+func (u *Upstream) RefusesThisDaemon(now spanrill.Millis) bool {
+	return u.refusal.consecutive.Load() > 0 && u.RefusesPersistently(now) || u.Resting(now) || u.AnnouncedLeaving()
 }
 
 // Accepted records that the upstream processes a request that was sent at the given time. If that
--- a/state/fleet/removals_test.go
+++ b/state/fleet/removals_test.go
@@ -66,10 +66,10 @@
 }
 
 // normalized returns an update in a form that can be compared: sorted and without Change.
-func normalized(k Knowledge) Knowledge {
+func normalized(k Update) Update {
 	slices.SortFunc(k.Entries, func(a, b spanrill.EngineEntry) int { return strings.Compare(a.ID, b.ID) })
 	slices.Sort(k.Unreadable)
-	k.Change = 0
+	k.LastChange = 0
 	return k
 }
 
@@ -96,19 +96,19 @@
 			switch n := random.Intn(12); {
 			case n == 0: // the store no longer has the changes
 				from.Listed(store.list(), store.at, now.Now())
-			case n < 5 && from.At() > 0:
-				from.Changed(store.after(from.At()), store.at, now.Now())
+			case n < 5 && from.Revision() > 0:
+				from.Changed(store.after(from.Revision()), store.at, now.Now())
 			case n < 11 && from != to:
 				from = tables[random.Intn(len(tables))]
-				k := from.KnowledgeAfter(to.At())
-				if k.After > 0 {
+				k := from.UpdateSince(to.Revision())
+				if k.Since > 0 {
 					partial++
 				} else {
 					full++
 				}
 				merged := to.Merge(k, now.Now())
-				if got, want := normalized(to.Knowledge()), normalized(from.Knowledge()); merged && from != to && !reflect.DeepEqual(got, want) {
-					t.Fatalf("seed %d, step %d: update since %d\n got %+v\nwant %+v", seed, step, k.After, got, want)
+				if got, want := normalized(to.FullUpdate()), normalized(from.FullUpdate()); merged && from != to && !reflect.DeepEqual(got, want) {
+					t.Fatalf("seed %d, step %d: update since %d\n got %+v\nwant %+v", seed, step, k.Since, got, want)
 				}
 			}
 		}
@@ -128,8 +128,8 @@
 		table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: fmt.Sprint("e", i), Revision: i + 2}, Gone: true}}, i+2, now.Now())
 	}
 	for _, c := range []struct{ after, want uint64 }{{0, 0}, {1, 0}, {maxKeptRemovals, 0}, {maxKeptRemovals + 2, maxKeptRemovals + 2}, {maxKeptRemovals + 9, 0}} {
-		if k := table.KnowledgeAfter(c.after); k.After != c.want || k.After == 0 && len(k.Entries) != 1 {
-			t.Errorf("update since %d: starts at %d, with %d entries", c.after, k.After, len(k.Entries))
+		if k := table.UpdateSince(c.after); k.Since != c.want || k.Since == 0 && len(k.Entries) != 1 {
+			t.Errorf("update since %d: starts at %d, with %d entries", c.after, k.Since, len(k.Entries))
 		}
 	}
 }
--- a/state/fleet/removed.go
+++ b/state/fleet/removed.go
@@ -65,7 +65,7 @@
 
 // RecentlyRemoved returns the upstreams whose entries were removed recently. Unless they have
 // crashed, they still serve their running requests.
-func (t *Table) Departed() []*Upstream {
+func (t *Table) RecentlyRemoved() []*Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var removed []*Upstream
@@ -98,7 +98,7 @@
 
 // Maintain removes upstreams whose entries were held for the full time, and adds those of
 // quarantined and conflicting entries that may now be used. It is to be called regularly.
-func (t *Table) Tend() {
+func (t *Table) Maintain() {
 	defer t.notifyRestarts()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/fleet/restored_test.go
+++ b/state/fleet/restored_test.go
@@ -52,15 +52,15 @@
 			clock.Advance(1000)
 			starts := table.Restarts()
 			table.Listed(listItems(t, 2, c.after...), spanrill.RevisionOf(2, 60), clock.Now())
-			if table.At() != spanrill.RevisionOf(2, 60) {
-				t.Fatalf("revision %d of the table", table.At())
+			if table.Revision() != spanrill.RevisionOf(2, 60) {
+				t.Fatalf("revision %d of the table", table.Revision())
 			}
 			u := table.View().ByAddr("1:1")
 			if (u != nil) != c.present {
 				t.Fatalf("present: %t, want %t", u != nil, c.present)
 			}
-			if u != nil && u.TakesAt(clock.Now()) != c.takes {
-				t.Errorf("takes requests: %t, want %t", u.TakesAt(clock.Now()), c.takes)
+			if u != nil && u.AcceptsRequestsAt(clock.Now()) != c.takes {
+				t.Errorf("takes requests: %t, want %t", u.AcceptsRequestsAt(clock.Now()), c.takes)
 			}
 			if again := table.Restarts() > starts; again != c.restarts {
 				t.Errorf("restart detected: %t, want %t", again, c.restarts)
@@ -105,12 +105,12 @@
 				c.then(table, clock.Now())
 			}
 			clock.Advance(c.wait)
-			table.Tend()
+			table.Maintain()
 			u := table.View().ByID("a")
-			if uses := u != nil && u.TakesAt(clock.Now()); uses != c.wantUsed {
+			if uses := u != nil && u.AcceptsRequestsAt(clock.Now()); uses != c.wantUsed {
 				t.Errorf("used: %t, want %t", uses, c.wantUsed)
 			}
-			if listed := len(table.Knowledge().Entries) > 0; listed != c.wantListed {
+			if listed := len(table.FullUpdate().Entries) > 0; listed != c.wantListed {
 				t.Errorf("sent to peers: %t, want %t", listed, c.wantListed)
 			}
 		})
@@ -121,7 +121,7 @@
 func TestMergeFromEarlierEra(t *testing.T) {
 	table, clock := newTable(t)
 	table.Listed(listItems(t, 2, listedEntry{"a", "1:1", 10, 1, 0, false}), spanrill.RevisionOf(2, 10), clock.Now())
-	if table.Merge(Knowledge{At: spanrill.RevisionOf(1, 900), Change: spanrill.RevisionOf(1, 900)}, clock.Now()) {
+	if table.Merge(Update{Revision: spanrill.RevisionOf(1, 900), LastChange: spanrill.RevisionOf(1, 900)}, clock.Now()) {
 		t.Error("an update of an earlier era was merged")
 	}
 	if table.View().ByID("a") == nil {
--- a/state/fleet/update.go
+++ b/state/fleet/update.go
@@ -13,7 +13,7 @@
 // Listed replaces all entries by a list of the whole collection as it stood at a revision. The read
 // was sent at the time given.
 func (t *Table) Listed(items []spanrill.Item, at uint64, sent spanrill.Millis) {
-	k := Knowledge{Entries: make([]spanrill.EngineEntry, 0, len(items)), At: at, Change: at}
+	k := Update{Entries: make([]spanrill.EngineEntry, 0, len(items)), Revision: at, LastChange: at}
 	for _, item := range items {
 		if entry, ok := t.decodeItem(item); ok {
 			k.Entries = append(k.Entries, entry)
@@ -21,40 +21,40 @@
 			k.Unreadable = append(k.Unreadable, item.Name)
 		}
 	}
-	if known := t.At(); !t.Merge(k, sent) {
+	if known := t.Revision(); !t.Merge(k, sent) {
 		events.ListOutdated.Log(t.log, logrus.Fields{"collection": "upstreams", "revision": at, "known": known})
 	}
 }
 
 // Update holds all entries as they stood at a revision of the store, or the changes since an
 // earlier revision.
-type Knowledge struct {
+type Update struct {
 	Entries []spanrill.EngineEntry
-	At      uint64 // revision of the store
-	Change  uint64 // revision up to which there were changes, at most the revision of the update
+	Revision      uint64 // revision of the store
+	LastChange  uint64 // revision up to which there were changes, at most the revision of the update
 	// Unreadable lists the names of entries that cannot be decoded.
 	Unreadable []string
-	// After is the revision since which the update holds the changes, or 0 if it holds all entries.
-	After uint64
-	// Gone lists the names of the entries that were removed since that revision.
-	Gone []string
+	// Since is the revision since which the update holds the changes, or 0 if it holds all entries.
+	Since uint64
+	// Removed lists the names of the entries that were removed since that revision.
+	Removed []string
 }
 
 // Merge applies an update from the store or from a peer unless it is older than the table or starts
 // at a revision that the table has not reached, and reports whether it was applied. The read
 // that confirmed the entries was sent at the time given.
-func (t *Table) Merge(k Knowledge, sent spanrill.Millis) bool {
+func (t *Table) Merge(k Update, sent spanrill.Millis) bool {
 	defer t.notifyRestarts()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k.At < t.revision || k.After > t.revision {
+	if k.Revision < t.revision || k.Since > t.revision {
 		return false
 	}
-	if k.After > 0 {
+	if k.Since > 0 {
 		t.mergeChanges(k, sent)
 		return true
 	}
-	t.noteRestore(k.At)
+	t.noteRestore(k.Revision)
 	present, lastConfirmed := make(map[string]bool, len(k.Entries)), t.confirmedAt
 	t.confirm(sent)
 	for _, entry := range k.Entries {
@@ -70,14 +70,14 @@
 			t.entryGone(id, lastConfirmed, sent)
 		}
 	}
-	if k.At > t.revision {
-		t.removals.reset(k.At) // removals in between may be missing
+	if k.Revision > t.revision {
+		t.removals.reset(k.Revision) // removals in between may be missing
 	}
 	maps.DeleteFunc(t.restored.quarantined, func(id string, _ spanrill.EngineEntry) bool { return !present[id] })
 	maps.DeleteFunc(t.conflicts, func(id string, _ *conflictingEntry) bool { return !present[id] })
 	maps.DeleteFunc(t.unreadableNames, func(id string, _ bool) bool { return !present[id] })
 	t.admitResolved()
-	t.revision, t.lastChange = k.At, max(t.lastChange, k.Change)
+	t.revision, t.lastChange = k.Revision, max(t.lastChange, k.LastChange)
 	t.publishView()
 	t.readyOnce.Do(func() { close(t.ready) })
 	return true
@@ -85,7 +85,7 @@
 
 // mergeChanges applies the changes since a revision that the table has reached. The caller holds
 // the lock.
-func (t *Table) mergeChanges(k Knowledge, sent spanrill.Millis) {
+func (t *Table) mergeChanges(k Update, sent spanrill.Millis) {
 	lastConfirmed := t.confirmedAt
 	t.confirm(sent)
 	for _, entry := range k.Entries {
@@ -94,18 +94,18 @@
 	for _, id := range k.Unreadable {
 		t.setUnreadable(id)
 	}
-	for _, id := range k.Gone {
+	for _, id := range k.Removed {
 		t.entryGone(id, lastConfirmed, sent)
-		t.removals.add(id, k.At)
+		t.removals.add(id, k.Revision)
 	}
 	t.admitResolved()
-	t.revision, t.lastChange = k.At, max(t.lastChange, k.Change)
+	t.revision, t.lastChange = k.Revision, max(t.lastChange, k.LastChange)
 	t.publishView()
 }
 
 // UpdateSince returns the changes since a revision of the store, or all entries if those changes
 // are not known.
-func (t *Table) KnowledgeAfter(after uint64) Knowledge {
+func (t *Table) UpdateSince(after uint64) Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := t.fullUpdate()
@@ -113,22 +113,22 @@
 	if !ok || after == 0 || after > t.revision {
 		return k
 	}
-	k.After, k.Gone = after, removed
+	k.Since, k.Removed = after, removed
 	k.Entries = slices.DeleteFunc(k.Entries, func(e spanrill.EngineEntry) bool { return e.Revision <= after })
 	return k
 }
 
 // FullUpdate returns all entries for a peer. Held entries are left out: the store no longer has
 // them, and a peer that noticed no outage must not keep them.
-func (t *Table) Knowledge() Knowledge {
+func (t *Table) FullUpdate() Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fullUpdate()
 }
 
 // fullUpdate is FullUpdate for a caller that holds the lock.
-func (t *Table) fullUpdate() Knowledge {
-	k := Knowledge{At: t.revision, Change: t.lastChange, Unreadable: slices.Collect(maps.Keys(t.unreadableNames))}
+func (t *Table) fullUpdate() Update {
+	k := Update{Revision: t.revision, LastChange: t.lastChange, Unreadable: slices.Collect(maps.Keys(t.unreadableNames))}
 	for _, c := range t.conflicts {
 		k.Entries = append(k.Entries, c.entry)
 	}
@@ -141,7 +141,7 @@
 }
 
 // Revision returns the revision of the store up to which all entries are known.
-func (t *Table) At() uint64 {
+func (t *Table) Revision() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.revision
@@ -149,7 +149,7 @@
 
 // Freshness returns the revision of the store up to which all entries are known, the revision of
 // the last change, and the time since the entries were last confirmed.
-func (t *Table) Proof() (at, change uint64, age spanrill.Millis) {
+func (t *Table) Freshness() (at, change uint64, age spanrill.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.revision, t.lastChange, t.clock.Now() - t.confirmedAt
@@ -157,7 +157,7 @@
 
 // ConfirmUnchanged records that the last change up to revision at was the one at revision change. It
 // returns false if that change is not known here.
-func (t *Table) Prove(at, change uint64, sent spanrill.Millis) bool {
+func (t *Table) ConfirmUnchanged(at, change uint64, sent spanrill.Millis) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if change > t.revision {
--- a/state/fleet/upstream.go
+++ b/state/fleet/upstream.go
@@ -81,7 +81,7 @@
 func (u *Upstream) RestartedAt() spanrill.Millis { return u.restartedAt }
 
 // DiscoveredAt returns when this incarnation of the upstream was first known.
-func (u *Upstream) KnownAt() spanrill.Millis { return u.discoveredAt }
+func (u *Upstream) DiscoveredAt() spanrill.Millis { return u.discoveredAt }
 
 // Addr returns the address that requests go to.
 func (u *Upstream) Addr() string { return u.Entry().Addr }
@@ -132,13 +132,13 @@
 
 // AcceptsRequests reports whether the upstream may get new requests at all: its entry is known and
 // it is not leaving.
-func (u *Upstream) Takes() bool { return !u.removed.Load() && !u.Leaving() }
+func (u *Upstream) AcceptsRequests() bool { return !u.removed.Load() && !u.Leaving() }
 
 // AcceptsRequestsAt is like AcceptsRequests, but also checks whether the entry is held beyond its
 // time, since an entry that may have expired stays in the table until the next Maintain.
-func (u *Upstream) TakesAt(now spanrill.Millis) bool {
+func (u *Upstream) AcceptsRequestsAt(now spanrill.Millis) bool {
 	until := u.acceptsUntil.Load()
-	return u.Takes() && (until == 0 || int64(now) < until)
+	return u.AcceptsRequests() && (until == 0 || int64(now) < until)
 }
 
 // Removed reports whether the upstream's entry was removed.
@@ -150,15 +150,15 @@
 }
 
 // AvoidedForRefusal reports whether new requests should avoid the upstream because of refusals.
-func (u *Upstream) Refuses(now spanrill.Millis) bool { return u.refusal.inEffect(now) }
+func (u *Upstream) AvoidedForRefusal(now spanrill.Millis) bool { return u.refusal.inEffect(now) }
 
 // Avoid keeps new requests from the upstream until the given time because of a failure.
 func (u *Upstream) Avoid(until spanrill.Millis) { u.avoidUntil.Store(int64(until)) }
 
 // RecordProgress records that the upstream has produced output, which ends its avoidance because
 // of failures. It doesn't end an avoidance because of refusals.
-func (u *Upstream) Worked(now spanrill.Millis) {
-	u.Heard(now)
+func (u *Upstream) RecordProgress(now spanrill.Millis) {
+	u.RecordResponse(now)
 	if u.avoidUntil.Load() != 0 {
 		u.avoidUntil.Store(0)
 	}
@@ -176,36 +176,36 @@
 
 // RecordNotListening records that a connection was refused: no process listens at the upstream's
 // address.
-func (u *Upstream) NotListening() { u.notListening.Store(true) }
+func (u *Upstream) RecordNotListening() { u.notListening.Store(true) }
 
 // Ended reports whether the upstream's process has ended: no process has listened at its address
 // since its last response, or it was replaced.
 func (u *Upstream) Ended() bool { return u.notListening.Load() || u.replaced.Load() }
 
 // RecordFailure records a request that failed on the upstream.
-func (u *Upstream) Failed(now spanrill.Millis) { u.failureRate.record(now, 1) }
+func (u *Upstream) RecordFailure(now spanrill.Millis) { u.failureRate.record(now, 1) }
 
 // RecordSuccess records a request that the upstream answered.
-func (u *Upstream) Succeeded(now spanrill.Millis) { u.failureRate.record(now, 0) }
+func (u *Upstream) RecordSuccess(now spanrill.Millis) { u.failureRate.record(now, 0) }
 
 // FailureRate returns the share of recent requests that failed, from 0 to 1.
-func (u *Upstream) Risk(now spanrill.Millis) float64 { return u.failureRate.value(now) }
+func (u *Upstream) FailureRate(now spanrill.Millis) float64 { return u.failureRate.value(now) }
 
 // LastResponse returns when the upstream last answered or produced output.
-func (u *Upstream) LastOK() spanrill.Millis { return spanrill.Millis(u.lastResponse.Load()) }
+func (u *Upstream) LastResponse() spanrill.Millis { return spanrill.Millis(u.lastResponse.Load()) }
 
 // RecordResponse records that the upstream has answered a probe or produced output.
-func (u *Upstream) Heard(now spanrill.Millis) {
+func (u *Upstream) RecordResponse(now spanrill.Millis) {
 	u.lastResponse.Store(int64(now))
 	if u.active != nil {
 		u.active.recordHeard(now)
 	}
-	u.Listens(now)
+	u.RecordListening(now)
 }
 
 // RecordListening records that a process listens at the upstream's address, which doesn't mean that
 // it answers.
-func (u *Upstream) Listens(now spanrill.Millis) {
+func (u *Upstream) RecordListening(now spanrill.Millis) {
 	u.lastListening.Store(int64(now))
 	if u.notListening.Load() {
 		u.notListening.Store(false)
@@ -213,10 +213,10 @@
 }
 
 // LastListening returns when a process was last known to listen at the upstream's address.
-func (u *Upstream) ListenedAt() spanrill.Millis { return spanrill.Millis(u.lastListening.Load()) }
+func (u *Upstream) LastListening() spanrill.Millis { return spanrill.Millis(u.lastListening.Load()) }
 
 // RecordEventGap records the time between two events of a stream whose first engine this is.
-func (u *Upstream) NoteEventGap(d spanrill.Millis) {
+func (u *Upstream) RecordEventGap(d spanrill.Millis) {
 	old := u.eventGap.Load()
 	if old == 0 {
 		u.eventGap.Store(int64(d) * eventGapUnit)
@@ -240,7 +240,7 @@
 
 // RecordLag records how many times longer than expected a request to the upstream waited for its
 // first event.
-func (u *Upstream) NoteLag(now spanrill.Millis, times float64) { u.lag.record(now, times) }
+func (u *Upstream) RecordLag(now spanrill.Millis, times float64) { u.lag.record(now, times) }
 
 // Lag returns how many times longer than expected recent first events took, at least 1.
 func (u *Upstream) Lag(now spanrill.Millis) float64 { return u.lag.value(now) }
@@ -273,7 +273,7 @@
 func (u *Upstream) Calls() int64 { return u.ownCalls.Load() + u.peerCalls.Load() }
 
 // SetPeerLoad sets the reserved tokens and running requests of other daemons.
-func (u *Upstream) SetPeers(tokens, calls int64) {
+func (u *Upstream) SetPeerLoad(tokens, calls int64) {
 	u.peerTokens.Store(tokens)
 	u.peerCalls.Store(calls)
 }
--- a/state/fleet/view.go
+++ b/state/fleet/view.go
@@ -42,7 +42,7 @@
 func (v *View) Version() uint64 { return v.version }
 
 // ByService returns the upstreams of a service, sorted by id.
-func (v *View) Of(service string) []*Upstream { return v.byService[service] }
+func (v *View) ByService(service string) []*Upstream { return v.byService[service] }
 
 // ByID returns the upstream with an id, or nil.
 func (v *View) ByID(id string) *Upstream { return v.byID[id] }
--- a/state/load/eject.go
+++ b/state/load/eject.go
@@ -17,7 +17,7 @@
 
 // RecordFailure records a failure, which ejects the upstream unless it is already ejected. It
 // reports whether the upstream was ejected by this call.
-func (u *Upstream) Fail(now spanrill.Millis) bool {
+func (u *Upstream) RecordFailure(now spanrill.Millis) bool {
 	until := u.ejectedUntil.Load()
 	if spanrill.Millis(until) > now {
 		return false
@@ -33,7 +33,7 @@
 
 // RecordSuccess records that a request was completed on the upstream. After the ramp time it resets
 // the number of failures.
-func (u *Upstream) Succeed(now spanrill.Millis) {
+func (u *Upstream) RecordSuccess(now spanrill.Millis) {
 	if u.failures.Load() == 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 
 // RampShare returns the share of its normal load that an upstream may get: less than 1 for rampTime
 // after an ejection.
-func (u *Upstream) Ramp(now spanrill.Millis) float64 {
+func (u *Upstream) RampShare(now spanrill.Millis) float64 {
 	ejectionEnd := spanrill.Millis(u.ejectionEnd.Load())
 	if ejectionEnd == 0 || now >= ejectionEnd+rampTime {
 		return 1
--- a/state/load/table.go
+++ b/state/load/table.go
@@ -191,7 +191,7 @@
 }
 
 // MarkLeaving records that an upstream refused work because it is leaving.
-func (t *Table) Refused(name string) {
+func (t *Table) MarkLeaving(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if u := t.upstreams[name]; u != nil && !u.leaving.Load() {
--- a/state/load/upstream.go
+++ b/state/load/upstream.go
@@ -92,7 +92,7 @@
 
 // PeerRequests returns the number of running requests of other daemons according to the last
 // report, weighted less the older the report is.
-func (u *Upstream) Others(now spanrill.Millis) float64 {
+func (u *Upstream) PeerRequests(now spanrill.Millis) float64 {
 	requests := float64(u.peerRequests.Load())
 	if requests <= 0 {
 		return 0
@@ -104,7 +104,7 @@
 // Load returns the expected number of requests for comparing upstreams: those of this daemon, and a
 // part of those of other daemons.
 func (u *Upstream) Load(now spanrill.Millis) float64 {
-	return float64(u.inFlight.Load()) + peerRequestsWeight*u.Others(now)
+	return float64(u.inFlight.Load()) + peerRequestsWeight*u.PeerRequests(now)
 }
 
 // StepMicros returns the time that one step of one request takes with the given number of requests
@@ -142,16 +142,16 @@
 const maxSlowdown = 100
 
 // RecordStep records how long a step of one request took on the upstream.
-func (u *Upstream) Observe(now spanrill.Millis, micros int64) {
+func (u *Upstream) RecordStep(now spanrill.Millis, micros int64) {
 	ratio := float64(micros) / u.StepMicros(u.Load(now))
 	ratio = math.Max(1, math.Min(ratio, maxSlowdown))
-	old := u.Slow(now)
+	old := u.Slowdown(now)
 	u.slowdown.Store(math.Float64bits(old + slowdownWeight*(ratio-old)))
 	u.slowdownAt.Store(int64(now))
 }
 
 // Slowdown returns how many times slower than reported the upstream was recently, at least 1.
-func (u *Upstream) Slow(now spanrill.Millis) float64 {
+func (u *Upstream) Slowdown(now spanrill.Millis) float64 {
 	s := math.Float64frombits(u.slowdown.Load())
 	if s <= 1 {
 		return 1
@@ -161,7 +161,7 @@
 }
 
 // RecordLink records how long a transfer over the link to the upstream took.
-func (u *Upstream) ObserveLink(micros int64) {
+func (u *Upstream) RecordLink(micros int64) {
 	old := u.linkMicros.Load()
 	u.linkMicros.Store(old + (micros-old)/8)
 }
--- a/state/load/view.go
+++ b/state/load/view.go
@@ -68,7 +68,7 @@
 type ModelIndex struct {
 	engines      []*Upstream
 	byFirstLayer [][]*Upstream
-	reachability atomic.Pointer[Ways]
+	reachability atomic.Pointer[Reachability]
 }
 
 func (x *ModelIndex) add(u *Upstream, from int) {
@@ -84,19 +84,19 @@
 
 // StartingAt returns the engines whose first layer is the given one. Callers must not modify the
 // slice.
-func (x *ModelIndex) From(layer int) []*Upstream {
+func (x *ModelIndex) StartingAt(layer int) []*Upstream {
 	if layer >= len(x.byFirstLayer) {
 		return nil
 	}
 	return x.byFirstLayer[layer]
 }
 
-// Reaches returns for each layer whether a chain of engines leads from it to the model's end.
-func (x *ModelIndex) Reaches(layers int) []bool {
+// ReachableLayers returns for each layer whether a chain of engines leads from it to the model's end.
+func (x *ModelIndex) ReachableLayers(layers int) []bool {
 	reachesEnd := make([]bool, layers+1)
 	reachesEnd[layers] = true
 	for from := layers - 1; from >= 0; from-- {
-		for _, u := range x.From(from) {
+		for _, u := range x.StartingAt(from) {
 			to := u.Layers().To
 			if to <= layers && to > from && reachesEnd[to] {
 				reachesEnd[from] = true
@@ -108,34 +108,34 @@
 }
 
 // Reachability records from which layers a chain of engines leads to the end of a model.
-type Ways struct {
+type Reachability struct {
 	layers     int
 	reachesEnd []bool
 }
 
 // ReachesEnd reports whether a chain of engines leads from a layer to the model's end.
-func (w *Ways) Open(layer int) bool {
+func (w *Reachability) ReachesEnd(layer int) bool {
 	return layer <= w.layers && w.reachesEnd[layer]
 }
 
 // Reachability returns from which layers a chain of engines leads to the end of a model with the
 // given number of layers. The result is cached for each index.
-func (x *ModelIndex) Ways(layers int) *Ways {
+func (x *ModelIndex) Reachability(layers int) *Reachability {
 	if w := x.reachability.Load(); w != nil && w.layers == layers {
 		return w
 	}
-	w := &Ways{layers: layers, reachesEnd: x.Reaches(layers)}
+	w := &Reachability{layers: layers, reachesEnd: x.ReachableLayers(layers)}
 	x.reachability.Store(w)
 	return w
 }
 
 // MinStages returns the minimum number of stages of a chain for a model with the given number of
 // layers. If the engines don't cover all layers, it counts the stages up to the gap, at least 1.
-func (x *ModelIndex) Stages(layers int) int {
+func (x *ModelIndex) MinStages(layers int) int {
 	n := 0
 	for layer := 0; layer < layers; n++ {
 		furthest := layer
-		for _, u := range x.From(layer) {
+		for _, u := range x.StartingAt(layer) {
 			if to := u.Layers().To; to <= layers {
 				furthest = max(furthest, to)
 			}
--- a/state/record/record.go
+++ b/state/record/record.go
@@ -22,27 +22,27 @@
 
 // SlotCount is the number of objects over which keys are distributed. Each object is written at most
 // a few times a second, which limits the writes of all daemons together.
-const Slots = 16
+const SlotCount = 16
 
 // Lifetime is how long a record is kept. A call that is repeated later may run again.
 const Lifetime = 10 * spanrill.Minute
 
 // MaxBodyBytes is the maximum size of the body that a record keeps. A longer answer is kept without
 // its body.
-const MaxBody = 256
+const MaxBodyBytes = 256
 
 // Record is the claim of one idempotency key and the result of its call.
 type Record struct {
 	Key     string           `json:"k"`
 	Attempt string           `json:"a"` // id of the only attempt that may run the call
 	Digest  uint64           `json:"d"` // hash of the request
-	At      spanrill.Millis  `json:"t"` // wall-clock time of the claim
+	ClaimedAt      spanrill.Millis  `json:"t"` // wall-clock time of the claim
 	Ended   bool             `json:"e,omitempty"`
 	Outcome spanrill.Outcome `json:"o,omitempty"`
 	Status  int              `json:"s,omitempty"`
-	Type    string           `json:"c,omitempty"` // content type of the answer
+	ContentType    string           `json:"c,omitempty"` // content type of the answer
 	Body    []byte           `json:"b,omitempty"`
-	Cut     bool             `json:"x,omitempty"` // the body exceeded MaxBodyBytes and was not kept
+	BodyTooLong     bool             `json:"x,omitempty"` // the body exceeded MaxBodyBytes and was not kept
 }
 
 // End records the outcome of the call and its answer, which may be nil.
@@ -54,11 +54,11 @@
 	r.Status = answer.Status
 	for _, h := range answer.Headers {
 		if h.Name == "Content-Type" {
-			r.Type = h.Value
+			r.ContentType = h.Value
 		}
 	}
-	if len(answer.Body) > MaxBody {
-		r.Cut = true
+	if len(answer.Body) > MaxBodyBytes {
+		r.BodyTooLong = true
 		return
 	}
 	r.Body = answer.Body
@@ -71,14 +71,14 @@
 		return nil
 	}
 	a := &spanrill.ServiceAnswer{Status: r.Status, Body: r.Body}
-	if r.Type != "" {
-		a.Headers = append(a.Headers, spanrill.Header{Name: "Content-Type", Value: r.Type})
+	if r.ContentType != "" {
+		a.Headers = append(a.Headers, spanrill.Header{Name: "Content-Type", Value: r.ContentType})
 	}
 	return a
 }
 
 // SlotOf returns the number of the slot that holds a key's record.
-func SlotOf(key string) int { return int(xxhash.Sum64String(key) % Slots) }
+func SlotOf(key string) int { return int(xxhash.Sum64String(key) % SlotCount) }
 
 // ObjectKey returns the key of the object in which a slot is stored.
 func ObjectKey(slot int) string { return fmt.Sprintf("claims/%02d", slot) }
@@ -130,7 +130,7 @@
 // Expire removes the records that are older than Lifetime.
 func (s *Slot) Expire(now spanrill.Millis) {
 	for k, r := range s.records {
-		if now-r.At > Lifetime {
+		if now-r.ClaimedAt > Lifetime {
 			delete(s.records, k)
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	for key, r := range lastWritten.records {
 		existing, ok := s.records[key]
-		if now-r.At <= Lifetime && (!ok || existing.Attempt == r.Attempt && !existing.Ended) {
+		if now-r.ClaimedAt <= Lifetime && (!ok || existing.Attempt == r.Attempt && !existing.Ended) {
 			s.records[key] = r
 		}
 	}
@@ -167,7 +167,7 @@
 // isOlderThan reports whether s lacks an unexpired outcome that is recorded in lastWritten.
 func (s *Slot) isOlderThan(lastWritten *Slot, now spanrill.Millis) bool {
 	for key, r := range lastWritten.records {
-		if !r.Ended || now-r.At > Lifetime {
+		if !r.Ended || now-r.ClaimedAt > Lifetime {
 			continue
 		}
 		if existing, ok := s.records[key]; !ok || existing.Attempt == r.Attempt && !existing.Ended {
