--- a/coordination/exchange/packed_test.go
+++ b/coordination/exchange/packed_test.go
@@ -45,7 +45,9 @@
 	k := manyEntries(2922)
 	k.Revision, k.LastChange = 5000, 5000
 	there.table.Merge(k, c.Now())
-	ask := func() *peermsg.Entries { return there.exchange.Entries(&peermsg.AskEntries{After: here.table.Revision()}) }
+	ask := func() *peermsg.Entries {
+		return there.exchange.Entries(&peermsg.AskEntries{After: here.table.Revision()})
+	}
 	whole := len(ask().Packed)
 	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil {
 		t.Fatal(err)
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -29,7 +29,7 @@
 	Previous   *load.Upstream   // the upstream of the previous stage, set by the router
 
 	ways       *load.Reachability // nil for a plain service
-	lastResort bool       // ejected and avoided upstreams may be picked too
+	lastResort bool               // ejected and avoided upstreams may be picked too
 }
 
 // Usable reports whether a policy may pick the upstream.
--- a/state/fleet/notice.go
+++ b/state/fleet/notice.go
@@ -66,10 +66,10 @@
 
 // NoticeCounts holds the number of notices of each kind from all upstreams.
 type NoticeCounts struct {
-	Rests      uint64 // requests for rest
+	Rests           uint64 // requests for rest
 	UnreadableRests uint64 // of these, with an invalid time
-	Leaving    uint64 // upstreams that announced that they leave
-	Limits     uint64 // rate limits that were set or changed
+	Leaving         uint64 // upstreams that announced that they leave
+	Limits          uint64 // rate limits that were set or changed
 
 	UnreadableLimits uint64 // invalid values of rate limits
 }
--- a/state/fleet/refusal.go
+++ b/state/fleet/refusal.go
@@ -70,7 +70,9 @@
 }
 
 // LastRefusalAt returns when the upstream last refused a request of this daemon.
-func (u *Upstream) LastRefusalAt() spanrill.Millis { return spanrill.Millis(u.refusal.lastHereAt.Load()) }
+func (u *Upstream) LastRefusalAt() spanrill.Millis {
+	return spanrill.Millis(u.refusal.lastHereAt.Load())
+}
 
 // RefusesThisDaemon reports whether the upstream refuses requests, rests or leaves according to its
 // answers to this daemon. A rest is requested from a single daemon, and an announcement that
--- a/state/fleet/update.go
+++ b/state/fleet/update.go
@@ -29,9 +29,9 @@
 // Update holds all entries as they stood at a revision of the store, or the changes since an
 // earlier revision.
 type Update struct {
-	Entries []spanrill.EngineEntry
-	Revision      uint64 // revision of the store
-	LastChange  uint64 // revision up to which there were changes, at most the revision of the update
+	Entries    []spanrill.EngineEntry
+	Revision   uint64 // revision of the store
+	LastChange uint64 // revision up to which there were changes, at most the revision of the update
 	// Unreadable lists the names of entries that cannot be decoded.
 	Unreadable []string
 	// Since is the revision since which the update holds the changes, or 0 if it holds all entries.
--- a/state/record/record.go
+++ b/state/record/record.go
@@ -33,16 +33,16 @@
 
 // Record is the claim of one idempotency key and the result of its call.
 type Record struct {
-	Key     string           `json:"k"`
-	Attempt string           `json:"a"` // id of the only attempt that may run the call
-	Digest  uint64           `json:"d"` // hash of the request
-	ClaimedAt      spanrill.Millis  `json:"t"` // wall-clock time of the claim
-	Ended   bool             `json:"e,omitempty"`
-	Outcome spanrill.Outcome `json:"o,omitempty"`
-	Status  int              `json:"s,omitempty"`
-	ContentType    string           `json:"c,omitempty"` // content type of the answer
-	Body    []byte           `json:"b,omitempty"`
-	BodyTooLong     bool             `json:"x,omitempty"` // the body exceeded MaxBodyBytes and was not kept
+	Key         string           `json:"k"`
+	Attempt     string           `json:"a"` // id of the only attempt that may run the call
+	Digest      uint64           `json:"d"` // hash of the request
+	ClaimedAt   spanrill.Millis  `json:"t"` // wall-clock time of the claim
+	Ended       bool             `json:"e,omitempty"`
+	Outcome     spanrill.Outcome `json:"o,omitempty"`
+	Status      int              `json:"s,omitempty"`
+	ContentType string           `json:"c,omitempty"` // content type of the answer
+	Body        []byte           `json:"b,omitempty"`
+	BodyTooLong bool             `json:"x,omitempty"` // the body exceeded MaxBodyBytes and was not kept
 }
 
 // End records the outcome of the call and its answer, which may be nil.
