--- a/transport/httpcall/answer.go
+++ b/transport/httpcall/answer.go
@@ -12,18 +12,19 @@
 	"spanrill"
 )
 
-// Answer is the answer to a call, whose body may still be on its way.
+// Answer is the answer to a call. Its headers have been read; its body may still be arriving.
 type Answer struct {
-	client *Client
-	addr   string
-	conn   *conn
-	stop   func() bool
-	ctx    context.Context // of the call
-	resp   fasthttp.Response
-	whole  bool
-	closed bool
+	client        *Client
+	addr          string
+	conn          *conn
+	stopInterrupt func() bool
+	ctx           context.Context // of the call, also while the body is read
+	resp          fasthttp.Response
+	complete      bool // the body was read to its end
+	closed        bool
 }
 
+// readHeader reads the status line and the headers, and leaves the body to be streamed.
 func (a *Answer) readHeader() error {
 	a.resp.StreamBody = true
 	if err := a.resp.ReadLimitBody(a.conn.r, 0); err != nil {
@@ -41,30 +42,30 @@
 // Body returns the body as it arrives.
 func (a *Answer) Body() io.Reader { return (*bodyReader)(a) }
 
-// SetReadWait bounds how long the next reads of the body may wait.
+// SetReadWait sets how long the next reads of the body may wait for bytes.
 func (a *Answer) SetReadWait(d spanrill.Millis) { a.conn.setReadWait(d) }
 
-// bodyReader notes when the body was read to its end.
+// bodyReader reads the body and records when its end is reached.
 type bodyReader Answer
 
-// Read reads from the body.
+// Read reads from the body. At its end it marks the answer as complete.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	stream := b.resp.BodyStream()
 	if stream == nil {
-		b.whole = true
+		b.complete = true
 		return 0, io.EOF
 	}
 	n, err := stream.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
 
-// ErrTooLarge means that a body was over the limit given to ReadAll.
-var ErrTooLarge = errors.New("body over the limit")
+// ErrTooLarge means that a body is larger than the limit given to ReadAll.
+var ErrTooLarge = errors.New("body is larger than the limit")
 
-// ReadAll reads the whole body and closes the answer.
+// ReadAll reads the whole body, of at most limit bytes, and closes the answer.
 func (a *Answer) ReadAll(limit int) ([]byte, error) {
 	defer a.Close()
 	body, err := io.ReadAll(io.LimitReader(a.Body(), int64(limit)+1))
@@ -72,7 +73,7 @@
 		err = ErrTooLarge
 	}
 	if err != nil {
-		err = a.client.judge(a.ctx, a.addr, a.conn, err)
+		err = a.client.handleSilence(a.ctx, a.addr, a.conn, err)
 		return nil, &spanrill.CallError{
 			Phase: spanrill.PhaseAnswer, Written: a.conn.written,
 			Cause: fmt.Errorf("read body of %s: %w", a.addr, err),
@@ -81,28 +82,28 @@
 	return body, nil
 }
 
-// Close ends the call. The connection is kept for the next call only if the
-// body was read to its end; otherwise it is closed, which tells the upstream
-// to cancel.
+// Close ends the call. The connection becomes idle for later calls only if the body was read to
+// its end. Otherwise it is closed, which tells the upstream to cancel.
 func (a *Answer) Close() {
 	if a.closed {
 		return
 	}
 	a.closed = true
-	interrupted := !a.stop()
-	if !a.whole || interrupted || a.resp.ConnectionClose() {
+	interrupted := !a.stopInterrupt()
+	if !a.complete || interrupted || a.resp.ConnectionClose() {
 		_ = a.conn.Close()
 		return
 	}
 	_ = a.resp.CloseBodyStream()
 	a.conn.silence = nil
-	a.conn.watch(nil)
+	a.conn.setWakeable(nil)
 	_ = a.conn.SetReadDeadline(time.Time{})
 	a.client.idle.Put(a.addr, a.conn)
 }
 
-func (a *Answer) drop() {
+// abort ends the call and closes its connection.
+func (a *Answer) abort() {
 	a.closed = true
-	a.stop()
+	a.stopInterrupt()
 	_ = a.conn.Close()
 }
--- a/transport/httpcall/client_test.go
+++ b/transport/httpcall/client_test.go
@@ -15,7 +15,7 @@
 	"spanrill"
 )
 
-// serve accepts connections and gives each to f.
+// serve accepts connections on a free port and runs f with each. It returns the address.
 func serve(t *testing.T, f func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 	return ln.Addr().String()
 }
 
-// answerEach answers every request of a connection with its raw text.
+// answerEach answers each request of a connection with text, a raw HTTP response.
 func answerEach(text string) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -51,6 +51,7 @@
 	}
 }
 
+// do posts body to addr and reads the whole answer.
 func do(c *Client, addr string, body []byte) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -86,8 +87,8 @@
 			_ = req.Read(bufio.NewReader(c))
 			_ = c.Close()
 		}), nil, spanrill.OutcomeUnknown},
-		{"garbage for an answer", serve(t, answerEach("what?\r\n\r\n")), nil, spanrill.OutcomeUnknown},
-		{"answer cut", serve(t, func(c net.Conn) {
+		{"malformed answer", serve(t, answerEach("what?\r\n\r\n")), nil, spanrill.OutcomeUnknown},
+		{"truncated answer", serve(t, func(c net.Conn) {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			_ = c.Close()
 		}), nil, spanrill.OutcomeUnknown},
@@ -107,14 +108,14 @@
 	}
 }
 
-// A stream that is cut must not look like one that has ended.
-func TestCutStreamIsNoEnd(t *testing.T) {
+// A truncated stream must not look like one that has ended.
+func TestTruncatedStreamIsError(t *testing.T) {
 	addr := serve(t, func(c net.Conn) {
 		_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 		_ = c.Close()
 	})
 	if _, err := do(New(), addr, nil); err == nil {
-		t.Fatal("the cut stream was read to its end")
+		t.Fatal("the truncated stream was read without an error")
 	}
 }
 
--- /dev/null
+++ b/transport/httpcall/connstate.go
@@ -0,0 +1,84 @@
+package httpcall
+
+import (
+	"net"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+)
+
+// isOpenAndIdle reports whether a connection is open and has no unread bytes.
+func (cn *conn) isOpenAndIdle() bool {
+	return cn.r.Buffered() == 0 && PeerOpen(cn.Conn) == PeerSilent
+}
+
+// ConnState is the state of a connection's receive side.
+type PeerState uint8
+
+// The states that ProbeConn reports.
+const (
+	// ConnIdle means that the connection is open and no bytes wait to be read.
+	PeerSilent PeerState = iota
+	// ConnReadable means that the connection is open and bytes wait to be read.
+	PeerSent
+	// ConnClosed means that the other side has closed the connection or its half of it. Bytes may
+	// still wait to be read.
+	PeerGone
+)
+
+// ProbeConn returns the state of a connection without reading from it and without blocking.
+func PeerOpen(c net.Conn) PeerState {
+	sc, ok := c.(syscall.Conn)
+	if !ok {
+		return PeerSilent
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return PeerGone
+	}
+	state := PeerGone
+	err = raw.Control(func(fd uintptr) { state = peekState(int(fd)) })
+	if err != nil {
+		return PeerGone
+	}
+	return state
+}
+
+// peekState peeks at the receive buffer of a socket.
+func peekState(fd int) PeerState {
+	var b [1]byte
+	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	switch {
+	case err == syscall.EAGAIN || err == syscall.EINTR:
+		return PeerSilent
+	case err != nil || n == 0:
+		return PeerGone
+	}
+	if remoteHasClosed(fd) {
+		return PeerGone
+	}
+	return PeerSent
+}
+
+// The TCP states of Linux (include/net/tcp_states.h) in which the other side has sent a reset or
+// a FIN.
+const (
+	stateClose     = 7
+	stateCloseWait = 8
+	stateLastAck   = 9
+	stateClosing   = 11
+)
+
+// remoteHasClosed asks the operating system whether the other side has closed. A peek cannot tell,
+// because unread bytes come before the end of the stream.
+func remoteHasClosed(fd int) bool {
+	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+	if err != nil {
+		return false // not a TCP socket: all that is known is that bytes wait
+	}
+	switch info.State {
+	case stateClose, stateCloseWait, stateLastAck, stateClosing:
+		return true
+	}
+	return false
+}
--- a/transport/httpcall/prove_test.go
+++ b/transport/httpcall/connstate_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A look shows that the peer has closed, also behind bytes that nobody has read.
-func TestPeerOpen(t *testing.T) {
+// ProbeConn detects that the other side has closed, even when unread bytes come first.
+func TestProbeConn(t *testing.T) {
 	sends := func(c *net.TCPConn) error {
 		_, err := io.WriteString(c, "bytes")
 		return err
@@ -35,15 +35,15 @@
 		{"reset behind bytes", []func(*net.TCPConn) error{sends, resets}, PeerGone},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			near, far := pair(t)
+			near, far := tcpPair(t)
 			for _, step := range c.steps {
 				if err := step(far); err != nil {
 					t.Fatal(err)
 				}
 			}
-			limit := time.Now().Add(10 * time.Second)
+			deadline := time.Now().Add(10 * time.Second)
 			for got := PeerOpen(near); got != c.want; got = PeerOpen(near) {
-				if time.Now().After(limit) {
+				if time.Now().After(deadline) {
 					t.Fatalf("state %d, want %d", got, c.want)
 				}
 				runtime.Gosched() // the operating system may not have delivered it yet
@@ -52,8 +52,8 @@
 	}
 }
 
-// pair returns both ends of a connection.
-func pair(t *testing.T) (near, far *net.TCPConn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/transport/httpcall/before_test.go
+++ b/transport/httpcall/presend_test.go
@@ -15,9 +15,9 @@
 	"spanrill/meter"
 )
 
-// A check that fails once the connection stands ends the call with nothing written, and the
-// connection serves the next call.
-func TestBefore(t *testing.T) {
+// A failed pre-send check ends the call with nothing written, and its connection serves the next
+// call.
+func TestPresendCheckFailureKeepsConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -38,28 +38,28 @@
 		}
 		return err
 	}
-	held := errors.New("held back")
+	errCheck := errors.New("check failed")
 	for range 3 {
-		err := call(held)
+		err := call(errCheck)
 		var failed *spanrill.CallError
-		if !errors.Is(err, held) || !errors.As(err, &failed) || failed.Outcome() != spanrill.OutcomeNotRun {
-			t.Fatalf("error %v, want one of a call that did not run", err)
+		if !errors.Is(err, errCheck) || !errors.As(err, &failed) || failed.Outcome() != spanrill.OutcomeNotRun {
+			t.Fatalf("error %v, want the error of the check with outcome not-run", err)
 		}
 	}
 	if len(served) > 0 {
-		t.Fatal("a call that was held back has reached the server")
+		t.Fatal("a call whose check failed has reached the server")
 	}
 	if err := call(nil); err != nil {
 		t.Fatal(err)
 	}
 	if n := client.idle.Drop(listener.Addr().String()); n != 1 {
-		t.Errorf("%d connections were made, want the one that stood", n)
+		t.Errorf("%d idle connections, want the one that all calls used", n)
 	}
 }
 
-// Which connections that an upstream resets can be called not-run: those on which nothing was
-// sent, and no others.
-func TestResetConnections(t *testing.T) {
+// A call on a connection that the upstream resets has the outcome not-run only if nothing was sent
+// on it.
+func TestOutcomeOfResetConnection(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		reads int  // bytes before the reset
@@ -71,10 +71,10 @@
 		{"after the first byte", 1, false, spanrill.OutcomeUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			stands, reset, sent := make(chan struct{}), make(chan struct{}), make(chan struct{})
+			connected, reset, sent := make(chan struct{}), make(chan struct{}), make(chan struct{})
 			addr := serve(t, func(conn net.Conn) {
 				if c.first {
-					<-stands // one that is reset while it is made is a failed dial of its own
+					<-connected // a reset during the handshake would fail the dial instead
 				} else {
 					<-sent
 				}
@@ -91,54 +91,53 @@
 				return nil
 			}
 			ctx := Before(context.Background(), func() error {
-				close(stands)
+				close(connected)
 				if c.first {
 					<-reset
-					awaitGone(raw)
+					awaitClosed(raw)
 				}
 				return nil
 			})
 			req := fasthttp.AcquireRequest()
 			defer fasthttp.ReleaseRequest(req)
 			req.SetRequestURI("http://" + addr + "/")
-			req.SetBodyStream(&telling{sent: sent}, -1)
+			req.SetBodyStream(&signalingBody{secondRead: sent}, -1)
 			_, err := client.Do(ctx, addr, req, Fresh)
 			var call *spanrill.CallError
 			if !errors.As(err, &call) || call.Outcome() != c.want {
 				t.Fatalf("error %v, want one with outcome %v", err, c.want)
 			}
 			if n := client.meters.ClosedAtOnce.Get(); (n == 1) != c.first {
-				t.Errorf("%d connections are counted as closed at once", n)
+				t.Errorf("%d connections were counted as closed at once", n)
 			}
 		})
 	}
 }
 
-// awaitGone waits until the reset of a connection has arrived: it takes a moment also on a
-// machine's own addresses.
-func awaitGone(raw syscall.RawConn) {
+// awaitClosed waits until the reset of a connection has arrived, which takes a moment even on
+// loopback addresses.
+func awaitClosed(raw syscall.RawConn) {
 	for state := PeerSilent; state != PeerGone; {
-		_ = raw.Control(func(fd uintptr) { state = peek(int(fd)) })
+		_ = raw.Control(func(fd uintptr) { state = peekState(int(fd)) })
 		runtime.Gosched()
 	}
 }
 
-// telling is a body of two parts that tells when the second one is read: the head and the
-// first part are with the operating system by then, which each part is written out for. When
-// the first part is read nothing has been written, and a reset that comes then rightly gives
-// a call that did not run.
-type telling struct {
-	sent  chan struct{}
-	parts int
+// signalingBody is a body of two parts that closes secondRead when the second one is read. Each
+// part is flushed, so that the headers and the first part have been written by then. While the
+// first part is read nothing has been written, and a reset then rightly gives the outcome not-run.
+type signalingBody struct {
+	secondRead chan struct{}
+	readCalls  int
 }
 
-func (b *telling) Read(p []byte) (int, error) {
-	b.parts++
-	if b.parts > 2 {
+func (b *signalingBody) Read(p []byte) (int, error) {
+	b.readCalls++
+	if b.readCalls > 2 {
 		return 0, io.EOF
 	}
-	if b.parts == 2 {
-		close(b.sent)
+	if b.readCalls == 2 {
+		close(b.secondRead)
 	}
 	return copy(p, "body"), nil
 }
--- a/transport/httpcall/silence.go
+++ b/transport/httpcall/silence.go
@@ -13,37 +13,41 @@
 	"spanrill/events"
 )
 
-// ErrSilent means that a call on a connection that was used before got no answer
-// in its time, although the connection stayed open.
-var ErrSilent = errors.New("nothing more came on a connection that was used before")
+// ErrSilent means that a call on a reused connection timed out although the connection stayed
+// open.
+var ErrSilent = errors.New("reused connection is silent")
 
 type (
-	anewKey   struct{}
-	promptKey struct{}
+	newConnKey      struct{}
+	promptAnswerKey struct{}
 )
 
-// Anew returns a context whose calls each make a new connection.
-func Anew(ctx context.Context) context.Context { return context.WithValue(ctx, anewKey{}, true) }
+// WithNewConn returns a context whose calls each make a new connection.
+func Anew(ctx context.Context) context.Context { return context.WithValue(ctx, newConnKey{}, true) }
 
-// Prompt returns a context for calls that a server answers at once, whatever else
-// it does. One that times out on a reused connection shows a silence by itself;
-// of others, whose work may simply take longer, two in a row do.
-func Prompt(ctx context.Context) context.Context { return context.WithValue(ctx, promptKey{}, true) }
+// WithPromptAnswer returns a context for calls that a server answers at once however busy it is.
+// One timeout of such a call on a reused connection shows that the connection is silent. For other
+// calls, whose work may just take longer, two timeouts in a row are needed.
+func Prompt(ctx context.Context) context.Context {
+	return context.WithValue(ctx, promptAnswerKey{}, true)
+}
 
 // mayReuse reports whether a call may use an idle connection.
-func (r Reuse) mayReuse(ctx context.Context) bool { return r == Reused && ctx.Value(anewKey{}) == nil }
+func (r Reuse) mayReuse(ctx context.Context) bool {
+	return r == Reused && ctx.Value(newConnKey{}) == nil
+}
 
-// DoTwice is Do for a request that may run twice: if no byte of the answer has
-// come on a reused connection within patience, the request goes once more on a
-// new one. The context bounds both.
-func (c *Client) DoTwice(ctx context.Context, addr string, req *fasthttp.Request, patience spanrill.Millis) (*Answer, error) {
+// DoWithRetry is Do for a request that may run twice: if no byte of the answer arrives on a reused
+// connection within firstByteTimeout, the request is sent once more on a new connection. The
+// context bounds both attempts.
+func (c *Client) DoTwice(ctx context.Context, addr string, req *fasthttp.Request, firstByteTimeout spanrill.Millis) (*Answer, error) {
 	cn, err := c.connect(ctx, addr, Reused)
 	if err != nil {
 		return nil, err
 	}
 	if cn.reused {
-		every := func() spanrill.Millis { return patience }
-		cn.silence = &silence{every: every, do: cn.firstByte}
+		interval := func() spanrill.Millis { return firstByteTimeout }
+		cn.silence = &silenceHandler{interval: interval, handle: cn.requireFirstByte}
 	}
 	a, err := c.exchange(ctx, addr, cn, req)
 	if errors.Is(err, ErrSilent) && ctx.Err() == nil {
@@ -52,33 +56,33 @@
 	return a, err
 }
 
-// firstByte ends a call that has got no byte.
-func (cn *conn) firstByte(spanrill.Millis) error {
+// requireFirstByte is a silence handler that ends a call if no byte of its answer has arrived.
+func (cn *conn) requireFirstByte(spanrill.Millis) error {
 	if cn.received {
 		return nil
 	}
-	cn.gaveUp = true
+	cn.firstByteTimedOut = true
 	return ErrSilent
 }
 
-// judge returns the error of a failed call. If reused connections of an address say
-// nothing until the time of their calls is over, its idle ones are given up too: a
-// look at them would find them open, as it found these.
-func (c *Client) judge(ctx context.Context, addr string, cn *conn, err error) error {
-	if !cn.reused || !cn.gaveUp && !errors.Is(ctx.Err(), context.DeadlineExceeded) {
+// handleSilence wraps the error of a failed call in ErrSilent if its reused connection was silent
+// until the call timed out. If that shows that the connections to addr have gone silent, it also
+// closes the idle ones: a probe would find them open, as it found this one.
+func (c *Client) handleSilence(ctx context.Context, addr string, cn *conn, err error) error {
+	if !cn.reused || !cn.firstByteTimedOut && !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return err
 	}
 	err = fmt.Errorf("%w: %w", ErrSilent, err)
-	if !cn.gaveUp && ctx.Value(promptKey{}) == nil {
-		if _, again := c.doubted.LoadOrStore(addr, true); !again {
+	if !cn.firstByteTimedOut && ctx.Value(promptAnswerKey{}) == nil {
+		if _, repeated := c.timedOutOnce.LoadOrStore(addr, true); !repeated {
 			return err
 		}
 	}
-	c.doubted.Delete(addr)
+	c.timedOutOnce.Delete(addr)
 	dropped := c.idle.Drop(addr)
 	c.meters.SilentConnections.Inc()
 	events.ConnectionSilent.Log(c.log, logrus.Fields{
-		"remote": addr, "kind": "call", "also_closed": dropped, "silent_ms": time.Since(cn.heard).Milliseconds(),
+		"remote": addr, "kind": "call", "also_closed": dropped, "silent_ms": time.Since(cn.lastReceived).Milliseconds(),
 	})
 	return err
 }
--- a/transport/httpcall/silence_test.go
+++ b/transport/httpcall/silence_test.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	// briefly bounds a call that is to time out.
-	briefly = 100 * time.Millisecond
-	// amply bounds a call that is to be answered.
-	amply = 5 * time.Second
+	okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	// shortTimeout is for calls that are expected to time out.
+	shortTimeout = 100 * time.Millisecond
+	// longTimeout is for calls that are expected to be answered.
+	longTimeout = 5 * time.Second
 )
 
-// used returns a client with idle connections through a proxy, which is told apart
-// by the log lines that it keeps.
-func used(t *testing.T, idle int) (c *Client, p *faultproxy.Proxy, addr string, log *logtest.Hook) {
+// newReusedClient returns a client with idle connections to a server behind a fault proxy, the
+// proxy with its address, and a hook that keeps the client's log entries.
+func newReusedClient(t *testing.T, idle int) (c *Client, p *faultproxy.Proxy, addr string, log *logtest.Hook) {
 	t.Helper()
-	p = faultproxy.New(serve(t, answerEach(wholeAnswer)))
+	p = faultproxy.New(serve(t, answerEach(okAnswer)))
 	addr, err := p.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	return req
 }
 
-// call makes one call within a time.
+// call makes one call with a timeout, by do if that is not nil, and reads the whole answer.
 func call(c *Client, addr string, within time.Duration, do func(context.Context) (*Answer, error)) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -76,7 +76,7 @@
 func wantSilences(t *testing.T, c *Client, log *logtest.Hook, alsoClosed ...int) {
 	t.Helper()
 	if got := c.meters.SilentConnections.Get(); got != uint64(len(alsoClosed)) {
-		t.Errorf("%d silences were counted, want %d", got, len(alsoClosed))
+		t.Errorf("%d silent connections were counted, want %d", got, len(alsoClosed))
 	}
 	entries := log.AllEntries()
 	if len(entries) != len(alsoClosed) {
@@ -89,44 +89,44 @@
 	}
 }
 
-// A prompt call that ends by time-out on a silent connection is enough, and two
-// others in a row: the next takes none of the old connections.
-func TestSilentConnectionTakesTheIdleOnesWithIt(t *testing.T) {
+// One timeout of a call with a prompt answer, or two in a row of other calls, closes the idle
+// connections: the next calls use none of the silent ones.
+func TestSilentConnectionClosesIdleConnections(t *testing.T) {
 	for _, prompt := range []bool{true, false} {
-		c, p, addr, log := used(t, 4)
+		c, p, addr, log := newReusedClient(t, 4)
 		lost, do := 2, func(ctx context.Context) (*Answer, error) { return c.Do(ctx, addr, request(addr), Reused) }
 		if prompt {
 			lost, do = 1, func(ctx context.Context) (*Answer, error) { return c.Do(Prompt(ctx), addr, request(addr), Reused) }
 		}
 		p.Set(faultproxy.Faults{Silence: true})
 		for range lost {
-			if err := call(c, addr, briefly, do); !errors.Is(err, ErrSilent) {
+			if err := call(c, addr, shortTimeout, do); !errors.Is(err, ErrSilent) {
 				t.Fatalf("on a silent connection: %v", err)
 			}
 		}
 		for range 3 {
-			if err := call(c, addr, amply, do); err != nil {
+			if err := call(c, addr, longTimeout, do); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if got := p.Accepted(); got != 5 {
-			t.Errorf("%d connections were made, want the 4 silent ones and 1 more", got)
+			t.Errorf("%d connections were made, want the 4 silent ones and 1 new one", got)
 		}
 		wantSilences(t, c, log, 4-lost)
 	}
 }
 
-// Calls whose work takes longer than their time, with an answer in between, cost
-// their own connections alone.
-func TestSlowWorkIsNoSilence(t *testing.T) {
-	c, p, addr, log := used(t, 4)
+// Calls that time out because their work takes long, with an answered call in between, close only
+// their own connections.
+func TestSlowWorkKeepsIdleConnections(t *testing.T) {
+	c, p, addr, log := newReusedClient(t, 4)
 	for range 2 {
 		p.Set(faultproxy.Faults{Freeze: true})
-		if err := call(c, addr, briefly, nil); !errors.Is(err, ErrSilent) {
+		if err := call(c, addr, shortTimeout, nil); !errors.Is(err, ErrSilent) {
 			t.Fatal(err)
 		}
 		p.Set(faultproxy.Faults{})
-		if err := call(c, addr, amply, nil); err != nil {
+		if err := call(c, addr, longTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -136,22 +136,22 @@
 	wantSilences(t, c, log)
 }
 
-// What says nothing of old connections leaves them where they are: a caller that
-// has left, and a time-out on a new connection.
-func TestOtherEndsKeepIdleConnections(t *testing.T) {
-	c, p, addr, log := used(t, 3)
+// Failures that do not show a silent reused connection keep the idle connections: a canceled call
+// and a timeout on a new connection.
+func TestOtherFailuresKeepIdleConnections(t *testing.T) {
+	c, p, addr, log := newReusedClient(t, 3)
 	p.Set(faultproxy.Faults{Freeze: true})
 	ctx, cancel := context.WithCancel(context.Background())
-	time.AfterFunc(briefly, cancel)
+	time.AfterFunc(shortTimeout, cancel)
 	if _, err := c.Do(ctx, addr, request(addr), Reused); err == nil || errors.Is(err, ErrSilent) {
-		t.Fatalf("the caller has left: %v", err)
+		t.Fatalf("canceled call: %v", err)
 	}
 	fresh := func(ctx context.Context) (*Answer, error) { return c.Do(Anew(ctx), addr, request(addr), Reused) }
-	if err := call(c, addr, briefly, fresh); err == nil || errors.Is(err, ErrSilent) {
-		t.Fatalf("a new connection: %v", err)
+	if err := call(c, addr, shortTimeout, fresh); err == nil || errors.Is(err, ErrSilent) {
+		t.Fatalf("timeout on a new connection: %v", err)
 	}
 	p.Set(faultproxy.Faults{})
-	if err := call(c, addr, amply, nil); err != nil {
+	if err := call(c, addr, longTimeout, nil); err != nil {
 		t.Fatal(err)
 	}
 	if got := p.Accepted(); got != 4 {
@@ -160,16 +160,16 @@
 	wantSilences(t, c, log)
 }
 
-// A request that may run twice is answered within its own time although its
-// connection is silent, and is not sent twice on one that works.
-func TestDoTwice(t *testing.T) {
-	c, p, addr, log := used(t, 2)
+// DoWithRetry gets an answer within the call's timeout although its connection is silent, and does
+// not send the request again on a working connection.
+func TestDoWithRetry(t *testing.T) {
+	c, p, addr, log := newReusedClient(t, 2)
 	twice := func(ctx context.Context) (*Answer, error) { return c.DoTwice(ctx, addr, request(addr), 50) }
-	if err := call(c, addr, amply, twice); err != nil || p.Accepted() != 2 {
+	if err := call(c, addr, longTimeout, twice); err != nil || p.Accepted() != 2 {
 		t.Fatalf("%d connections, error %v", p.Accepted(), err)
 	}
 	p.Set(faultproxy.Faults{Silence: true})
-	if err := call(c, addr, amply, twice); err != nil {
+	if err := call(c, addr, longTimeout, twice); err != nil {
 		t.Fatal(err)
 	}
 	if got := p.Accepted(); got != 3 {
@@ -178,8 +178,8 @@
 	wantSilences(t, c, log, 1)
 }
 
-// An answer that has begun is waited for: only its first byte has to come soon.
-func TestBegunAnswerIsNotAskedForTwice(t *testing.T) {
+// DoWithRetry waits for an answer that has started: only the first byte has a timeout of its own.
+func TestStartedAnswerIsNotRequestedAgain(t *testing.T) {
 	const patience = 50
 	requests := make(chan struct{}, 8)
 	addr := serve(t, func(c net.Conn) {
@@ -190,22 +190,22 @@
 				return
 			}
 			requests <- struct{}{}
-			_, _ = io.WriteString(c, wholeAnswer[:9])
+			_, _ = io.WriteString(c, okAnswer[:9])
 			if n > 0 {
 				<-time.After(3 * patience * time.Millisecond) // a slow answer
 			}
-			_, _ = io.WriteString(c, wholeAnswer[9:])
+			_, _ = io.WriteString(c, okAnswer[9:])
 		}
 	})
 	c := New(WithMeters(meter.New()))
 	defer c.Close()
 	twice := func(ctx context.Context) (*Answer, error) { return c.DoTwice(ctx, addr, request(addr), patience) }
 	for range 2 {
-		if err := call(c, addr, amply, twice); err != nil {
+		if err := call(c, addr, longTimeout, twice); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(requests) != 2 || c.meters.SilentConnections.Get() != 0 {
-		t.Fatalf("%d requests, want 2; %d silences, want 0", len(requests), c.meters.SilentConnections.Get())
+		t.Fatalf("%d requests, want 2; %d silent connections, want 0", len(requests), c.meters.SilentConnections.Get())
 	}
 }
--- a/transport/httpcall/watched_test.go
+++ b/transport/httpcall/watched_test.go
@@ -11,40 +11,39 @@
 	"spanrill"
 )
 
-// The error of the silence function reaches the one who asked, also before the first
-// byte of the answer.
-func TestErrorOfSilenceBeforeTheHead(t *testing.T) {
+// The error of the silence handler is returned to the caller, also before the first byte of the
+// answer.
+func TestSilenceErrorBeforeHeaders(t *testing.T) {
 	addr := serve(t, func(net.Conn) {})
-	why := errors.New("the reason")
+	reason := errors.New("the reason")
 	var req fasthttp.Request
 	req.SetRequestURI("http://" + addr + "/")
 	client := New()
 	defer client.Close()
 	_, err := client.DoWatched(context.Background(), addr, &req, Fresh,
-		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return why }, func(func()) {})
-	if !errors.Is(err, why) {
+		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return reason }, func(func()) {})
+	if !errors.Is(err, reason) {
 		t.Fatalf("the error %v does not hold the reason", err)
 	}
 }
 
-// A poke that comes when its call has ended does not harm the next call on the same
-// connection.
-func TestLatePoke(t *testing.T) {
+// Waking a call that has ended does not affect the next call on the same connection.
+func TestWakeAfterCallEnded(t *testing.T) {
 	addr := serve(t, answerEach("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"))
 	var req fasthttp.Request
 	req.SetRequestURI("http://" + addr + "/")
 	client := New()
 	defer client.Close()
-	var poke func()
+	var wake func()
 	a, err := client.DoWatched(context.Background(), addr, &req, Reused,
-		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return nil }, func(p func()) { poke = p })
+		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return nil }, func(p func()) { wake = p })
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := a.ReadAll(1 << 10); err != nil {
 		t.Fatal(err)
 	}
-	poke()
+	wake()
 	if _, err := do(client, addr, nil); err != nil {
 		t.Fatalf("the next call: %v", err)
 	}
