--- a/transport/httpcall/silence.go
+++ b/transport/httpcall/silence.go
@@ -65,8 +65,8 @@
 	return ErrSilent
 }
 
-// handleSilence wraps the error of a failed call in ErrSilent if its reused connection was silent
-// until the call timed out. If that shows that the connections to addr have gone silent, it also
+// handleSilence wraps the error of a failed call in ErrSilent if the call timed out on a reused
+// connection. If that shows that the connections to addr have gone silent, it also
 // closes the idle ones: a probe would find them open, as it found this one.
 func (c *Client) handleSilence(ctx context.Context, addr string, cn *conn, err error) error {
 	if !cn.reused || !cn.firstByteTimedOut && !errors.Is(ctx.Err(), context.DeadlineExceeded) {
--- a/transport/peernet/link.go
+++ b/transport/peernet/link.go
@@ -16,31 +16,31 @@
 	"spanrill/transport/frame"
 )
 
-// link is one connection to a peer.
+// link is a connection to a peer.
 type link struct {
-	net    *Net
-	dialed bool
-	addr   string // address dialed, or ""
-	conn   gnet.Conn
-	opened chan struct{}
-	closed chan struct{}
-	nonce  [nonceSize]byte
+	net      *Net
+	outgoing bool   // this daemon dialed it
+	addr     string // address that this daemon dialed, or ""
+	conn     gnet.Conn
+	opened   chan struct{}
+	closed   chan struct{}
+	nonce    [nonceSize]byte
 
-	// Read by the event loop alone.
-	reader *frame.Reader
-	peer   string
-	ready  bool
+	// Used by the event loop only.
+	reader    *frame.Reader
+	peer      string
+	keysReady bool
 
-	mu     sync.Mutex // orders the frames sent
-	writer *frame.Writer
-	early  []message // sent before the keys were there
-	queued atomic.Int64
-	heard  atomic.Int64 // when bytes came last, as elapsed gives it
-	misses atomic.Int32 // questions without an answer since then
+	mu           sync.Mutex // keeps the frames sent in sequence
+	writer       *frame.Writer
+	unsent       []outbound   // messages that wait for the session keys
+	queuedBytes  atomic.Int64 // frames handed to the event loop and not yet written
+	lastReceived atomic.Int64 // when bytes last arrived, as a time of elapsed
+	timeouts     atomic.Int32 // requests that have timed out since then
 }
 
-// message is what waits for the keys.
-type message struct {
+// outbound is a message to be sent.
+type outbound struct {
 	kind    Kind
 	id      uint64
 	payload []byte
@@ -48,49 +48,50 @@
 
 const nonceSize = 16
 
-// hello is the first message of both ends.
+// hello is the first message that each side sends. It is encoded under its field names.
 type hello struct {
 	Name  string
 	Nonce []byte
 }
 
-// maxEarly bounds the messages that wait for the keys.
-const maxEarly = 64
+// maxUnsent is how many messages may wait for the session keys.
+const maxUnsent = 64
 
 func (n *Net) newLink(dialed bool) *link {
-	l := &link{net: n, dialed: dialed, opened: make(chan struct{}), closed: make(chan struct{})}
+	l := &link{net: n, outgoing: dialed, opened: make(chan struct{}), closed: make(chan struct{})}
 	_, _ = rand.Read(l.nonce[:])
 	l.reader = frame.NewReader(n.helloKey())
 	return l
 }
 
+// helloKey returns the key of the hello frames, which depends on the fleet secret only.
 func (n *Net) helloKey() frame.Key { return frame.DeriveKey(n.secret, []byte("hello")) }
 
-// sessionKeys returns the keys of both directions.
-func (l *link) sessionKeys(theirs []byte) (send, receive frame.Key) {
-	dialer, listener := l.nonce[:], theirs
-	if !l.dialed {
-		dialer, listener = theirs, l.nonce[:]
+// sessionKeys returns the keys for the two directions, derived from the nonces of both sides.
+func (l *link) sessionKeys(peerNonce []byte) (send, receive frame.Key) {
+	dialerNonce, listenerNonce := l.nonce[:], peerNonce
+	if !l.outgoing {
+		dialerNonce, listenerNonce = peerNonce, l.nonce[:]
 	}
-	up := frame.DeriveKey(l.net.secret, []byte("dialer to listener"), dialer, listener)
-	down := frame.DeriveKey(l.net.secret, []byte("listener to dialer"), dialer, listener)
-	if l.dialed {
-		return up, down
+	dialerKey := frame.DeriveKey(l.net.secret, []byte("dialer to listener"), dialerNonce, listenerNonce)
+	listenerKey := frame.DeriveKey(l.net.secret, []byte("listener to dialer"), dialerNonce, listenerNonce)
+	if l.outgoing {
+		return dialerKey, listenerKey
 	}
-	return down, up
+	return listenerKey, dialerKey
 }
 
-// dialing handles the connections that this daemon made.
-type dialing struct{ *Net }
+// dialHandler handles the connections that this daemon dialed.
+type dialHandler struct{ *Net }
 
 // OnBoot does nothing.
-func (dialing) OnBoot(gnet.Engine) gnet.Action { return gnet.None }
+func (dialHandler) OnBoot(gnet.Engine) gnet.Action { return gnet.None }
 
-// listening handles the connections that peers made.
-type listening struct{ *Net }
+// acceptHandler handles the connections that peers dialed.
+type acceptHandler struct{ *Net }
 
-// OnBoot keeps the engine for the stop.
-func (l listening) OnBoot(eng gnet.Engine) gnet.Action {
+// OnBoot stores the gnet engine, which is needed to stop it, and signals that peers can connect.
+func (l acceptHandler) OnBoot(eng gnet.Engine) gnet.Action {
 	l.engine = eng
 	close(l.booted)
 	return gnet.None
@@ -102,7 +103,7 @@
 // OnTick does nothing.
 func (n *Net) OnTick() (time.Duration, gnet.Action) { return 0, gnet.None }
 
-// OnOpen sends the hello.
+// OnOpen sets up the link of a connection and returns the hello to send.
 func (n *Net) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	l, ok := c.Context().(*link)
 	if !ok {
@@ -110,9 +111,9 @@
 		c.SetContext(l)
 	}
 	l.conn = c
-	l.hear()
-	if !l.dialed {
-		n.take(l)
+	l.markReceived()
+	if !l.outgoing {
+		n.addAccepted(l)
 	}
 	close(l.opened)
 	payload, err := msgpack.Marshal(hello{Name: n.name, Nonce: l.nonce[:]})
@@ -122,22 +123,22 @@
 	return frame.NewWriter(n.helloKey()).Append(nil, uint8(kindHello), 0, payload), gnet.None
 }
 
-// OnClose forgets the connection.
+// OnClose removes the link of a connection.
 func (n *Net) OnClose(c gnet.Conn, _ error) gnet.Action {
 	if l, ok := c.Context().(*link); ok {
 		close(l.closed)
-		n.forget(l)
+		n.removeLink(l)
 	}
 	return gnet.None
 }
 
-// OnTraffic reads the frames that have arrived whole.
+// OnTraffic handles the frames that have arrived completely.
 func (n *Net) OnTraffic(c gnet.Conn) gnet.Action {
 	l, ok := c.Context().(*link)
 	if !ok {
 		return gnet.Close
 	}
-	l.hear()
+	l.markReceived()
 	for {
 		buf, err := c.Peek(c.InboundBuffered())
 		if err != nil || len(buf) == 0 {
@@ -148,12 +149,12 @@
 			return gnet.None
 		}
 		if err != nil {
-			l.refuse(err)
+			l.reportBadFrame(err)
 			return gnet.Close
 		}
 		n.meters.PeerBytesReceived.Add(used)
-		if err := l.take(f); err != nil {
-			l.refuse(err)
+		if err := l.handleFrame(f); err != nil {
+			l.reportBadFrame(err)
 			return gnet.Close
 		}
 		if _, err := c.Discard(used); err != nil {
@@ -162,20 +163,21 @@
 	}
 }
 
-// refuse notes a frame that ends the connection.
-func (l *link) refuse(err error) {
+// reportBadFrame counts and logs a frame that ends the connection.
+func (l *link) reportBadFrame(err error) {
 	l.net.meters.FramesRefused.Inc()
 	event := events.FrameRefused
-	if !l.ready {
+	if !l.keysReady {
 		event = events.PeerRefused
 	}
 	event.Log(l.net.log, logrus.Fields{"remote": l.conn.RemoteAddr().String(), "error": err})
 }
 
-// take handles one frame on the event loop.
-func (l *link) take(f frame.Frame) error {
-	if !l.ready {
-		return l.greet(f)
+// handleFrame handles one frame on the event loop. It passes replies to their callers, and other
+// messages to the workers.
+func (l *link) handleFrame(f frame.Frame) error {
+	if !l.keysReady {
+		return l.handleHello(f)
 	}
 	payload := bytes.Clone(f.Payload)
 	if Kind(f.Kind) == kindReply {
@@ -185,18 +187,19 @@
 		return nil
 	}
 	select {
-	case l.net.work <- inbound{from: l, kind: Kind(f.Kind), id: f.ID, payload: payload}:
+	case l.net.inbox <- inbound{from: l, kind: Kind(f.Kind), id: f.ID, payload: payload}:
 	default:
 		events.PeerQueueFull.Log(l.net.log, logrus.Fields{"peer": l.peer, "direction": "in"})
 	}
 	return nil
 }
 
-// errNoHello means that a connection does not start with a hello.
-var errNoHello = errors.New("first frame is no hello")
+// errNoHello means that the first frame of a connection is not a valid hello.
+var errNoHello = errors.New("first frame is not a hello")
 
-// greet takes the peer's hello and derives the keys.
-func (l *link) greet(f frame.Frame) error {
+// handleHello derives the session keys from the peer's hello and sends the messages that waited
+// for them.
+func (l *link) handleHello(f frame.Frame) error {
 	var h hello
 	if Kind(f.Kind) != kindHello {
 		return errNoHello
@@ -206,51 +209,51 @@
 	}
 	send, receive := l.sessionKeys(h.Nonce)
 	l.reader.Rekey(receive)
-	l.peer, l.ready = h.Name, true
+	l.peer, l.keysReady = h.Name, true
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.writer = frame.NewWriter(send)
-	for _, m := range l.early {
+	for _, m := range l.unsent {
 		_ = l.write(m)
 	}
-	l.early = nil
+	l.unsent = nil
 	return nil
 }
 
-// send queues one message.
+// send sends a message, or keeps it until the session keys are known.
 func (l *link) send(kind Kind, id uint64, payload []byte) error {
-	if l.queued.Load() > maxQueued {
+	if l.queuedBytes.Load() > maxQueued {
 		events.PeerQueueFull.Log(l.net.log, logrus.Fields{"peer": l.peer, "direction": "out"})
 		return ErrQueueFull
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := message{kind: kind, id: id, payload: payload}
+	m := outbound{kind: kind, id: id, payload: payload}
 	if l.writer != nil {
 		return l.write(m)
 	}
-	if len(l.early) >= maxEarly {
+	if len(l.unsent) >= maxUnsent {
 		return ErrQueueFull
 	}
-	l.early = append(l.early, m)
+	l.unsent = append(l.unsent, m)
 	return nil
 }
 
-// write hands a frame to the event loop. The caller holds the lock.
-func (l *link) write(m message) error {
+// write hands a message as a frame to the event loop. The caller holds mu.
+func (l *link) write(m outbound) error {
 	buf := l.writer.Append(nil, uint8(m.kind), m.id, m.payload)
 	size := int64(len(buf))
-	l.queued.Add(size)
+	l.queuedBytes.Add(size)
 	l.net.meters.PeerBytesSent.Add(len(buf))
 	err := l.conn.AsyncWrite(buf, func(c gnet.Conn, _ error) error {
-		l.queued.Add(-size)
+		l.queuedBytes.Add(-size)
 		if c.OutboundBuffered() > maxQueued {
 			return c.Close()
 		}
 		return nil
 	})
 	if err != nil {
-		l.queued.Add(-size)
+		l.queuedBytes.Add(-size)
 		return errors.Wrapf(ErrNoPeer, "write: %v", err)
 	}
 	return nil
--- a/transport/peernet/peernet.go
+++ b/transport/peernet/peernet.go
@@ -1,21 +1,20 @@
 // Package peernet carries messages between daemons over TCP.
 //
-// Each daemon listens for its peers and dials a connection to each peer that
-// it sends to. Replies come back on the connection of their request. Both ends
-// prove with their first frames that they know the fleet's secret, and derive
-// the keys of the connection from fresh random numbers.
+// Each daemon listens for its peers and dials a connection to each peer that it sends to. Replies
+// come back on the connection of their request. The first frame of each side, its hello, proves
+// that it knows the fleet secret. The keys of the connection are derived from random nonces that
+// the hellos carry.
 //
-// The callbacks of the event loop never wait: what arrives is handed to a few
-// workers over a bounded queue, and what is sent is bounded for each peer. What
-// does not fit is dropped and counted, since every message is repeated or asked
-// for again by the layers above. A connection that stays open and says nothing
-// more is replaced (silence.go).
+// The callbacks of the event loop never block: messages that arrive go to a few workers through a
+// bounded queue, and the bytes that wait to be sent are bounded for each peer. Messages over these
+// bounds are dropped and logged, since the layers above repeat or request every message again.
+// A connection that stays open but is silent is replaced (silence.go).
 //
 // # Usage
 //
 //	n, err := peernet.New("10.0.0.1:8082", "entry-1", secret, handler)
 //	err = n.Run(ctx)
-//	reply, err := n.Ask(ctx, "10.0.0.2:8082", kind, payload)
+//	reply, err := n.Request(ctx, "10.0.0.2:8082", kind, payload)
 package peernet
 
 import (
@@ -35,19 +34,19 @@
 	"spanrill/task"
 )
 
-// Kind is a kind of message. The layers above number their own kinds from 1.
+// Kind is the kind of a message. The layers above number their kinds from 1.
 type Kind uint8
 
-// Kinds of this package.
+// The kinds that this package uses.
 const (
 	kindHello Kind = 0
-	// kindReply answers a request.
+	// kindReply is the reply to a request and has its id.
 	kindReply Kind = 255
 )
 
-// Handler takes the messages of peers. A message without a reply is handled on
-// a worker and must not wait long. A request has a goroutine of its own and is
-// answered with the payload returned.
+// Handler handles the messages of peers. For a message without a reply it runs on a worker and must
+// not block for long. For a request it runs on a goroutine of its own, and the payload that it
+// returns is the reply.
 type Handler func(from string, kind Kind, payload []byte) (reply []byte)
 
 // Net carries messages between daemons.
@@ -59,25 +58,25 @@
 	log     logrus.FieldLogger
 	meters  *meter.Meters
 
-	engine  gnet.Engine
-	booted  chan struct{}
-	client  *gnet.Client
-	started chan struct{}    // closed once the client may dial
-	joining sync.Mutex       // makes one link at a time
-	stopped bool             // guarded by joining
-	mu      sync.Mutex       // guards links and taken
-	links   map[string]*link // by address dialed
-	taken   map[*link]bool   // that peers have dialed
-	idle    time.Duration    // after which one of these is closed
-	begun   time.Time
-	work    chan inbound
-	nextID  atomic.Uint64
-	pending sync.Map // id to chan []byte
-
-	requests task.Group // requests of peers that are being answered
+	engine    gnet.Engine
+	booted    chan struct{}
+	client    *gnet.Client
+	started   chan struct{}    // closed once connections can be dialed
+	enrollMu  sync.Mutex       // held while a link is made
+	stopped   bool             // guarded by joining
+	mu        sync.Mutex       // guards links and taken
+	links     map[string]*link // links that this daemon dialed, by address
+	accepted  map[*link]bool   // links that peers dialed
+	idleLimit time.Duration    // time without a byte after which an accepted link may be closed
+	startTime time.Time        // origin of elapsed
+	inbox     chan inbound
+	nextID    atomic.Uint64
+	pending   sync.Map // request id to chan []byte, which takes the reply
+
+	requests task.Group // handlers that run for requests of peers
 }
 
-// inbound is a message that waits for a worker.
+// inbound is a received message that waits for a worker.
 type inbound struct {
 	from    *link
 	kind    Kind
@@ -88,7 +87,7 @@
 // Option changes a default of New.
 type Option func(*Net)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(n *Net) { n.log = log }
 }
@@ -98,39 +97,39 @@
 	return func(n *Net) { n.meters = m }
 }
 
-// WithIdleLimit sets after how long without a byte a connection that a peer made
-// may be closed.
+// WithIdleLimit sets the time without a byte after which a connection that a peer dialed may be
+// closed.
 func WithIdleLimit(d time.Duration) Option {
-	return func(n *Net) { n.idle = d }
+	return func(n *Net) { n.idleLimit = d }
 }
 
 const (
-	inboundQueue = 1024
-	workers      = 4
-	dialTimeout  = 500 * time.Millisecond
-	maxQueued    = 4 << 20 // bytes that wait to be sent to one peer
+	inboxSize   = 1024
+	workers     = 4
+	dialTimeout = 500 * time.Millisecond
+	maxQueued   = 4 << 20 // bytes that may wait to be sent to one peer
 )
 
-// Errors of sending.
+// Errors of Send and Request.
 var (
 	// ErrNoPeer means that no connection to the peer could be made.
 	ErrNoPeer = errors.New("peer cannot be reached")
-	// ErrQueueFull means that too much waits to be sent to the peer.
-	ErrQueueFull = errors.New("queue of the peer is full")
+	// ErrQueueFull means that too many bytes or messages wait to be sent to the peer.
+	ErrQueueFull = errors.New("send queue of the peer is full")
 )
 
-// New returns a net that listens on listen once it runs.
+// New returns a Net that listens on the address listen once Run is called.
 func New(listen, name, secret string, handler Handler, opts ...Option) (*Net, error) {
 	n := &Net{
 		listen: listen, name: name, secret: []byte(secret), handler: handler,
 		log: logrus.StandardLogger(), meters: meter.New(),
-		booted: make(chan struct{}), started: make(chan struct{}), links: map[string]*link{}, work: make(chan inbound, inboundQueue),
-		taken: map[*link]bool{}, idle: defaultIdle, begun: time.Now(),
+		booted: make(chan struct{}), started: make(chan struct{}), links: map[string]*link{}, inbox: make(chan inbound, inboxSize),
+		accepted: map[*link]bool{}, idleLimit: defaultIdleLimit, startTime: time.Now(),
 	}
 	for _, o := range opts {
 		o(n)
 	}
-	client, err := gnet.NewClient(dialing{n}, gnet.WithLogger(silent{}), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
+	client, err := gnet.NewClient(dialHandler{n}, gnet.WithLogger(discardLogger{}), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
 	if err != nil {
 		return nil, fmt.Errorf("make client: %w", err)
 	}
@@ -150,7 +149,7 @@
 	}
 	served := make(chan error, 1)
 	tasks.Start(ctx, "peer listener", func(context.Context) error {
-		err := gnet.Run(listening{n}, "tcp://"+n.listen, gnet.WithLogger(silent{}), gnet.WithReuseAddr(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
+		err := gnet.Run(acceptHandler{n}, "tcp://"+n.listen, gnet.WithLogger(discardLogger{}), gnet.WithReuseAddr(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
 		served <- err
 		return err
 	})
@@ -170,6 +169,7 @@
 
 const stopTimeout = 2 * time.Second
 
+// stopListening stops the listener and closes the connections that peers dialed.
 func (n *Net) stopListening() {
 	select {
 	case <-n.booted:
@@ -181,11 +181,11 @@
 	_ = n.engine.Stop(ctx)
 }
 
-// stopDialing ends the connections that were dialed and allows no more.
+// stopDialing closes the connections that were dialed and prevents new ones.
 func (n *Net) stopDialing() {
-	n.joining.Lock()
+	n.enrollMu.Lock()
 	n.stopped = true
-	n.joining.Unlock()
+	n.enrollMu.Unlock()
 	_ = n.client.Stop()
 }
 
@@ -201,7 +201,7 @@
 	return l.send(kind, 0, payload)
 }
 
-// Ask sends a request and returns its reply.
+// Request sends a request and returns its reply.
 func (n *Net) Ask(ctx context.Context, addr string, kind Kind, payload []byte) ([]byte, error) {
 	l, err := n.link(addr)
 	if err != nil {
@@ -222,13 +222,13 @@
 		return nil, &spanrill.CallError{Phase: spanrill.PhaseAnswer, Written: len(payload), Cause: ErrNoPeer}
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			n.unanswered(l, sent)
+			n.recordTimeout(l, sent)
 		}
 		return nil, fmt.Errorf("ask %s: %w", addr, ctx.Err())
 	}
 }
 
-// link returns the connection to a peer, and makes one if there is none.
+// link returns the link to a peer, and dials one if there is none.
 func (n *Net) link(addr string) (*link, error) {
 	if l := n.linkTo(addr); l != nil {
 		return l, nil
@@ -245,11 +245,11 @@
 	return n.enroll(addr, conn)
 }
 
-// enroll makes a link of a connection. It waits for the event loop, which takes
-// mu when another connection ends; mu is therefore not held meanwhile.
+// enroll adds a dialed connection to the event loop and returns its link. It does not hold mu while
+// it waits for the event loop, which itself locks mu when another connection closes.
 func (n *Net) enroll(addr string, conn net.Conn) (*link, error) {
-	n.joining.Lock()
-	defer n.joining.Unlock()
+	n.enrollMu.Lock()
+	defer n.enrollMu.Unlock()
 	if l := n.linkTo(addr); l != nil {
 		_ = conn.Close()
 		return l, nil
@@ -267,36 +267,37 @@
 	n.links[addr] = l
 	n.mu.Unlock()
 	select {
-	case <-l.closed: // before it was kept
-		n.forget(l)
+	case <-l.closed: // closed before it was added to links
+		n.removeLink(l)
 	default:
 	}
 	return l, nil
 }
 
-// linkTo returns the link to a peer that is kept, or nil.
+// linkTo returns the current link to a peer, or nil.
 func (n *Net) linkTo(addr string) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.links[addr]
 }
 
-func (n *Net) forget(l *link) {
+// removeLink removes a link, so that the next message to its peer dials a new one.
+func (n *Net) removeLink(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.taken, l)
+	delete(n.accepted, l)
 	if n.links[l.addr] == l {
 		delete(n.links, l.addr)
 	}
 }
 
-// serveInbound hands messages to the handler.
+// serveInbound passes received messages to the handler. It runs on each worker.
 func (n *Net) serveInbound(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case m := <-n.work:
+		case m := <-n.inbox:
 			if m.id == 0 {
 				n.handler(m.from.peer, m.kind, m.payload)
 				continue
@@ -308,20 +309,20 @@
 	}
 }
 
-// silent drops the log lines of gnet; what matters is logged as an event here.
-type silent struct{}
+// discardLogger drops the log lines of gnet. What matters to operators is logged as events.
+type discardLogger struct{}
 
 // Debugf drops a line.
-func (silent) Debugf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
 
 // Infof drops a line.
-func (silent) Infof(string, ...any) {}
+func (discardLogger) Infof(string, ...any) {}
 
 // Warnf drops a line.
-func (silent) Warnf(string, ...any) {}
+func (discardLogger) Warnf(string, ...any) {}
 
 // Errorf drops a line.
-func (silent) Errorf(string, ...any) {}
+func (discardLogger) Errorf(string, ...any) {}
 
 // Fatalf drops a line.
-func (silent) Fatalf(string, ...any) {}
+func (discardLogger) Fatalf(string, ...any) {}
--- a/transport/peernet/peernet_test.go
+++ b/transport/peernet/peernet_test.go
@@ -18,7 +18,7 @@
 
 const testKind Kind = 9
 
-// start runs a net on a free port and returns it with its address.
+// start runs a Net on a free port and returns it with its address.
 func start(t *testing.T, name, secret string, h Handler, opts ...Option) (*Net, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,11 +44,12 @@
 	return n, addr
 }
 
+// echo is a handler that replies with all that it got.
 func echo(from string, kind Kind, payload []byte) []byte {
 	return fmt.Appendf(nil, "%s %d %s", from, kind, payload)
 }
 
-func TestAskIsAnswered(t *testing.T) {
+func TestRequestIsAnswered(t *testing.T) {
 	_, addr := start(t, "b", "secret-of-the-fleet", echo)
 	a, _ := start(t, "a", "secret-of-the-fleet", echo)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -70,15 +71,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if reply, err := a.Ask(ctx, addr, testKind, nil); err == nil {
-		t.Fatalf("got the reply %q", reply)
+		t.Fatalf("a peer with another secret got the reply %q", reply)
 	}
 	if a.meters.FramesRefused.Get()+b.meters.FramesRefused.Get() == 0 {
-		t.Fatal("nothing was counted")
+		t.Fatal("no refused frame was counted")
 	}
 }
 
-// A peer that sends garbage is cut off, and others are served as before.
-func TestBadBytesEndOnlyTheirConnection(t *testing.T) {
+// A connection that carries malformed frames is closed, and other peers are still served.
+func TestBadBytesCloseOnlyTheirConnection(t *testing.T) {
 	hello := frame.NewWriter(frame.DeriveKey([]byte("secret-of-the-fleet"), []byte("hello"))).Append(nil, 0, 0, []byte("x"))
 	oversized := append([]byte(nil), hello...)
 	oversized[20] = 0xff
@@ -96,7 +97,7 @@
 		}
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := io.Copy(io.Discard, c); err != nil && isTimeout(err) {
-			t.Fatalf("connection %d was not ended", i)
+			t.Fatalf("connection %d was not closed", i)
 		}
 		_ = c.Close()
 	}
@@ -115,21 +116,21 @@
 	return ok && ne.Timeout()
 }
 
-// Connections that end while others are made hold nobody up: the event loop that
-// learns of the end is the one that new connections wait for.
-func TestConnectionsEndWhileOthersAreMade(t *testing.T) {
+// Guards against a deadlock between connections that close and connections that are made: a new
+// connection waits for the event loop, which handles the close.
+func TestConnectionsCloseWhileOthersOpen(t *testing.T) {
 	a, _ := start(t, "a", "secret-of-the-fleet", echo)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	var asking sync.WaitGroup
+	var callers sync.WaitGroup
 	for _, name := range []string{"b", "c", "d", "e"} {
-		proxy, addr, _ := between(t, name)
-		asking.Add(1)
+		proxy, addr, _ := startBehindProxy(t, name)
+		callers.Add(1)
 		go func() {
-			defer asking.Done()
+			defer callers.Done()
 			for range 100 {
 				if _, err := a.Ask(ctx, addr, testKind, nil); errors.Is(err, context.DeadlineExceeded) {
-					t.Errorf("a question to %s: %v", addr, err)
+					t.Errorf("request to %s: %v", addr, err)
 					return
 				}
 				proxy.Cut()
@@ -138,12 +139,12 @@
 	}
 	done := make(chan struct{})
 	go func() {
-		asking.Wait()
+		callers.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the questions have not ended")
+		t.Fatal("the requests have not ended")
 	}
 }
--- a/transport/peernet/silence.go
+++ b/transport/peernet/silence.go
@@ -9,76 +9,76 @@
 )
 
 const (
-	// silentMisses is how many questions in a row go without an answer, and
-	// without any byte, before a link counts as silent: one can fall to a peer
-	// that stands still for a moment. Questions wait for 400 ms and are asked
-	// every 250 ms; a silence is found 0.95 to 1.26 s after the last byte
-	// (docs/design/silence.md).
-	silentMisses = 2
-	// defaultIdle is many times the pause between two messages of a peer, which
-	// is 17 s on average for a member of a zone of 100 that is only sent gossip.
-	defaultIdle = 5 * time.Minute
+	// silentTimeouts is how many requests in a row must time out, without any byte
+	// received, before a link counts as silent. A single timeout can be due to a
+	// peer that pauses for a moment. Requests time out after 400 ms and are sent
+	// every 250 ms, so a silent link is detected 0.95 to 1.26 s after the last
+	// byte (docs/design/silence.md).
+	silentTimeouts = 2
+	// defaultIdleLimit is many times the pause between two messages of a peer. That
+	// pause averages 17 s for a member of a zone of 100 that is only sent gossip.
+	defaultIdleLimit = 5 * time.Minute
 )
 
-// elapsed is a clock that is never set.
-func (n *Net) elapsed() time.Duration { return time.Since(n.begun) }
+// elapsed returns the time since n was made, on a monotonic clock.
+func (n *Net) elapsed() time.Duration { return time.Since(n.startTime) }
 
-// hear notes that bytes have come.
-func (l *link) hear() {
-	l.heard.Store(int64(l.net.elapsed()))
-	l.misses.Store(0)
+// markReceived records that bytes have arrived now.
+func (l *link) markReceived() {
+	l.lastReceived.Store(int64(l.net.elapsed()))
+	l.timeouts.Store(0)
 }
 
-// unanswered takes note of a question sent at a time that got no answer. A link
-// that has said nothing since, several times in a row, is given up, so that the
-// next message makes a new one.
-func (n *Net) unanswered(l *link, sent time.Duration) {
-	if l.quietSince(sent) && l.misses.Add(1) == silentMisses {
-		n.giveUp(l, sent)
+// recordTimeout records that a request sent at the time sent has timed out. After silentTimeouts
+// of them in a row without a byte received, it closes the link, so that the next message dials a
+// new one.
+func (n *Net) recordTimeout(l *link, sent time.Duration) {
+	if l.quietSince(sent) && l.timeouts.Add(1) == silentTimeouts {
+		n.closeSilent(l, sent)
 	}
 }
 
-// quietSince reports whether nothing has come since a time.
-func (l *link) quietSince(at time.Duration) bool { return time.Duration(l.heard.Load()) <= at }
+// quietSince reports whether no bytes have arrived since a time.
+func (l *link) quietSince(at time.Duration) bool { return time.Duration(l.lastReceived.Load()) <= at }
 
-// giveUp closes a silent link. If another one misses answers as well, all links
-// may have gone silent at once: then those go too that have said nothing since,
-// among them those on which nothing is ever asked.
-func (n *Net) giveUp(silent *link, sent time.Duration) {
+// closeSilent closes a silent link. If requests time out on another quiet link as well, all links
+// may have gone silent at once. It then closes every dialed link on which no bytes have arrived
+// since sent, including links that carry no requests and so would never time out.
+func (n *Net) closeSilent(silent *link, sent time.Duration) {
 	var quiet []*link
-	common := false
+	othersTimedOut := false
 	n.mu.Lock()
 	for _, l := range n.links {
 		if l != silent && l.quietSince(sent) {
 			quiet = append(quiet, l)
-			common = common || l.misses.Load() > 0
+			othersTimedOut = othersTimedOut || l.timeouts.Load() > 0
 		}
 	}
 	n.mu.Unlock()
-	if !common {
+	if !othersTimedOut {
 		quiet = nil
 	}
 	for _, l := range append(quiet, silent) {
-		n.forget(l) // at once: the event loop may be slow
+		n.removeLink(l) // not left to OnClose: the event loop may be slow
 		_ = l.conn.Close()
 	}
 	n.meters.SilentConnections.Inc()
 	events.ConnectionSilent.Log(n.log, logrus.Fields{
 		"remote": silent.addr, "kind": "peer", "also_closed": len(quiet),
-		"silent_ms": (n.elapsed() - time.Duration(silent.heard.Load())).Milliseconds(),
+		"silent_ms": (n.elapsed() - time.Duration(silent.lastReceived.Load())).Milliseconds(),
 	})
 }
 
-// take keeps a link that a peer has made and closes those that have said nothing
-// for long: a peer that gives up a silent link cannot say so on it.
-func (n *Net) take(l *link) {
+// addAccepted adds a link that a peer dialed, and closes accepted links that have been quiet for
+// longer than idleLimit. When a peer closes a silent link, this side never learns of it.
+func (n *Net) addAccepted(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for old := range n.taken {
-		if old.quietSince(n.elapsed() - n.idle) {
-			delete(n.taken, old)
+	for old := range n.accepted {
+		if old.quietSince(n.elapsed() - n.idleLimit) {
+			delete(n.accepted, old)
 			_ = old.conn.Close()
 		}
 	}
-	n.taken[l] = true
+	n.accepted[l] = true
 }
--- a/transport/peernet/silence_test.go
+++ b/transport/peernet/silence_test.go
@@ -14,8 +14,9 @@
 	"spanrill/standin/faultproxy"
 )
 
-// between returns a proxy in front of a new peer that tells of one-way messages.
-func between(t *testing.T, name string) (p *faultproxy.Proxy, addr string, told <-chan string) {
+// startBehindProxy starts a peer behind a fault proxy. It returns the proxy with its address, and a
+// channel with the one-way messages that the peer receives.
+func startBehindProxy(t *testing.T, name string) (p *faultproxy.Proxy, addr string, received <-chan string) {
 	t.Helper()
 	got := make(chan string, 16)
 	_, peer := start(t, name, "secret-of-the-fleet", func(from string, kind Kind, payload []byte) []byte {
@@ -35,30 +36,30 @@
 
 const (
 	oneWay Kind = 10
-	// patience is how long a question of these tests waits for its answer.
-	patience = 150 * time.Millisecond
+	// requestTimeout is how long the requests of these tests wait for their replies.
+	requestTimeout = 150 * time.Millisecond
 )
 
-// ask asks once, with a short wait.
+// ask sends one request with a short timeout.
 func ask(n *Net, addr string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	_, err := n.Ask(ctx, addr, testKind, nil)
 	return err
 }
 
-// watched starts a net whose log lines are kept.
-func watched(t *testing.T) (*Net, *logtest.Hook) {
+// startWithLogHook starts a Net and returns it with a hook that keeps its log entries.
+func startWithLogHook(t *testing.T) (*Net, *logtest.Hook) {
 	t.Helper()
 	log, hook := logtest.NewNullLogger()
 	n, _ := start(t, "a", "secret-of-the-fleet", echo, WithLogger(log))
 	return n, hook
 }
 
-func wantFound(t *testing.T, n *Net, hook *logtest.Hook, want int) {
+func wantSilences(t *testing.T, n *Net, hook *logtest.Hook, want int) {
 	t.Helper()
 	if got := n.meters.SilentConnections.Get(); got != uint64(want) {
-		t.Errorf("%d silences were counted, want %d", got, want)
+		t.Errorf("%d silent connections were counted, want %d", got, want)
 	}
 	lines := 0
 	for _, e := range hook.AllEntries() {
@@ -67,15 +68,15 @@
 		}
 	}
 	if lines != want {
-		t.Errorf("%d silences were logged, want %d", lines, want)
+		t.Errorf("%d silent connections were logged, want %d", lines, want)
 	}
 }
 
-// A link that stays open and says nothing more is replaced after a few questions;
-// one that works carries no more connections and bytes than its questions need.
+// A link that goes silent is replaced after silentTimeouts requests. A working link keeps its one
+// connection.
 func TestSilentLinkIsReplaced(t *testing.T) {
-	proxy, addr, _ := between(t, "b")
-	a, hook := watched(t)
+	proxy, addr, _ := startBehindProxy(t, "b")
+	a, hook := startWithLogHook(t)
 	for range 20 {
 		if err := ask(a, addr); err != nil {
 			t.Fatal(err)
@@ -84,21 +85,21 @@
 	if proxy.Accepted() != 1 {
 		t.Fatalf("%d connections were made for a link that works", proxy.Accepted())
 	}
-	wantFound(t, a, hook, 0)
+	wantSilences(t, a, hook, 0)
 	proxy.Set(faultproxy.Faults{Silence: true})
-	for range silentMisses {
+	for range silentTimeouts {
 		if err := ask(a, addr); !errors.Is(err, context.DeadlineExceeded) {
-			t.Fatalf("on a silent link: %v", err)
+			t.Fatalf("request on a silent link: %v, want a timeout", err)
 		}
 	}
 	if err := ask(a, addr); err != nil {
-		t.Fatalf("after %d questions without an answer: %v", silentMisses, err)
+		t.Fatalf("after %d timeouts: %v", silentTimeouts, err)
 	}
-	wantFound(t, a, hook, 1)
+	wantSilences(t, a, hook, 1)
 }
 
-// A peer that is slow with one answer keeps its link: something else has come.
-func TestSlowAnswerIsNoSilence(t *testing.T) {
+// A link stays in use if some replies time out while others arrive.
+func TestSlowReplyKeepsLink(t *testing.T) {
 	release := make(chan struct{})
 	_, addr := start(t, "b", "secret-of-the-fleet", func(_ string, kind Kind, _ []byte) []byte {
 		if kind == oneWay {
@@ -107,10 +108,10 @@
 		return nil
 	})
 	defer close(release)
-	a, hook := watched(t)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	a, hook := startWithLogHook(t)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	slow := make(chan error, 2*silentMisses)
+	slow := make(chan error, 2*silentTimeouts)
 	for range cap(slow) {
 		go func() {
 			_, err := a.Ask(ctx, addr, oneWay, nil)
@@ -127,18 +128,17 @@
 			t.Fatal(err)
 		}
 	}
-	wantFound(t, a, hook, 0)
+	wantSilences(t, a, hook, 0)
 }
 
-// When several links are silent at once, a link on which nothing is ever asked is
-// replaced too.
-func TestSilenceOfAllLinksReachesThoseWithoutQuestions(t *testing.T) {
-	a, hook := watched(t)
+// When several links go silent at once, a quiet link that carries no requests is replaced too.
+func TestCommonSilenceReplacesLinksWithoutRequests(t *testing.T) {
+	a, hook := startWithLogHook(t)
 	proxies := make([]*faultproxy.Proxy, 3)
 	addrs := make([]string, 3)
-	var told <-chan string
+	var received <-chan string
 	for i, name := range []string{"b", "c", "d"} {
-		proxies[i], addrs[i], told = between(t, name)
+		proxies[i], addrs[i], received = startBehindProxy(t, name)
 		if err := ask(a, addrs[i]); err != nil {
 			t.Fatal(err)
 		}
@@ -146,29 +146,28 @@
 	if err := a.Send(addrs[2], oneWay, []byte("before")); err != nil {
 		t.Fatal(err)
 	}
-	<-told
+	<-received
 	for _, p := range proxies {
 		p.Set(faultproxy.Faults{Silence: true})
 	}
-	for range silentMisses {
+	for range silentTimeouts {
 		_, _ = ask(a, addrs[0]), ask(a, addrs[1])
 	}
 	if err := a.Send(addrs[2], oneWay, []byte("after")); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case got := <-told:
+	case got := <-received:
 		if got != "after" {
 			t.Fatalf("got %q", got)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("a message on the link without questions is lost")
+		t.Fatal("the message on the link without requests was lost")
 	}
-	wantFound(t, a, hook, 1)
+	wantSilences(t, a, hook, 1)
 }
 
-// A connection that a peer has replaced without its end being heard here does not
-// stay for good.
+// A connection whose close never reaches this side is closed after the idle limit.
 func TestIdleConnectionsOfPeersAreClosed(t *testing.T) {
 	_, addr := start(t, "b", "secret-of-the-fleet", echo, WithIdleLimit(time.Millisecond))
 	idle, err := net.Dial("tcp", addr)
@@ -181,17 +180,17 @@
 		defer close(ended)
 		_, _ = io.Copy(io.Discard, idle)
 	}()
-	for limit := time.After(5 * time.Second); ; {
+	for deadline := time.After(5 * time.Second); ; {
 		other, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.ReadFull(other, make([]byte, 1)) // its hello: the peer has taken it
+		_, _ = io.ReadFull(other, make([]byte, 1)) // part of its hello, so the peer has accepted it
 		_ = other.Close()
 		select {
 		case <-ended:
 			return
-		case <-limit:
+		case <-deadline:
 			t.Fatal("the idle connection is still open")
 		default:
 		}
