--- a/transport/callerhttp/acceptor.go
+++ b/transport/callerhttp/acceptor.go
@@ -11,110 +11,111 @@
 	"spanrill"
 )
 
-// Acceptor is a listener that outlasts errors that pass, such as a lack of
-// descriptors, and says whether it takes new connections.
+// Acceptor is a listener that retries after transient errors, such as a lack of file descriptors,
+// and reports whether it accepts new connections.
 type Acceptor struct {
 	net.Listener
 	clock  spanrill.Clock
 	closed chan struct{}
 
-	mu       sync.Mutex
-	begun    bool  // somebody waits for connections
-	ended    bool  // nobody will any more
-	err      error // of the last failure
-	failedAt spanrill.Millis
-	once     sync.Once
+	mu        sync.Mutex
+	accepting bool  // Accept has been called
+	stopped   bool  // the listener is closed or has failed for good
+	err       error // the last failure of Accept
+	failedAt  spanrill.Millis
+	once      sync.Once
 }
 
 const (
-	// acceptRetry is how long after a failure a connection is waited for again.
-	acceptRetry spanrill.Millis = 20
-	// acceptTrust is how long no failure must have come before connections are
-	// taken for sure again: several retries.
-	acceptTrust spanrill.Millis = 250
+	// acceptRetryDelay is the pause between a transient error and the next attempt.
+	acceptRetryDelay spanrill.Millis = 20
+	// acceptRecovery is how long after the last failure Err reports that connections are accepted
+	// again. It spans several retries.
+	acceptRecovery spanrill.Millis = 250
 )
 
-// ErrNotAccepting means that nobody waits for connections.
-var ErrNotAccepting = errors.New("nobody waits for connections")
+// ErrNotAccepting means that Accept has not been called yet.
+var ErrNotAccepting = errors.New("not accepting connections yet")
 
-// NewAcceptor returns an acceptor of a listener's connections.
+// NewAcceptor returns an Acceptor of the connections of ln.
 func NewAcceptor(ln net.Listener, clock spanrill.Clock) *Acceptor {
 	return &Acceptor{Listener: ln, clock: clock, closed: make(chan struct{})}
 }
 
-// Accept returns the next connection. It waits while none can be taken, and
-// fails once the listener is closed or cannot be used again.
+// Accept returns the next connection. It retries after transient errors, and fails once the
+// listener is closed or has another error.
 func (a *Acceptor) Accept() (net.Conn, error) {
 	for {
-		a.begin()
+		a.markAccepting()
 		c, err := a.Listener.Accept()
 		if err == nil {
 			return c, nil
 		}
-		if !passes(err) {
-			a.end(err)
+		if !isTransient(err) {
+			a.stop(err)
 			return nil, err
 		}
-		a.fail(err)
+		a.recordFailure(err)
 		select {
 		case <-a.closed:
 			return nil, net.ErrClosed
-		case <-a.clock.After(acceptRetry):
+		case <-a.clock.After(acceptRetryDelay):
 		}
 	}
 }
 
-// passes reports whether an error of an accept goes away by itself: those that
-// accept(2) of Linux names as of the process's or the system's means, or of a
-// connection that is gone already.
-func passes(err error) bool {
-	for _, passing := range []syscall.Errno{
+// isTransient reports whether an error of accept goes away by itself. These are the errors that
+// accept(2) of Linux lists for exhausted resources of the process or the system, and for a
+// connection that has failed before it was accepted.
+func isTransient(err error) bool {
+	for _, transient := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EINTR,
 		syscall.EAGAIN, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTDOWN, syscall.EHOSTUNREACH,
 		syscall.ENETUNREACH, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP,
 	} {
-		if errors.Is(err, passing) {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Acceptor) begin() {
+func (a *Acceptor) markAccepting() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.begun = true
+	a.accepting = true
 }
 
-func (a *Acceptor) fail(err error) {
+func (a *Acceptor) recordFailure(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.err, a.failedAt = err, a.clock.Now()
 }
 
-func (a *Acceptor) end(err error) {
+// stop records that nothing is accepted any more.
+func (a *Acceptor) stop(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ended = true
+	a.stopped = true
 	a.err = err
 }
 
-// Err returns why new connections are not taken now, or nil if they are.
+// Err returns why new connections are not accepted now, or nil if they are.
 func (a *Acceptor) Err() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case !a.begun:
+	case !a.accepting:
 		return ErrNotAccepting
-	case a.ended, a.err != nil && a.clock.Now()-a.failedAt < acceptTrust:
+	case a.stopped, a.err != nil && a.clock.Now()-a.failedAt < acceptRecovery:
 		return fmt.Errorf("accept: %w", a.err)
 	}
 	return nil
 }
 
-// Close closes the listener. Nothing is accepted any more.
+// Close closes the listener. A waiting Accept returns.
 func (a *Acceptor) Close() error {
-	a.end(net.ErrClosed)
+	a.stop(net.ErrClosed)
 	a.once.Do(func() { close(a.closed) })
 	return a.Listener.Close()
 }
--- a/transport/callerhttp/acceptor_test.go
+++ b/transport/callerhttp/acceptor_test.go
@@ -13,13 +13,13 @@
 	"spanrill/clock"
 )
 
-// scripted is a listener whose accepts end as a test says.
-type scripted struct {
+// scriptedListener is a listener whose Accept returns the results that a test sends.
+type scriptedListener struct {
 	net.Listener
 	results chan error // nil: a connection
 }
 
-func (s scripted) Accept() (net.Conn, error) {
+func (s scriptedListener) Accept() (net.Conn, error) {
 	if err := <-s.results; err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 	}
@@ -27,22 +27,22 @@
 	return near, nil
 }
 
-func (s scripted) Close() error { return nil }
+func (s scriptedListener) Close() error { return nil }
 
-// Errors that pass end neither the loop nor the server, and while they last, and
-// before and after the loop, the acceptor says that it takes nothing.
-func TestAcceptorOutlastsErrorsThatPass(t *testing.T) {
-	for _, passing := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS} {
-		t.Run(passing.Error(), func(t *testing.T) {
-			now, ln := clock.NewManual(), scripted{results: make(chan error)}
+// Transient errors end neither the accept loop nor the server. While they last, and before and
+// after the loop, Err reports that no connections are accepted.
+func TestAcceptorSurvivesTransientErrors(t *testing.T) {
+	for _, transient := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS} {
+		t.Run(transient.Error(), func(t *testing.T) {
+			now, ln := clock.NewManual(), scriptedListener{results: make(chan error)}
 			a := NewAcceptor(ln, now)
 			if err := a.Err(); !errors.Is(err, ErrNotAccepting) {
-				t.Fatalf("before the loop: %v", err)
+				t.Fatalf("Err before the accept loop: %v", err)
 			}
 			served := make(chan error, 1)
 			s := New(func(*fasthttp.RequestCtx) {}, func() spanrill.CallerLimits { return spanrill.CallerLimits{} })
 			go func() { served <- s.Serve(a) }()
-			give := func(result error) {
+			feed := func(result error) {
 				t.Helper()
 				select {
 				case ln.results <- result:
@@ -50,36 +50,36 @@
 					t.Fatalf("the loop ended with %v", err)
 				}
 			}
-			give(nil)
+			feed(nil)
 			if err := a.Err(); err != nil {
-				t.Fatalf("in the loop: %v", err)
+				t.Fatalf("Err in the accept loop: %v", err)
 			}
 			for range 20 {
-				give(passing)
-				awaitAlarm(t, now, served)
-				if err := a.Err(); !errors.Is(err, passing) {
-					t.Fatalf("while %v lasts: %v", passing, err)
+				feed(transient)
+				awaitRetryTimer(t, now, served)
+				if err := a.Err(); !errors.Is(err, transient) {
+					t.Fatalf("Err while %v lasts: %v", transient, err)
 				}
-				now.Advance(acceptRetry)
+				now.Advance(acceptRetryDelay)
 			}
-			give(nil)
-			now.Advance(acceptTrust)
+			feed(nil)
+			now.Advance(acceptRecovery)
 			if err := a.Err(); err != nil {
-				t.Fatalf("afterwards: %v", err)
+				t.Fatalf("Err after the recovery time: %v", err)
 			}
-			give(syscall.EINVAL)
+			feed(syscall.EINVAL)
 			if err := <-served; !errors.Is(err, syscall.EINVAL) {
 				t.Fatalf("the loop ended with %v", err)
 			}
 			if err := a.Err(); !errors.Is(err, syscall.EINVAL) {
-				t.Fatalf("after the end of the loop: %v", err)
+				t.Fatalf("Err after the accept loop: %v", err)
 			}
 		})
 	}
 }
 
-// awaitAlarm waits until the loop waits for an error to pass.
-func awaitAlarm(t *testing.T, now *clock.Manual, served <-chan error) {
+// awaitRetryTimer waits until the accept loop pauses before a retry.
+func awaitRetryTimer(t *testing.T, now *clock.Manual, served <-chan error) {
 	t.Helper()
 	waiting := make(chan struct{})
 	go func() {
@@ -93,9 +93,9 @@
 	}
 }
 
-// A closed acceptor ends its loop, also while it waits for an error to pass.
-func TestAcceptorEndsWhenItIsClosed(t *testing.T) {
-	now, ln := clock.NewManual(), scripted{results: make(chan error)}
+// Close makes Accept return, also while it pauses before a retry.
+func TestAcceptStopsWhenClosed(t *testing.T) {
+	now, ln := clock.NewManual(), scriptedListener{results: make(chan error)}
 	a := NewAcceptor(ln, now)
 	ended := make(chan error, 1)
 	go func() {
@@ -106,9 +106,9 @@
 	now.AwaitAlarms(1)
 	_ = a.Close()
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("Accept returned %v, want net.ErrClosed", err)
 	}
 	if a.Err() == nil {
-		t.Fatal("says that it takes connections")
+		t.Fatal("Err of a closed acceptor is nil")
 	}
 }
--- a/transport/callerhttp/server.go
+++ b/transport/callerhttp/server.go
@@ -1,8 +1,7 @@
 // Package callerhttp accepts callers' connections and parses their requests.
 //
-// The operator bounds what callers may send and how long a connection may be
-// idle, and changes these bounds while the daemon runs. The package asks for
-// them with every use.
+// The configuration limits the size of request bodies and the idle time of connections. It may
+// change while the daemon runs, so the package gets the current limits at each use.
 //
 // # Usage
 //
@@ -26,65 +25,65 @@
 	"spanrill"
 )
 
-// Limits returns the bounds in force.
+// Limits returns the limits in force. A limit of 0 is not set.
 type Limits func() spanrill.CallerLimits
 
 // Server serves callers.
 type Server struct {
-	http     *fasthttp.Server
-	limits   Limits
-	open     atomic.Int64
-	shutdown sync.Once
-	mu       sync.Mutex
-	ln       net.Listener
+	http         *fasthttp.Server
+	limits       Limits
+	open         atomic.Int64
+	shutdownOnce sync.Once
+	mu           sync.Mutex
+	ln           net.Listener
 }
 
 const (
-	// headerRoom bounds the head of a request whatever the operator says.
-	headerRoom = 32 << 10
-	// bodyRoom bounds a body while no configuration is known.
-	bodyRoom = 8 << 20
-	// idleMark is the idle time that the HTTP library is told. Each connection
-	// replaces it by the operator's.
-	idleMark = time.Hour
-	// idleSlack is added to the operator's idle time, so that a request sent
-	// in its last moment is still read.
-	idleSlack spanrill.Millis = 1500
-	// idleUnknown is the idle time while no configuration is known.
-	idleUnknown = 60 * spanrill.Second
+	// maxHeaderBytes bounds the headers of a request. It is not configurable.
+	maxHeaderBytes = 32 << 10
+	// defaultMaxBodyBytes bounds a request body while no configuration is known.
+	defaultMaxBodyBytes = 8 << 20
+	// placeholderIdleTimeout makes fasthttp set idle deadlines. callerConn replaces them by the
+	// configured idle time.
+	placeholderIdleTimeout = time.Hour
+	// idleGrace is added to the configured idle time, so that a request sent in its last moment
+	// is still read.
+	idleGrace spanrill.Millis = 1500
+	// defaultIdleTimeout is the idle time of connections while no configuration is known.
+	defaultIdleTimeout = 60 * spanrill.Second
 )
 
-// New returns a server.
+// New returns a Server that passes requests to handler.
 func New(handler fasthttp.RequestHandler, limits Limits) *Server {
 	s := &Server{limits: limits}
 	s.http = &fasthttp.Server{
-		Handler: handler, HeaderReceived: s.bounds, ErrorHandler: answerParseError,
-		ReadBufferSize: headerRoom, MaxRequestBodySize: bodyRoom, IdleTimeout: idleMark,
+		Handler: handler, HeaderReceived: s.requestConfig, ErrorHandler: answerParseError,
+		ReadBufferSize: maxHeaderBytes, MaxRequestBodySize: defaultMaxBodyBytes, IdleTimeout: placeholderIdleTimeout,
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		DisablePreParseMultipartForm: true, Logger: log.New(io.Discard, "", 0), ReduceMemoryUsage: true,
 	}
 	return s
 }
 
-func (s *Server) bounds(*fasthttp.RequestHeader) fasthttp.RequestConfig {
+// requestConfig applies the configured limit of body sizes to one request.
+func (s *Server) requestConfig(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	if n := s.limits().BodyBytes; n > 0 {
 		return fasthttp.RequestConfig{MaxRequestBodySize: n}
 	}
 	return fasthttp.RequestConfig{}
 }
 
-// answerParseError answers a request that could not be read. None of it was
-// sent on.
+// answerParseError answers a request that could not be read. Nothing of it has been forwarded.
 func answerParseError(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
-	var small *fasthttp.ErrSmallBuffer
-	var timeout net.Error
+	var bufferErr *fasthttp.ErrSmallBuffer
+	var netErr net.Error
 	switch {
-	case errors.As(err, &small):
+	case errors.As(err, &bufferErr):
 		status = fasthttp.StatusRequestHeaderFieldsTooLarge
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		status = fasthttp.StatusRequestEntityTooLarge
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		status = fasthttp.StatusRequestTimeout
 	}
 	ctx.Error(err.Error(), status)
@@ -95,7 +94,7 @@
 	s.mu.Lock()
 	s.ln = ln
 	s.mu.Unlock()
-	if err := s.http.Serve(listener{Listener: ln, server: s}); err != nil {
+	if err := s.http.Serve(countingListener{Listener: ln, server: s}); err != nil {
 		return fmt.Errorf("serve callers: %w", err)
 	}
 	return nil
@@ -107,20 +106,21 @@
 // CloseIdle stops listening and closes the connections on which no request is
 // being served. It does not wait, and may be called again.
 func (s *Server) CloseIdle() {
-	s.shutdown.Do(func() {
+	s.shutdownOnce.Do(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_ = s.http.ShutdownWithContext(ctx) // its error is that it did not wait
+		_ = s.http.ShutdownWithContext(ctx) // the context is canceled so that this does not wait; its error says so
 	})
 }
 
-type listener struct {
+// countingListener counts the open connections of a server.
+type countingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept returns the next connection.
-func (l listener) Accept() (net.Conn, error) {
+// Accept returns the next connection as a callerConn.
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -133,27 +133,27 @@
 	return &callerConn{TCPConn: tcp, server: l.server}, nil
 }
 
-// callerConn is a connection whose idle time is the operator's.
+// callerConn is a connection with the configured idle time.
 type callerConn struct {
 	*net.TCPConn
 	server *Server
 	closed atomic.Bool
 }
 
-// SetReadDeadline takes any deadline for the start of an idle time: the HTTP
-// library sets no other.
+// SetReadDeadline sets the deadline to the end of the configured idle time, whatever t is: fasthttp
+// sets read deadlines only when an idle time starts. The zero time clears the deadline.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	if t.IsZero() {
 		return c.TCPConn.SetReadDeadline(t)
 	}
 	idle := c.server.limits().IdleTimeout
 	if idle <= 0 {
-		idle = idleUnknown
+		idle = defaultIdleTimeout
 	}
-	return c.TCPConn.SetReadDeadline(time.Now().Add((idle + idleSlack).Duration()))
+	return c.TCPConn.SetReadDeadline(time.Now().Add((idle + idleGrace).Duration()))
 }
 
-// Close closes the connection.
+// Close closes the connection and takes it off the count of open ones.
 func (c *callerConn) Close() error {
 	if !c.closed.Swap(true) {
 		c.server.open.Add(-1)
