--- a/transport/frame/frame.go
+++ b/transport/frame/frame.go
@@ -1,4 +1,4 @@
-// Package frame cuts a stream of bytes between two daemons into frames.
+// Package frame encodes messages between two daemons as authenticated frames of a byte stream.
 //
 // A frame is a header, a payload and a tag. All numbers are big-endian.
 //
@@ -6,14 +6,14 @@
 //	0       2     magic, 0x5352
 //	2       1     version of the format
 //	3       1     kind of the message
-//	4       8     sequence number, which rises by one on a connection
-//	12      8     id that a reply shares with its request, or 0
+//	4       8     sequence number, which starts at 1 and rises by one with each frame
+//	12      8     request id, the same in the reply, or 0 if no reply is expected
 //	20      4     length of the payload
 //	24      n     payload
-//	24+n    16    tag: HMAC-SHA-256 of all before it, cut to 16 bytes
+//	24+n    16    tag: HMAC-SHA-256 of all bytes before it, truncated to 16 bytes
 //
-// The key of the tag belongs to one direction of one connection, so that a
-// frame of another connection, and one that was seen before, are refused.
+// The key of the tag belongs to one direction of one connection. The reader therefore refuses frames
+// of other connections, and the sequence number lets it refuse replayed ones.
 //
 // # Usage
 //
@@ -21,7 +21,7 @@
 //	buf := w.Append(nil, kind, id, payload)
 //
 //	r := frame.NewReader(key)
-//	f, n, err := r.Next(buf) // n bytes were used; ErrShort asks for more
+//	f, n, err := r.Next(buf) // the frame takes n bytes; ErrShort means that more are needed
 package frame
 
 import (
@@ -32,7 +32,7 @@
 	"github.com/pkg/errors"
 )
 
-// Sizes and numbers of the format.
+// Constants of the format. Sizes are in bytes.
 const (
 	Magic      = 0x5352
 	Version    = 1
@@ -41,8 +41,7 @@
 	MaxPayload = 2 << 20
 )
 
-// Errors of a reader. All but ErrShort mean that the connection is of no use
-// any more.
+// Errors of a Reader. After any of them but ErrShort the connection cannot be used any more.
 var (
 	ErrShort    = errors.New("frame is not complete yet")
 	ErrMagic    = errors.New("not a frame of spanrill")
@@ -55,7 +54,8 @@
 // Key authenticates one direction of one connection.
 type Key [sha256.Size]byte
 
-// DeriveKey returns the key that belongs to the secret and the parts.
+// DeriveKey derives a key from a secret and parts. Each part is hashed with its length, so that no
+// two lists of parts give the same input.
 func DeriveKey(secret []byte, parts ...[]byte) Key {
 	mac := hmac.New(sha256.New, secret)
 	for _, p := range parts {
@@ -69,6 +69,7 @@
 	return k
 }
 
+// tag returns the authentication tag of data.
 func tag(key Key, data []byte) [TagSize]byte {
 	mac := hmac.New(sha256.New, key[:])
 	_, _ = mac.Write(data)
@@ -84,13 +85,13 @@
 	Payload []byte
 }
 
-// Writer makes the frames of one direction of a connection.
+// Writer encodes the frames of one direction of a connection.
 type Writer struct {
 	key Key
 	seq uint64
 }
 
-// NewWriter returns a writer whose first frame has sequence number 1.
+// NewWriter returns a Writer whose first frame has sequence number 1.
 func NewWriter(key Key) *Writer { return &Writer{key: key} }
 
 // Append appends one frame to dst.
@@ -107,26 +108,26 @@
 	return append(dst, t[:]...)
 }
 
-// Reader reads the frames of one direction of a connection.
+// Reader decodes and checks the frames of one direction of a connection.
 type Reader struct {
 	key Key
 	seq uint64
 }
 
-// NewReader returns a reader that expects sequence number 1 first.
+// NewReader returns a Reader that expects sequence number 1 first.
 func NewReader(key Key) *Reader { return &Reader{key: key} }
 
-// Rekey makes the reader expect another key and sequence number 1.
+// Rekey makes the reader use another key and expect sequence number 1 next.
 func (r *Reader) Rekey(key Key) { r.key, r.seq = key, 0 }
 
-// Next reads one frame from the start of buf and returns how many bytes it
-// took. The payload is part of buf. The length is checked before anything else
-// of the frame is waited for.
+// Next decodes the frame at the start of buf and returns it with its size in bytes. The payload
+// shares the memory of buf. Next refuses a length over MaxPayload as soon as it has the header, so
+// that a caller never buffers a frame that is too large.
 func (r *Reader) Next(buf []byte) (Frame, int, error) {
 	if len(buf) < HeaderSize {
-		return Frame{}, 0, checkStart(buf)
+		return Frame{}, 0, checkPrefix(buf)
 	}
-	if err := checkStart(buf); !errors.Is(err, ErrShort) {
+	if err := checkPrefix(buf); !errors.Is(err, ErrShort) {
 		return Frame{}, 0, err
 	}
 	length := binary.BigEndian.Uint32(buf[20:])
@@ -148,8 +149,9 @@
 	return f, end + TagSize, nil
 }
 
-// checkStart refuses what cannot become a frame, as early as it shows.
-func checkStart(buf []byte) error {
+// checkPrefix checks the magic and the version as soon as their bytes are there. It returns
+// ErrShort if the bytes so far are valid.
+func checkPrefix(buf []byte) error {
 	if len(buf) >= 2 && binary.BigEndian.Uint16(buf) != Magic {
 		return ErrMagic
 	}
--- a/transport/frame/frame_test.go
+++ b/transport/frame/frame_test.go
@@ -10,7 +10,7 @@
 
 var testKey = DeriveKey([]byte("secret"), []byte("test"))
 
-func TestFramesComeBackInOrder(t *testing.T) {
+func TestFramesRoundTripInOrder(t *testing.T) {
 	w, r := NewWriter(testKey), NewReader(testKey)
 	buf := w.Append(nil, 3, 0, []byte("one"))
 	buf = w.Append(buf, 4, 9, nil)
@@ -36,7 +36,7 @@
 		buf  []byte
 		want error
 	}{
-		{"nothing", nil, ErrShort},
+		{"empty", nil, ErrShort},
 		{"half a header", good[:HeaderSize/2], ErrShort},
 		{"half a payload", good[:HeaderSize+2], ErrShort},
 		{"garbage", []byte("GET / HTTP/1.1\r\n\r\n"), ErrMagic},
@@ -49,7 +49,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, n, err := NewReader(testKey).Next(c.buf)
 			if !errors.Is(err, c.want) || n != 0 {
-				t.Fatalf("got %d, %v, want %v", n, err, c.want)
+				t.Fatalf("got %d bytes used and error %v, want 0 and %v", n, err, c.want)
 			}
 		})
 	}
@@ -66,8 +66,8 @@
 	}
 }
 
-// FuzzReader feeds the reader anything. It must neither panic nor accept what
-// a writer with the key did not make.
+// FuzzReader checks that the reader neither panics on any input nor accepts a frame that a writer
+// with the key would not make.
 func FuzzReader(f *testing.F) {
 	f.Add(NewWriter(testKey).Append(nil, 1, 2, []byte("payload")))
 	f.Add([]byte{0x53, 0x52, Version})
