--- a/protocol/callerapi/call.go
+++ b/protocol/callerapi/call.go
@@ -17,42 +17,46 @@
 	"spanrill/state/config"
 )
 
-// call is one request of a caller.
+// call is one request of a caller, of any path.
 type call struct {
-	server   *Server
-	ctx      *fasthttp.RequestCtx
-	id       string
-	snapshot *config.Snapshot
-	grant    *config.Grant
-	once     sync.Once
-	streamed bool // the body is still being written when the handler returns
-	keyed    bool // a call of a service with an idempotency key
-	claimed  bool // the key was free, and is this call's now
+	server            *Server
+	ctx               *fasthttp.RequestCtx
+	id                string
+	snapshot          *config.Snapshot
+	grant             *config.Grant
+	finishOnce        sync.Once
+	streaming         bool // the body is still written when the handler returns
+	hasIdempotencyKey bool // the request calls a service with an idempotency key
+	keyClaimed        bool // the key was free, and this call has claimed it
 }
 
+// newCall gives a request its id and the configuration in force.
 func (s *Server) newCall(ctx *fasthttp.RequestCtx) *call {
 	id := fmt.Sprintf("req-%016x", s.Random.Uint64())
 	ctx.Response.Header.Set(HeaderRequestID, id)
-	return &call{server: s, ctx: ctx, id: id, snapshot: s.Config(), keyed: isKeyed(ctx)}
+	return &call{server: s, ctx: ctx, id: id, snapshot: s.Config(), hasIdempotencyKey: carriesIdempotencyKey(ctx)}
 }
 
-func isKeyed(ctx *fasthttp.RequestCtx) bool {
+// carriesIdempotencyKey reports whether a request calls a plain service with an idempotency key.
+func carriesIdempotencyKey(ctx *fasthttp.RequestCtx) bool {
 	return len(ctx.Request.Header.Peek(HeaderIdempotency)) > 0 && bytes.HasPrefix(ctx.Path(), []byte(PathServices))
 }
 
-// release takes the request off the count, unless its stream goes on.
+// release ends the call when its handler returns, unless its answer is still streamed.
 func (c *call) release() {
-	if !c.streamed {
-		c.done()
+	if !c.streaming {
+		c.finish()
 	}
 }
 
-func (c *call) done() {
-	c.once.Do(func() { c.server.inFlight.Add(-1) })
+// finish takes the call off the count of requests in flight, once.
+func (c *call) finish() {
+	c.finishOnce.Do(func() { c.server.inFlight.Add(-1) })
 }
 
 var bearer = []byte("Bearer ")
 
+// authenticate looks up the client account of the bearer key, or returns why the request is refused.
 func (c *call) authenticate() *spanrill.Refusal {
 	if c.snapshot == nil {
 		return spanrill.NewRefusal(spanrill.ReasonNotReady, "this daemon has no configuration yet").
@@ -73,14 +77,13 @@
 	return nil
 }
 
-// refuse gives the final answer to a request that is given up on. A request
-// with an idempotency key may be the repeat of one that ran. While it is not
-// known that the key was free, its outcome is unknown.
+// refuse answers a request with a refusal. A request with an idempotency key may repeat one that
+// ran, so until this call has claimed the key, the outcome is unknown instead of not-run.
 func (c *call) refuse(r *spanrill.Refusal) {
-	if c.keyed && !c.claimed && r.Outcome() == spanrill.OutcomeNotRun {
+	if c.hasIdempotencyKey && !c.keyClaimed && r.Outcome() == spanrill.OutcomeNotRun {
 		r = r.WithOutcome(spanrill.OutcomeUnknown)
 	}
-	c.count(r)
+	c.recordRefusal(r)
 	c.ctx.Response.ResetBody()
 	c.setOutcome(r.Outcome())
 	c.setRetryAfter(r.RetryAfter())
@@ -88,7 +91,8 @@
 	c.writeJSON(r)
 }
 
-func (c *call) count(r *spanrill.Refusal) {
+// recordRefusal counts and logs a refusal.
+func (c *call) recordRefusal(r *spanrill.Refusal) {
 	c.server.Meters.Refused(r.Reason())
 	c.server.Meters.Ended(r.Outcome())
 	events.RequestRefused.Log(c.server.Log, logrus.Fields{
@@ -96,12 +100,13 @@
 	})
 }
 
+// setOutcome sets the header that tells whether the request ran.
 func (c *call) setOutcome(o spanrill.Outcome) {
 	c.ctx.Response.Header.Set(HeaderOutcome, o.String())
 }
 
-// setRetryAfter says when to come back, in whole seconds as HTTP has it and in
-// milliseconds for clients that read them.
+// setRetryAfter sets when the caller should retry: in whole seconds, rounded up, in the standard
+// header, and in milliseconds for clients that read Retry-After-Ms.
 func (c *call) setRetryAfter(after spanrill.Millis) {
 	if after <= 0 {
 		return
@@ -111,6 +116,7 @@
 	c.ctx.Response.Header.Set(HeaderRetryAfterMs, strconv.FormatInt(int64(after), 10))
 }
 
+// writeJSON sets v as the body of the answer.
 func (c *call) writeJSON(v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -121,6 +127,7 @@
 	c.ctx.SetBody(body)
 }
 
+// listModels answers with the models that the client account may use.
 func (c *call) listModels() {
 	list := modelList{Object: "list", Data: []modelCard{}}
 	for _, name := range slices.Sorted(maps.Keys(c.grant.Models())) {
--- a/protocol/callerapi/inference.go
+++ b/protocol/callerapi/inference.go
@@ -15,19 +15,20 @@
 	"spanrill/transport/httpcall"
 )
 
-// inference is a call of a model.
+// inference is a call that generates text with a model.
 type inference struct {
 	*call
-	path    string
-	body    inferenceBody
-	model   *config.ModelGrant
-	request *pipeline.Request
-	release func(tokens int)
-	skip    int // tokens that the caller already has
-	resume  resumePoint
+	path         string
+	body         inferenceBody
+	model        *config.ModelGrant
+	request      *pipeline.Request
+	endAdmission func(tokens int) // ends the admission of the request
+	skipTokens   int              // how many tokens of a resumed stream the caller already has
+	resumeAt     resumePoint
 }
 
-func (c *call) inference(path string) {
+// handleInference parses, admits and runs a generation, and answers it as a whole or as a stream.
+func (c *call) handleInference(path string) {
 	in := &inference{call: c, path: path}
 	if refusal := in.parse(); refusal != nil {
 		c.refuse(refusal)
@@ -38,21 +39,22 @@
 		c.refuse(refusal)
 		return
 	}
-	in.release = release
+	in.endAdmission = release
 	if in.body.Stream {
-		in.stream()
+		in.respondStream()
 		return
 	}
-	in.whole()
+	in.respondWhole()
 }
 
+// parse reads the body and the resume header, or returns why the request is refused.
 func (in *inference) parse() *spanrill.Refusal {
 	raw := append([]byte(nil), in.ctx.PostBody()...)
 	if err := json.Unmarshal(raw, &in.body); err != nil {
-		return badBody(err)
+		return bodyRefusal(err)
 	}
 	if in.body.Model == nil || *in.body.Model == "" {
-		return badField("model", "the field model is missing")
+		return fieldRefusal("model", "the field model is missing")
 	}
 	in.model = in.grant.Model(*in.body.Model)
 	if in.model == nil {
@@ -70,6 +72,7 @@
 	return in.parseResume(raw)
 }
 
+// newRequest builds the request for the pipeline.
 func (in *inference) newRequest(raw []byte, maxTokens int) {
 	m := in.model.Model()
 	in.request = &pipeline.Request{
@@ -79,11 +82,11 @@
 	}
 }
 
-// badBody explains why a body cannot be read, and where.
-func badBody(err error) *spanrill.Refusal {
+// bodyRefusal returns a refusal that tells why a body cannot be decoded, and at which field or byte.
+func bodyRefusal(err error) *spanrill.Refusal {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
-		return badField(wrongType.Field, "the field %s must be a %s, not a %s", wrongType.Field, wrongType.Type, wrongType.Value)
+		return fieldRefusal(wrongType.Field, "the field %s must be a %s, not a %s", wrongType.Field, wrongType.Type, wrongType.Value)
 	}
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
@@ -92,39 +95,42 @@
 	return spanrill.NewRefusal(spanrill.ReasonBadBody, "the body is no JSON object: %v", err)
 }
 
-func badField(field, format string, args ...any) *spanrill.Refusal {
+// fieldRefusal returns a refusal for one field of the body, or for a header.
+func fieldRefusal(field, format string, args ...any) *spanrill.Refusal {
 	return spanrill.NewRefusal(spanrill.ReasonBadField, format, args...).WithField(field)
 }
 
+// checkInput checks that the input is there and that one answer is requested.
 func (in *inference) checkInput() *spanrill.Refusal {
 	if in.body.N != nil && *in.body.N != 1 {
-		return badField("n", "the field n must be 1")
+		return fieldRefusal("n", "the field n must be 1")
 	}
 	if in.path == PathChat && len(in.body.Messages) == 0 {
-		return badField("messages", "the field messages is missing")
+		return fieldRefusal("messages", "the field messages is missing")
 	}
 	if in.path == PathCompletions && len(in.body.Prompt) == 0 {
-		return badField("prompt", "the field prompt is missing")
+		return fieldRefusal("prompt", "the field prompt is missing")
 	}
 	return nil
 }
 
+// maxTokens returns how many tokens may be generated: as many as requested, or the limit.
 func (in *inference) maxTokens() (int, *spanrill.Refusal) {
 	limit := min(in.model.MaxTokens(), in.server.limits.StreamTokens)
-	field, asked := "max_tokens", in.body.MaxTokens
+	field, requested := "max_tokens", in.body.MaxTokens
 	if in.body.MaxCompletionTokens != nil {
-		field, asked = "max_completion_tokens", in.body.MaxCompletionTokens
+		field, requested = "max_completion_tokens", in.body.MaxCompletionTokens
 	}
-	if asked == nil {
+	if requested == nil {
 		return limit, nil
 	}
-	if *asked < 1 || *asked > limit {
-		return 0, badField(field, "the field %s must be from 1 to %d", field, limit)
+	if *requested < 1 || *requested > limit {
+		return 0, fieldRefusal(field, "the field %s must be from 1 to %d", field, limit)
 	}
-	return *asked, nil
+	return *requested, nil
 }
 
-// seed returns the caller's seed, or a new one that holds for all attempts.
+// seed returns the caller's seed, or a random one. All attempts use the same seed.
 func (in *inference) seed() uint64 {
 	if in.body.Seed != nil {
 		return uint64(*in.body.Seed)
@@ -132,18 +138,19 @@
 	return in.server.Random.Uint64()
 }
 
-// collector gathers a whole answer.
+// collector concatenates the tokens of an answer.
 type collector struct {
 	text strings.Builder
 }
 
-// Token takes the next token.
+// Token appends the text of the next token.
 func (c *collector) Token(ev *spanrill.RunEvent) error {
 	c.text.WriteString(ev.Text)
 	return nil
 }
 
-func (in *inference) whole() {
+// respondWhole runs the generation and answers with the whole text.
+func (in *inference) respondWhole() {
 	ctx, cancel := context.WithCancel(in.server.ctx)
 	defer cancel()
 	watch := in.server.streams.Start(ctx, "caller watch", func(ctx context.Context) error {
@@ -153,30 +160,30 @@
 	result, refusal := in.server.Runner.Run(ctx, in.request, answer)
 	cancel()
 	<-watch.Done()
-	in.finished(result, refusal)
+	in.recordFinished(result, refusal)
 	if refusal != nil {
-		in.release(0)
+		in.endAdmission(0)
 		in.refuse(refusal)
 		return
 	}
-	in.release(result.Tokens())
+	in.endAdmission(result.Tokens())
 	in.setOutcome(spanrill.OutcomeRan)
 	in.server.Meters.Ended(spanrill.OutcomeRan)
-	in.ctx.Response.Header.Set(HeaderChain, chainText(result.Chain()))
+	in.ctx.Response.Header.Set(HeaderChain, formatChain(result.Chain()))
 	in.writeJSON(in.completion(answer.text.String(), result))
 }
 
-// callerPoll is how often a caller that waits is looked after.
-const callerPoll = 200 * spanrill.Millis(1)
+// callerPollInterval is how often the connection of a waiting caller is checked.
+const callerPollInterval = 200 * spanrill.Millis(1)
 
-// watchCaller cancels the request when its caller closes the connection.
+// watchCaller calls cancel when the caller closes the connection.
 func (in *inference) watchCaller(ctx context.Context, cancel context.CancelFunc) error {
 	conn := in.ctx.Conn()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-in.server.Clock.After(callerPoll):
+		case <-in.server.Clock.After(callerPollInterval):
 		}
 		if httpcall.PeerOpen(conn) == httpcall.PeerGone {
 			cancel()
@@ -185,7 +192,8 @@
 	}
 }
 
-func chainText(chain []spanrill.StageRef) string {
+// formatChain returns the names of the engines of a chain.
+func formatChain(chain []spanrill.StageRef) string {
 	names := make([]string, len(chain))
 	for i, s := range chain {
 		names[i] = s.Engine
@@ -193,6 +201,7 @@
 	return strings.Join(names, ",")
 }
 
+// completion returns the body of a whole answer.
 func (in *inference) completion(text string, r *pipeline.Result) completion {
 	finish := string(r.Finish())
 	answer := choice{FinishReason: &finish}
@@ -207,6 +216,7 @@
 	}
 }
 
+// object returns the object type of an answer or of a chunk of one.
 func (in *inference) object(chunk bool) string {
 	switch {
 	case in.path == PathCompletions:
@@ -217,10 +227,11 @@
 	return "chat.completion"
 }
 
+// usageOf returns the token counts of a generation.
 func usageOf(r *pipeline.Result) *usage {
 	return &usage{
 		PromptTokens: r.PromptTokens(), CompletionTokens: r.Tokens(),
 		TotalTokens:   r.PromptTokens() + r.Tokens(),
-		PromptDetails: promptDetail{CachedTokens: r.CachedTokens()},
+		PromptDetails: promptDetails{CachedTokens: r.CachedTokens()},
 	}
 }
--- a/protocol/callerapi/recent.go
+++ b/protocol/callerapi/recent.go
@@ -5,7 +5,7 @@
 	"spanrill/coordination/pipeline"
 )
 
-// Finished is a generation that has ended, for operators.
+// Finished describes a generation that has ended. Operators see the most recent ones.
 type Finished struct {
 	ID       string `json:"id"`
 	Account  string `json:"account"`
@@ -14,20 +14,20 @@
 	Attempts int    `json:"attempts"`
 	Tokens   int    `json:"tokens"`
 	Outcome  string `json:"outcome"`
-	Reason   string `json:"reason,omitempty"` // why it failed
+	Reason   string `json:"reason,omitempty"` // code of the refusal, if it failed
 }
 
-// recentKept is how many finished generations are kept.
-const recentKept = 256
+// maxRecent is how many finished generations Recent returns at most.
+const maxRecent = 256
 
 // Recent returns the generations that ended last, newest first.
 func (s *Server) Recent() []Finished { return s.recent.Values() }
 
-// finished notes the end of a generation.
-func (in *inference) finished(result *pipeline.Result, refusal *spanrill.Refusal) {
+// recordFinished adds a generation that has ended to the recent ones.
+func (in *inference) recordFinished(result *pipeline.Result, refusal *spanrill.Refusal) {
 	f := Finished{ID: in.id, Account: in.grant.Account(), Model: in.model.Model().Name, Outcome: spanrill.OutcomeRan.String()}
 	if result != nil {
-		f.Chain, f.Attempts, f.Tokens = chainText(result.Chain()), result.Attempts(), result.Tokens()
+		f.Chain, f.Attempts, f.Tokens = formatChain(result.Chain()), result.Attempts(), result.Tokens()
 	}
 	if refusal != nil {
 		f.Outcome, f.Reason = refusal.Outcome().String(), refusal.Reason().Code()
--- a/protocol/callerapi/resume.go
+++ b/protocol/callerapi/resume.go
@@ -13,58 +13,62 @@
 	"spanrill"
 )
 
-// resumePoint is what the id of a server-sent event says: with it any daemon
-// can go on with a stream whose daemon is gone. The caller sends the same body
-// again with the id in Last-Event-ID. The answer is generated again with the
-// same seed, from the start, and what the caller has is left out.
+// resumePoint is the content of the id of a server-sent event. It lets any daemon resume a stream
+// whose daemon has stopped: the caller sends the same body again with the id in Last-Event-ID. The
+// answer is generated again from the start with the same seed, and the tokens that the caller
+// already has are skipped.
 type resumePoint struct {
-	seed  uint64
-	index int    // tokens that the caller has
-	body  uint64 // hash of account, path and body
+	seed        uint64
+	tokensSent  int    // how many tokens the caller has
+	requestHash uint64 // hash of client account, path and body
 }
 
-const resumeTagLen = 16 // hex digits of the tag
+const signatureLen = 16 // hex digits of the signature
 
+// sign returns the signature of the resume point.
 func (p resumePoint) sign(secret string) string {
 	mac := hmac.New(sha256.New, []byte(secret))
-	_, _ = fmt.Fprintf(mac, "resume %x %d %x", p.seed, p.index, p.body)
-	return hex.EncodeToString(mac.Sum(nil))[:resumeTagLen]
+	_, _ = fmt.Fprintf(mac, "resume %x %d %x", p.seed, p.tokensSent, p.requestHash)
+	return hex.EncodeToString(mac.Sum(nil))[:signatureLen]
 }
 
-func (p resumePoint) text(secret string) string {
-	return fmt.Sprintf("%x.%d.%s", p.seed, p.index, p.sign(secret))
+// format returns the event id: seed, token count and signature.
+func (p resumePoint) format(secret string) string {
+	return fmt.Sprintf("%x.%d.%s", p.seed, p.tokensSent, p.sign(secret))
 }
 
-func (in *inference) bodyHash(raw []byte) uint64 {
-	d := xxhash.New()
-	_, _ = d.WriteString(in.grant.Account() + "\x00" + in.path + "\x00")
-	_, _ = d.Write(raw)
-	return d.Sum64()
+// hashRequest returns the hash that binds event ids to a request.
+func (in *inference) hashRequest(raw []byte) uint64 {
+	hash := xxhash.New()
+	_, _ = hash.WriteString(in.grant.Account() + "\x00" + in.path + "\x00")
+	_, _ = hash.Write(raw)
+	return hash.Sum64()
 }
 
-// eventID returns the id of the event after which the caller has that many
-// tokens.
+// eventID returns the id of the event after which the caller has the given number of tokens.
 func (in *inference) eventID(tokens int) string {
-	p := in.resume
-	p.index = tokens
-	return p.text(in.server.ResumeSecret)
+	p := in.resumeAt
+	p.tokensSent = tokens
+	return p.format(in.server.ResumeSecret)
 }
 
-// parseResume reads Last-Event-ID.
+// parseResume sets where the stream resumes from Last-Event-ID, or returns why the id is refused.
 func (in *inference) parseResume(raw []byte) *spanrill.Refusal {
-	in.resume = resumePoint{seed: in.request.Seed, body: in.bodyHash(raw)}
+	in.resumeAt = resumePoint{seed: in.request.Seed, requestHash: in.hashRequest(raw)}
 	id := string(in.ctx.Request.Header.Peek(HeaderLastEventID))
 	if id == "" {
 		return nil
 	}
-	p := resumePoint{body: in.resume.body}
+	p := resumePoint{requestHash: in.resumeAt.requestHash}
 	if !p.parse(id, in.server.ResumeSecret) {
-		return badField(HeaderLastEventID, "the event id does not belong to this request")
+		return fieldRefusal(HeaderLastEventID, "the event id does not belong to this request")
 	}
-	in.request.Seed, in.resume.seed, in.skip = p.seed, p.seed, p.index
+	in.request.Seed, in.resumeAt.seed, in.skipTokens = p.seed, p.seed, p.tokensSent
 	return nil
 }
 
+// parse sets p from an event id and reports whether the id is well-formed and its signature valid.
+// The request hash must be set before.
 func (p *resumePoint) parse(id, secret string) bool {
 	fields := strings.Split(id, ".")
 	if len(fields) != 3 {
@@ -78,6 +82,6 @@
 	if err != nil || index < 0 {
 		return false
 	}
-	p.seed, p.index = seed, index
+	p.seed, p.tokensSent = seed, index
 	return hmac.Equal([]byte(p.sign(secret)), []byte(fields[2]))
 }
--- a/protocol/callerapi/server.go
+++ b/protocol/callerapi/server.go
@@ -8,11 +8,11 @@
 //
 // Each request carries the bearer key of a client account. Each answer names
 // its request in X-Request-Id and says in Spanrill-Outcome whether the request
-// ran. An answer that gives up says in Retry-After when to come back.
+// ran. A refusal that may be retried says in Retry-After when.
 //
 // # Usage
 //
-//	api := callerapi.New(callerapi.Parts{...}, callerapi.WithLimits(limits))
+//	api := callerapi.New(callerapi.Dependencies{...}, callerapi.DefaultLimits)
 //	err := api.Serve(ctx, listener)
 package callerapi
 
@@ -43,19 +43,19 @@
 
 // Admission decides which requests may start.
 type Admission interface {
-	// Admit waits until the request may start, or returns why it may not. The
-	// function returned ends the request and tells how many tokens it took.
+	// Admit waits until the request may start, or returns why it is refused. The caller must
+	// call the returned function when the request ends, with the number of its tokens.
 	Admit(ctx context.Context, grant *config.Grant, model *config.ModelGrant, maxTokens int) (func(tokens int), *spanrill.Refusal)
 }
 
-// Claims makes sure that a call with an idempotency key runs at most once.
+// Claims ensures that a call with an idempotency key runs at most once.
 type Claims interface {
 	// Do runs f, or returns the recorded outcome of an earlier call with the
 	// same key.
 	Do(ctx context.Context, account, key string, req *spanrill.ServiceRequest, f func() (*spanrill.ServiceAnswer, *spanrill.Refusal)) (*spanrill.ServiceAnswer, *spanrill.Refusal)
 }
 
-// Parts are what the server stands on.
+// Dependencies are the components that a Server uses.
 type Parts struct {
 	Config    func() *config.Snapshot
 	Runner    *pipeline.Runner
@@ -70,16 +70,16 @@
 	ResumeSecret string
 }
 
-// Limits bounds what callers may send and receive.
+// Limits are the limits of requests and answers.
 type Limits struct {
 	BodyBytes    int
 	HeaderBytes  int
 	StreamTokens int
-	ReadWait     spanrill.Millis // for a whole request
-	WriteWait    spanrill.Millis // for the reader of an answer
+	ReadWait     spanrill.Millis // for reading a whole request
+	WriteWait    spanrill.Millis // for a caller to read an answer; not enforced
 }
 
-// DefaultLimits are the limits of settings that name none.
+// DefaultLimits are used where the settings have no limits.
 var DefaultLimits = Limits{
 	BodyBytes: 4 << 20, HeaderBytes: 16 << 10, StreamTokens: 32768,
 	ReadWait: 30 * spanrill.Second, WriteWait: 30 * spanrill.Second,
@@ -97,12 +97,12 @@
 	recent   *ring.Ring[Finished]
 }
 
-// New returns a server.
+// New returns a Server.
 func New(parts Parts, limits Limits) *Server {
-	s := &Server{Parts: parts, limits: limits, ctx: context.Background(), recent: ring.New[Finished](recentKept)}
+	s := &Server{Parts: parts, limits: limits, ctx: context.Background(), recent: ring.New[Finished](maxRecent)}
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
-		ErrorHandler:          s.transportError,
+		ErrorHandler:          s.handleReadError,
 		MaxRequestBodySize:    limits.BodyBytes,
 		ReadBufferSize:        limits.HeaderBytes,
 		ReadTimeout:           limits.ReadWait.Duration(),
@@ -114,8 +114,8 @@
 	return s
 }
 
-// Serve serves until the listener is closed by Shutdown. The context cancels
-// the requests that run.
+// Serve serves until Shutdown closes the listener. When the context ends, the running requests are
+// canceled.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	s.ctx = ctx
 	if err := s.http.Serve(ln); err != nil {
@@ -124,10 +124,10 @@
 	return nil
 }
 
-// Drain refuses requests from now on. Those that run go on.
+// Drain makes the server refuse new requests. Running requests continue.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// InFlight returns the requests that run.
+// InFlight returns the number of running requests.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
 // Shutdown stops serving once the open connections are idle or ctx ends.
@@ -138,6 +138,7 @@
 	return nil
 }
 
+// handle authenticates and routes one request.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	c := s.newCall(ctx)
 	s.inFlight.Add(1)
@@ -146,7 +147,7 @@
 	defer c.recover()
 	if s.draining.Load() {
 		ctx.SetConnectionClose()
-		c.refuse(spanrill.NewRefusal(spanrill.ReasonDraining, "this daemon is stopping").WithRetryAfter(drainRetry))
+		c.refuse(spanrill.NewRefusal(spanrill.ReasonDraining, "this daemon is stopping").WithRetryAfter(drainRetryAfter))
 		return
 	}
 	if refusal := c.authenticate(); refusal != nil {
@@ -156,41 +157,42 @@
 	c.route()
 }
 
-// drainRetry is when a caller that met a stopping daemon should come back: the
-// balancer sends it to another one at once.
-const drainRetry = 100 * spanrill.Millis(1)
+// drainRetryAfter is when a caller refused by a stopping daemon should retry. It is short, since
+// the load balancer sends the retry to another daemon.
+const drainRetryAfter = 100 * spanrill.Millis(1)
 
+// route handles the request according to its method and path.
 func (c *call) route() {
 	path := string(c.ctx.Path())
 	switch {
 	case path == PathChat && c.ctx.IsPost(), path == PathCompletions && c.ctx.IsPost():
-		c.inference(path)
+		c.handleInference(path)
 	case path == PathModels && c.ctx.IsGet():
 		c.listModels()
 	case strings.HasPrefix(path, PathServices):
-		c.service(strings.TrimPrefix(path, PathServices))
+		c.handleService(strings.TrimPrefix(path, PathServices))
 	default:
 		c.refuse(spanrill.NewRefusal(spanrill.ReasonUnknownRoute, "no such path: %s %s", c.ctx.Method(), path))
 	}
 }
 
-// transportError answers a request that could not be read.
-func (s *Server) transportError(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers a request that could not be read or parsed.
+func (s *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	c := s.newCall(ctx)
 	ctx.SetConnectionClose()
-	var small *fasthttp.ErrSmallBuffer
+	var bufferErr *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		linger(ctx.Conn())
 		c.refuse(spanrill.NewRefusal(spanrill.ReasonBodyTooLarge, "the body is larger than %d bytes", s.limits.BodyBytes))
-	case errors.As(err, &small):
+	case errors.As(err, &bufferErr):
 		c.refuse(spanrill.NewRefusal(spanrill.ReasonHeadersTooLarge, "the headers are larger than %d bytes", s.limits.HeaderBytes))
 	default:
 		c.refuse(spanrill.NewRefusal(spanrill.ReasonBadBody, "the request could not be read: %v", err))
 	}
 }
 
-// recover answers a request whose handling panicked.
+// recover answers a request whose handler panicked. Its outcome is unknown.
 func (c *call) recover() {
 	if p := recover(); p != nil {
 		events.RequestPanicked.Log(c.server.Log, logrus.Fields{"request": c.id, "panic": fmt.Sprint(p)})
--- a/protocol/callerapi/service.go
+++ b/protocol/callerapi/service.go
@@ -9,9 +9,9 @@
 	"spanrill/state/load"
 )
 
-// service forwards a call of a plain service: name/path.
-func (c *call) service(rest string) {
-	name, path, _ := strings.Cut(rest, "/")
+// handleService forwards a call to a plain handleService. NameAndPath is the request path behind /services/.
+func (c *call) handleService(nameAndPath string) {
+	name, path, _ := strings.Cut(nameAndPath, "/")
 	path = "/" + path
 	grant := c.grant.Service(name)
 	if grant == nil {
@@ -31,9 +31,11 @@
 		return
 	}
 	defer release(0)
-	c.answer(c.dispatch(grant, c.serviceRequest(path, allowed)))
+	c.respond(c.dispatch(grant, c.serviceRequest(path, allowed)))
 }
 
+// serviceRequest builds the request for the service. It drops the hop-by-hop headers and the
+// caller's key.
 func (c *call) serviceRequest(path string, allowed *config.Call) *spanrill.ServiceRequest {
 	if query := c.ctx.URI().QueryString(); len(query) > 0 {
 		path += "?" + string(query)
@@ -52,28 +54,30 @@
 	return req
 }
 
-// dispatch runs the call, under a claim if the caller gave a key.
+// dispatch sends the call to the service. A call that must not be repeated and has an idempotency
+// key runs under a claim of that key.
 func (c *call) dispatch(grant *config.ServiceGrant, req *spanrill.ServiceRequest) (*spanrill.ServiceAnswer, *spanrill.Refusal) {
 	key := load.ServiceKey{Service: grant.Service(), Site: grant.Site().Name}
 	run := func() (*spanrill.ServiceAnswer, *spanrill.Refusal) {
 		return c.server.Services.Do(c.server.ctx, key, req)
 	}
-	idempotency := string(c.ctx.Request.Header.Peek(HeaderIdempotency))
-	if idempotency == "" || req.Repeatable {
+	idempotencyKey := string(c.ctx.Request.Header.Peek(HeaderIdempotency))
+	if idempotencyKey == "" || req.Repeatable {
 		return run()
 	}
-	claimed := func() (*spanrill.ServiceAnswer, *spanrill.Refusal) {
-		c.claimed = true
+	runClaimed := func() (*spanrill.ServiceAnswer, *spanrill.Refusal) {
+		c.keyClaimed = true
 		return run()
 	}
-	return c.server.Claims.Do(c.server.ctx, c.grant.Account()+"/"+grant.Service(), idempotency, req, claimed)
+	return c.server.Claims.Do(c.server.ctx, c.grant.Account()+"/"+grant.Service(), idempotencyKey, req, runClaimed)
 }
 
-// firstUncertainStatus is the lowest status of a service that leaves open
-// whether the request ran.
+// firstUncertainStatus is the lowest status of a service that does not tell whether the request
+// ran.
 const firstUncertainStatus = 500
 
-func (c *call) answer(answer *spanrill.ServiceAnswer, refusal *spanrill.Refusal) {
+// respond passes the answer of a service on to the caller, or refuses the call.
+func (c *call) respond(answer *spanrill.ServiceAnswer, refusal *spanrill.Refusal) {
 	if refusal != nil {
 		c.refuse(refusal)
 		return
--- a/protocol/callerapi/stream.go
+++ b/protocol/callerapi/stream.go
@@ -14,59 +14,59 @@
 	"spanrill/events"
 )
 
-// streamBuffer is how many tokens may wait for a slow reader before the
-// engines are held back.
-const streamBuffer = 64
+// streamBufferTokens is how many tokens may wait for a slow caller before the engines are slowed
+// down.
+const streamBufferTokens = 64
 
-// streamSink passes tokens from the runner to the writer of the body.
+// streamSink passes tokens from the pipeline to the goroutine that writes the body.
 type streamSink struct {
-	ctx    context.Context
-	tokens chan spanrill.RunEvent
-	done   chan struct{} // closed when the run has ended
-	result *pipeline.Result
-	failed *spanrill.Refusal
+	ctx     context.Context
+	tokens  chan spanrill.RunEvent
+	done    chan struct{} // closed when the generation has ended
+	result  *pipeline.Result
+	refusal *spanrill.Refusal
 }
 
-// Token takes the next token.
+// Token queues the next token. It blocks while the queue is full.
 func (s *streamSink) Token(ev *spanrill.RunEvent) error {
 	select {
 	case s.tokens <- *ev:
 		return nil
 	case <-s.ctx.Done():
-		return errors.New("stream has no reader")
+		return errors.New("the stream was canceled")
 	}
 }
 
-// stream answers with server-sent events. The status is decided once the first
-// token is there or the run has ended without one.
-func (in *inference) stream() {
+// respondStream answers with server-sent events. It waits for the first token before it sends a
+// status, so that a generation that fails without one gets an ordinary refusal.
+func (in *inference) respondStream() {
 	ctx, cancel := context.WithCancel(in.server.ctx)
-	sink := &streamSink{ctx: ctx, tokens: make(chan spanrill.RunEvent, streamBuffer), done: make(chan struct{})}
+	sink := &streamSink{ctx: ctx, tokens: make(chan spanrill.RunEvent, streamBufferTokens), done: make(chan struct{})}
 	in.server.streams.Start(ctx, "stream", func(ctx context.Context) error {
 		defer close(sink.done)
-		sink.result, sink.failed = in.server.Runner.Run(ctx, in.request, sink)
-		in.finished(sink.result, sink.failed)
+		sink.result, sink.refusal = in.server.Runner.Run(ctx, in.request, sink)
+		in.recordFinished(sink.result, sink.refusal)
 		return nil
 	})
 	first, ok := sink.next()
-	if !ok && sink.failed != nil {
+	if !ok && sink.refusal != nil {
 		cancel()
-		in.release(0)
-		in.refuse(sink.failed)
+		in.endAdmission(0)
+		in.refuse(sink.refusal)
 		return
 	}
-	in.streamed = true
+	in.streaming = true
 	in.setOutcome(spanrill.OutcomeRan)
 	in.ctx.SetContentType("text/event-stream")
 	in.ctx.Response.Header.Set("Cache-Control", "no-cache")
 	in.ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer in.done()
+		defer in.finish()
 		defer cancel()
-		in.write(&eventWriter{w: w, in: in}, sink, first, ok)
+		in.writeStream(&eventWriter{w: w, in: in}, sink, first, ok)
 	})
 }
 
-// next returns the next token, or false when the run has ended.
+// next returns the next token, or false after the last one.
 func (s *streamSink) next() (spanrill.RunEvent, bool) {
 	select {
 	case ev := <-s.tokens:
@@ -81,46 +81,50 @@
 	}
 }
 
-func (in *inference) write(w *eventWriter, sink *streamSink, ev spanrill.RunEvent, ok bool) {
+// writeStream writes the events of all tokens, from ev on, and the end of the stream. It skips the
+// tokens that the caller already has.
+func (in *inference) writeStream(w *eventWriter, sink *streamSink, ev spanrill.RunEvent, ok bool) {
 	sent := 0
 	for ; ok; ev, ok = sink.next() {
-		if ev.Index < in.skip {
+		if ev.Index < in.skipTokens {
 			continue
 		}
-		if err := w.token(&ev); err != nil {
+		if err := w.writeToken(&ev); err != nil {
 			in.server.Meters.CallersLeft.Inc()
-			in.release(sent)
+			in.endAdmission(sent)
 			return
 		}
 		sent++
 	}
-	in.release(sent)
-	if sink.failed != nil {
-		in.count(sink.failed)
+	in.endAdmission(sent)
+	if sink.refusal != nil {
+		in.recordRefusal(sink.refusal)
 		events.StreamFailed.Log(in.server.Log, logrus.Fields{
-			"request": in.id, "after_token": sent, "reason": sink.failed.Reason().Code(), "detail": sink.failed.Detail(),
+			"request": in.id, "after_token": sent, "reason": sink.refusal.Reason().Code(), "detail": sink.refusal.Detail(),
 		})
-		w.fail(sink.failed)
+		w.writeError(sink.refusal)
 		return
 	}
 	in.server.Meters.Ended(spanrill.OutcomeRan)
-	w.end(sink.result)
+	w.writeEnd(sink.result)
 }
 
-// eventWriter writes the chunks of one answer.
+// eventWriter writes the events of one answer.
 type eventWriter struct {
-	w       *bufio.Writer
-	in      *inference
-	started bool
+	w        *bufio.Writer
+	in       *inference
+	roleSent bool
 }
 
-func (e *eventWriter) token(ev *spanrill.RunEvent) error {
+// writeToken writes the event of a token, with an id from which the stream can be resumed.
+func (e *eventWriter) writeToken(ev *spanrill.RunEvent) error {
 	if _, err := fmt.Fprintf(e.w, "id: %s\n", e.in.eventID(ev.Index+1)); err != nil {
 		return fmt.Errorf("write event id: %w", err)
 	}
-	return e.chunk(e.choice(ev.Text), nil)
+	return e.writeChunk(e.choice(ev.Text), nil)
 }
 
+// choice returns the choices of a chunk. The first chunk of a chat has the role.
 func (e *eventWriter) choice(text string) []choice {
 	c := choice{}
 	if e.in.path == PathCompletions {
@@ -128,21 +132,23 @@
 		return []choice{c}
 	}
 	c.Delta = &message{Content: text}
-	if !e.started {
+	if !e.roleSent {
 		c.Delta.Role = "assistant"
 	}
-	e.started = true
+	e.roleSent = true
 	return []choice{c}
 }
 
-func (e *eventWriter) chunk(choices []choice, u *usage) error {
-	return e.data(completion{
+// writeChunk writes one chunk of the answer.
+func (e *eventWriter) writeChunk(choices []choice, u *usage) error {
+	return e.writeData(completion{
 		ID: e.in.id, Object: e.in.object(true), Created: int64(e.in.server.Clock.Unix() / spanrill.Second),
 		Model: *e.in.body.Model, Choices: choices, Usage: u,
 	})
 }
 
-func (e *eventWriter) data(v any) error {
+// writeData writes v as the data of an event and flushes it.
+func (e *eventWriter) writeData(v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("encode chunk: %w", err)
@@ -156,15 +162,15 @@
 	return nil
 }
 
-// end writes the reason for the end, the usage if asked for, and [DONE]. A
-// reader that is gone by now has the whole text.
-func (e *eventWriter) end(r *pipeline.Result) {
+// writeEnd writes the finish reason, the usage if the caller wants it, and [DONE]. It ignores write
+// errors, since the whole text has been written by then.
+func (e *eventWriter) writeEnd(r *pipeline.Result) {
 	last := e.choice("")
 	finish := string(r.Finish())
 	last[0].FinishReason = &finish
-	err := e.chunk(last, nil)
+	err := e.writeChunk(last, nil)
 	if o := e.in.body.StreamOptions; err == nil && o != nil && o.IncludeUsage {
-		err = e.chunk([]choice{}, usageOf(r))
+		err = e.writeChunk([]choice{}, usageOf(r))
 	}
 	if err == nil {
 		_, _ = e.w.WriteString("data: [DONE]\n\n")
@@ -172,8 +178,8 @@
 	}
 }
 
-// fail ends the stream with an explicit error, so that a cut answer never
-// looks whole.
-func (e *eventWriter) fail(r *spanrill.Refusal) {
-	_ = e.data(r)
+// writeError ends the stream with an error event, so that an incomplete answer never looks
+// complete.
+func (e *eventWriter) writeError(r *spanrill.Refusal) {
+	_ = e.writeData(r)
 }
--- a/protocol/callerapi/wire.go
+++ b/protocol/callerapi/wire.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 )
 
-// Paths of the interface for inference clients.
+// Paths of the HTTP interface. Those of services begin with PathServices.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -12,7 +12,7 @@
 	PathServices    = "/services/"
 )
 
-// Headers of answers.
+// Headers of requests and answers.
 const (
 	HeaderOutcome      = "Spanrill-Outcome"
 	HeaderRequestID    = "X-Request-Id"
@@ -23,8 +23,8 @@
 	HeaderLastEventID  = "Last-Event-ID"
 )
 
-// inferenceBody holds the fields of a caller's body that spanrill reads. All
-// other fields reach the engines untouched.
+// inferenceBody holds the fields of a request body that spanrill reads. The engines get the body
+// unchanged, with all other fields.
 type inferenceBody struct {
 	Model               *string         `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -42,13 +42,13 @@
 }
 
 type usage struct {
-	PromptTokens     int          `json:"prompt_tokens"`
-	CompletionTokens int          `json:"completion_tokens"`
-	TotalTokens      int          `json:"total_tokens"`
-	PromptDetails    promptDetail `json:"prompt_tokens_details"`
+	PromptTokens     int           `json:"prompt_tokens"`
+	CompletionTokens int           `json:"completion_tokens"`
+	TotalTokens      int           `json:"total_tokens"`
+	PromptDetails    promptDetails `json:"prompt_tokens_details"`
 }
 
-type promptDetail struct {
+type promptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
@@ -57,7 +57,8 @@
 	Content string `json:"content"`
 }
 
-// choice is one answer: Message or Delta for chats, Text for completions.
+// choice is one generated answer or a part of it. Chats use Message, or Delta in a stream, and
+// completions use Text.
 type choice struct {
 	Index        int      `json:"index"`
 	Message      *message `json:"message,omitempty"`
@@ -67,7 +68,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// completion is a whole answer or one chunk of a stream.
+// completion is the body of a whole answer or of one chunk of a stream.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
