--- a/protocol/peermsg/ask.go
+++ b/protocol/peermsg/ask.go
@@ -7,7 +7,7 @@
 	"spanrill/transport/peernet"
 )
 
-// Ask sends a request to a peer and decodes its reply.
+// Ask sends a request to the peer at addr and decodes its reply into reply.
 func Ask(ctx context.Context, n *peernet.Net, addr string, kind peernet.Kind, req, reply any) error {
 	payload, err := Encode(req)
 	if err != nil {
--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -1,7 +1,7 @@
-// Package peermsg lists the messages between daemons and their codec.
+// Package peermsg defines the messages between daemons and their encoding.
 //
-// Messages are msgpack arrays: fields are known by their order, and new fields
-// are added at the end.
+// Messages are msgpack arrays. Fields are identified by their position, so their order and types
+// must stay, and new fields are added at the end.
 //
 // # Usage
 //
@@ -20,26 +20,26 @@
 	"spanrill/transport/peernet"
 )
 
-// The kinds of messages.
+// The kinds of messages, with payload and reply.
 const (
 	KindGossip  peernet.Kind = 1 // Gossip, no reply
 	KindReports peernet.Kind = 2 // Reports, no reply
 	KindDemand  peernet.Kind = 3 // Demand, no reply
 	KindHead    peernet.Kind = 4 // no payload, reply Head
 	KindPart    peernet.Kind = 5 // Part, reply Part
-	KindClaim   peernet.Kind = 6 // Claim, reply Claimed
-	KindSettle  peernet.Kind = 7 // Settle, no reply
+	KindClaim   peernet.Kind = 6 // Claim, reply ClaimReply
+	KindSettle  peernet.Kind = 7 // Settlement, no reply
 	KindBoxes   peernet.Kind = 8 // no payload, reply Boxes
-	KindNews    peernet.Kind = 9 // payload AskNews, reply News
+	KindNews    peernet.Kind = 9 // NewsRequest, reply News
 
 	KindRouteConfig peernet.Kind = 10 // no payload, reply RouteConfig
-	KindEntries     peernet.Kind = 11 // AskEntries, reply Entries
-	KindLoan        peernet.Kind = 12 // AskLoan, reply Loan
-	KindSuspects    peernet.Kind = 13 // SuspectNews, no reply
-	KindPermit      peernet.Kind = 14 // AskPermit, reply Permit
+	KindEntries     peernet.Kind = 11 // EntriesRequest, reply Entries
+	KindLoan        peernet.Kind = 12 // LoanRequest, reply Loan
+	KindSuspects    peernet.Kind = 13 // SuspectNotice, no reply
+	KindPermit      peernet.Kind = 14 // PermitRequest, reply Permit
 )
 
-// Member is what daemons tell one another about one of them.
+// Member describes a daemon to its peers.
 type Member struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Name        string
@@ -48,25 +48,25 @@
 	AdminAddr   string
 	Incarnation uint64 // rises with each start of the daemon
 	Beat        uint64 // rises while the daemon runs
-	Revision    uint64 // configuration in force
+	Revision    uint64 // revision of the configuration in force
 	Leaving     bool
-	Power       int // thousandths of a core that the daemon has, or 0 if that is not told
+	Power       int // CPU capacity in thousandths of a core, or 0 if unknown
 }
 
-// Gossip tells what a daemon knows of some members.
+// Gossip carries what a daemon knows about some members.
 type Gossip struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Members  []Member
-	Answer   bool // to a daemon's first message, and not answered again
+	Answer   bool // this answers a daemon's first message and is not answered itself
 }
 
-// Reports passes on the reports of upstreams.
+// Reports forwards status reports of upstreams.
 type Reports struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Reports  []Report
 }
 
-// Report is one upstream's report, without what its reader knows.
+// Report is the status report of an upstream, without the fields that the receiver knows.
 type Report struct {
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Name       string
@@ -86,7 +86,7 @@
 	Age        spanrill.Millis
 }
 
-// NewReport returns the report in the form that is sent.
+// NewReport returns the message form of a status report.
 func NewReport(s spanrill.UpstreamStatus) Report {
 	return Report{
 		Name: s.Name, Leaving: s.Leaving, Loading: s.Loading, Running: s.Running, Waiting: s.Waiting,
@@ -96,7 +96,7 @@
 	}
 }
 
-// Status returns the report in the form that the load table takes.
+// Status returns the report as the load table stores it.
 func (r Report) Status() spanrill.UpstreamStatus {
 	return spanrill.UpstreamStatus{
 		Name: r.Name, Leaving: r.Leaving, Loading: r.Loading, Running: r.Running, Waiting: r.Waiting,
@@ -107,76 +107,76 @@
 	}
 }
 
-// Demand tells how much the accounts asked of one daemon in the last second.
+// Demand carries the request rates of client accounts at one daemon in the last second.
 type Demand struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Accounts []AccountDemand
 }
 
-// AccountDemand is the demand of one client account.
+// AccountDemand is the request rate of one client account.
 type AccountDemand struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Account  string
-	PerMille uint32 // requests a second, in thousandths
+	PerMille uint32 // thousandths of a request per second
 }
 
-// Head carries a head of the configuration as the platform stores it. It is
-// empty if the daemon has none.
+// Head carries the configuration head as the platform stores it. It is empty if the daemon has
+// none.
 type Head struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Value    []byte
 }
 
-// Part asks for a part of the configuration by its hash, or carries it.
+// Part requests a part of the configuration by its hash. In the reply it carries the part.
 type Part struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Hash     string
 	Value    []byte
 }
 
-// Claim asks the owner of a slot to claim an idempotency key.
+// Claim asks the owner of a slot of claims to claim an idempotency key.
 type Claim struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Slot     int
 	Record   []byte // a claim record in JSON
 }
 
-// Claimed answers a Claim. Record is a claim record in JSON.
+// ClaimReply answers a Claim. Record is a claim record in JSON.
 type Claimed struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Granted  bool
-	Failed   string // why there is no answer, or ""
+	Failed   string // why the owner could not decide, or ""
 	Record   []byte
 }
 
-// Settle tells the owner of a slot how a claimed call ended.
+// Settlement reports to the owner of a slot how a claimed call ended.
 type Settle struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Slot     int
 	Record   []byte // a claim record in JSON
 }
 
-// Boxes carries the last box list that a daemon has read, as the platform gave
-// it. It is empty if the daemon has none.
+// Boxes carries the box list that a daemon read last, as the platform returned it. It is empty if
+// the daemon has none.
 type Boxes struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Value    []byte
 }
 
-// Encode returns a message as it is sent.
+// Encode encodes a message.
 func Encode(v any) ([]byte, error) {
 	var b bytes.Buffer
 	e := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(e)
 	e.Reset(&b)
-	e.UseCompactInts(true) // most numbers are small: a Use takes 24 bytes without, and about 11
+	e.UseCompactInts(true) // most numbers are small: an UpstreamUse takes about 11 bytes instead of 24
 	if err := e.Encode(v); err != nil {
 		return nil, fmt.Errorf("encode message: %w", err)
 	}
 	return b.Bytes(), nil
 }
 
-// Decode reads a message.
+// Decode decodes a message into v.
 func Decode(data []byte, v any) error {
 	if err := msgpack.NewDecoder(bytes.NewReader(data)).Decode(v); err != nil {
 		return fmt.Errorf("decode message: %w", err)
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// Use is what the requests of one daemon hold at one upstream.
+// UpstreamUse is the tokens and calls that requests hold at an upstream.
 type Use struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Upstream uint32   // hash of its id
@@ -192,8 +192,8 @@
 	Calls    int64
 }
 
-// Sum is what the requests of several daemons hold, and what these have counted
-// for the retry budgets.
+// Sum is the total over several daemons of what their requests hold, and of their counts for the
+// retry budgets.
 type Sum struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Daemons  int
@@ -201,41 +201,41 @@
 	Retries  []RetryCount
 }
 
-// AskNews asks for news. In a large fleet it brings the sum over the daemons
-// below the one that asks, for each tree in which that one is below the daemon
-// asked.
+// NewsRequest asks a daemon for news. In a large fleet it carries the subtree sum of the sender for
+// each tree in which the receiver is its parent.
 type AskNews struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Name     string
-	Below    map[int]*Sum // by number of the tree
+	Below    map[int]*Sum // by tree number
 
-	Placement *Placement // what the holder of the lease of placement said last, or nil
+	Placement *Placement // last statement of the placement lease's holder that the sender knows, or nil
 
-	Suspects uint64 // digest of the requests that the one that asks keeps back
+	Suspects uint64 // digest of the suspect marks that the sender has
 
-	// Holder and Sequence are what is known of the holder of the lease of placement and of
-	// what it has said, or "" and 0.
+	// Holder and Sequence are the holder of the placement lease and the sequence number of its
+	// last statement that the sender knows, or "" and 0.
 	Holder   string
 	Sequence uint64
 
-	Brief []int // trees of whose sums the upstreams are not asked for
+	Brief []int // numbers of the trees whose sums may leave out the upstreams
 
 	Limits uint64 // digest of the rate limits that the sender knows
 }
 
 // FleetSum is the sum over all daemons that reached the root of a tree. In a fleet with many
-// upstreams it names those of the asking daemon's availability zone one by one, and tells of
-// the others what requests hold in each zone.
+// upstreams it names only the upstreams of the receiver's availability zone, and gives totals for
+// each other zone.
 type FleetSum struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Sum      Sum
-	Age      spanrill.Millis // of the sum at the root, when the answer was made
-	Zones    []ZoneUse       // of the other availability zones, where their upstreams are not named
-	Cut      bool            // they are not named
-	Brief    bool            // no upstreams are named, since they were not asked for
+	Age      spanrill.Millis // age of the sum at the root, when the answer was made
+	Zones    []ZoneUse       // totals of the other availability zones, if their upstreams are not named
+	Cut      bool            // upstreams of other availability zones are not named
+	Brief    bool            // no upstreams are named, as requested
 }
 
-// ZoneUse is what requests hold at the upstreams of a service in one availability zone.
+// ZoneUse is the tokens and calls that requests hold at a service's upstreams in one availability
+// zone.
 type ZoneUse struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Zone     string
@@ -244,35 +244,35 @@
 	Calls    int64
 }
 
-// News is what a daemon answers when it is asked for news.
+// News answers a NewsRequest.
 type News struct {
 	_msgpack  struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Name      string
-	Revision  uint64          // of the newest configuration, or 0
-	ProofAge  spanrill.Millis // of that configuration, when the answer was made
-	Uses      []Use           // what this daemon's own requests hold, in a small fleet
-	Placement *Placement      // what the holder of the lease of placement said last, or nil
+	Revision  uint64          // of the newest configuration known, or 0
+	ProofAge  spanrill.Millis // time since that configuration was confirmed as the newest, when the answer was made
+	Uses      []Use           // what the sender's own requests hold, in a small fleet
+	Placement *Placement      // last statement of the placement lease's holder, or nil
 	Leaving   bool
 
-	Refusing []uint32 // hashes of upstreams that have refused this daemon's requests lately
+	Refusing []uint32 // hashes of the ids of upstreams that recently refused the sender's requests
 
-	Retries []RetryCount // of this daemon's own requests, in the window of the retry budget
+	Retries []RetryCount // counts of the sender's own requests in the window of the retry budget
 
-	Fleet map[int]*FleetSum // in a large fleet, by number of the tree, for those asked about
+	Fleet map[int]*FleetSum // in a large fleet: sums by tree number, for the trees in the request
 
-	UpstreamsAt     uint64          // revision of the store up to which all upstreams are known
-	UpstreamsChange uint64          // revision up to which there were changes of them
-	UpstreamsAge    spanrill.Millis // of that knowledge, when the answer was made
+	UpstreamsAt     uint64          // store revision up to which the sender knows all upstreams
+	UpstreamsChange uint64          // store revision of their last change
+	UpstreamsAge    spanrill.Millis // age of that knowledge, when the answer was made
 
-	StoreSilent bool // the platform's store does not answer this daemon
+	StoreSilent bool // the platform's store does not answer the sender
 
-	// StoreAnswered is for how long the store has answered daemons without a break, at
-	// least, up to UpstreamsAge ago.
+	// StoreAvailableFor is a lower bound of the time for which the store had answered daemons
+	// without a break, UpstreamsAge ago.
 	StoreAnswered spanrill.Millis
 
 	Suspects []SuspectMark
 
-	Limits []UpstreamLimit // all known rate limits, if the digests differ
+	Limits []UpstreamLimit // all known rate limits, if the request has another digest
 }
 
 // UpstreamLimit is the rate limit of an upstream for all daemons combined.
@@ -284,14 +284,14 @@
 	Age       spanrill.Millis // since the answer of the upstream, when the message was made
 }
 
-// AskPermit asks for a permit to send one request to an upstream with a rate limit.
+// PermitRequest asks for a permit to send one request to an upstream with a rate limit.
 type AskPermit struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Limit    UpstreamLimit
 	Standby  bool // a preferred daemon did not answer the sender
 }
 
-// Permit answers an AskPermit.
+// Permit answers a PermitRequest.
 type Permit struct {
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Granted    bool
@@ -299,101 +299,100 @@
 	Limit      UpstreamLimit   // latest limit that the granting daemon knows
 }
 
-// SuspectNews tells of a request that is kept back from now on, without being asked.
+// SuspectNotice announces a request that is blocked from now on, without being asked for news.
 type SuspectNews struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Marks    []SuspectMark
 }
 
-// SuspectMark tells that an upstream has ended under a request.
+// SuspectMark records that an upstream was lost while it ran a request.
 type SuspectMark struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
-	Content  uint64   // hash of what was asked for, and by whom
+	Content  uint64   // hash of the request's content and its client account
 	Upstream uint32   // hash of its name
 	Age      spanrill.Millis
-	Fresh    bool // the request had begun there shortly before
-	Trial    bool // no end: a request of the content is tried again
+	Fresh    bool // the request had started there shortly before
+	Trial    bool // not a loss: a request with this content is tried again
 }
 
-// Placement is what the holder of the lease of placement says. Other daemons
-// hand it on.
+// Placement is a statement of the holder of the placement lease. Other daemons forward it.
 type Placement struct {
 	_msgpack struct{}         `msgpack:",as_array"` //nolint:unused // read by the codec
 	Holder   string           // name of the daemon
-	Age      spanrill.Millis  // of what it says, when the answer was made
-	Version  spanrill.Version // of its lease, or "" if it acts without
-	Left     spanrill.Millis  // time for which the lease held when it said so
-	Targets  []Target         // what engines are being ordered to hold
-	Slow     []Pace           // engines that are slow
+	Age      spanrill.Millis  // of the statement, when the message was made
+	Version  spanrill.Version // version of its lease, or "" if it acts without one
+	Left     spanrill.Millis  // time left on the lease when the statement was made
+	Targets  []Target         // layer ranges that engines are ordered to hold
+	Slow     []Pace           // engines that are slower than their kind
 	Sequence uint64           // rises with each change of the targets
-	After    uint64           // the targets are those that have changed behind that sequence, or all if 0
-	Dropped  []uint32         // hashes of the ids of engines that are no targets any more, among changes
+	After    uint64           // Targets has only the changes after this sequence number, or all targets if 0
+	Dropped  []uint32         // hashes of the ids of engines without a target any more, if Targets has changes
 }
 
-// Pace is how many times slower than its kind an engine reports to be.
+// Slowdown tells how many times slower than its kind an engine reports to be.
 type Pace struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Upstream uint32   // hash of its id
 	Times    float64
 }
 
-// RetryCount is what a daemon has counted for the retry budget of a service.
+// RetryCount is the counts of a daemon for the retry budget of a service.
 type RetryCount struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Service  string
 	Requests int64
 	Retries  int64
-	Recent   int64 // requests of the last two seconds or so
+	Recent   int64 // requests of about the last two seconds
 }
 
-// AskLoan asks a daemon for a part of what it may spend of a retry budget.
+// LoanRequest asks a daemon to give up a part of its share of a retry budget.
 type AskLoan struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Service  string
 	Want     float64 // retries
 }
 
-// Loan is how many retries a daemon gives up.
+// Loan answers a LoanRequest with the number of retries that the daemon gives up.
 type Loan struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Retries  float64
 }
 
-// AskEntries asks for the entries of upstreams.
+// EntriesRequest asks for the entries of upstreams.
 type AskEntries struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
-	After    uint64   // revision of the store up to which all are known, or 0
+	After    uint64   // store revision up to which the sender knows all entries, or 0
 }
 
-// Entries is the entries of upstreams as they stood at a revision of the store, or what has
-// changed of them since an earlier one.
+// Entries carries the entries of upstreams at a revision of the store, or their changes since an
+// earlier revision.
 type Entries struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
-	Packed   []byte   // an EntryList, compressed
-	At       uint64
-	Change   uint64
-	Age      spanrill.Millis
-	After    uint64 // the changes are those behind it, or 0 for all entries
+	_msgpack struct{}        `msgpack:",as_array"` //nolint:unused // read by the codec
+	Packed   []byte          // an EntryList, compressed
+	At       uint64          // store revision of the entries
+	Change   uint64          // store revision of their last change
+	Age      spanrill.Millis // time since the entries were known to be current, when the message was made
+	After    uint64          // revision after which the changes were made, or 0 if all entries are sent
 }
 
-// EntryList is entries of upstreams.
+// EntryList is a list of upstream entries, or of changes to it.
 type EntryList struct {
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Entries    []spanrill.EngineEntry
-	Unreadable []string // names of entries that name no upstream to use
-	Gone       []string // names of entries that have gone, among changes
+	Unreadable []string // names of entries that describe no usable upstream
+	Gone       []string // names of entries that were removed, if the list has changes
 }
 
-// Target is the range that an engine is being ordered to hold.
+// Target is the range of layers that an engine is ordered to hold.
 type Target struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Upstream uint32   // hash of its id
 	From     int
 	To       int
-	Done     bool // the engine has said that it holds the range
+	Done     bool // the engine has reported that it holds the range
 }
 
-// RouteConfig is a configuration as it lies in the store.
+// RouteConfig carries a configuration as the store holds it.
 type RouteConfig struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Revision uint64
