--- a/protocol/engineapi/client.go
+++ b/protocol/engineapi/client.go
@@ -1,9 +1,8 @@
-// Package engineapi speaks to model engines over HTTP.
+// Package engineapi is an HTTP client of model engines.
 //
-// A run is POST /v1/run with a spanrill.RunRequest. The answer is a stream of
-// JSON lines (application/x-ndjson), each a spanrill.RunEvent. A stage that
-// refuses before any work makes the first engine answer 409 with one event
-// that holds the refusal.
+// A run is POST /v1/run with a spanrill.RunRequest. The answer is a stream of JSON lines
+// (application/x-ndjson), each a spanrill.RunEvent. If a stage refuses before any work, the first
+// engine answers with status 409 and a single event that holds the refusal.
 //
 // # Usage
 //
@@ -35,32 +34,32 @@
 	http *httpcall.Client
 }
 
-// New returns a client.
+// New returns a Client that makes its calls with http.
 func New(http *httpcall.Client) *Client {
 	return &Client{http: http}
 }
 
 const (
-	maxReport = 64 << 10 // bytes of a status report or refusal
-	maxLine   = 64 << 10 // bytes of one event
+	maxBodyBytes  = 64 << 10 // a status report or refusal
+	maxEventBytes = 64 << 10 // one event of a run
 )
 
-// Run starts a run on the first stage of the chain.
+// Run starts a run at the engine of the chain's first stage.
 func (c *Client) Run(ctx context.Context, req *spanrill.RunRequest) (spanrill.RunStream, error) {
 	answer, err := c.post(ctx, req.Chain[0].Addr, "/v1/run", req)
 	if err != nil {
 		return nil, fmt.Errorf("start run: %w", err)
 	}
 	if answer.Status() == fasthttp.StatusOK {
-		return &runStream{answer: answer, lines: bufio.NewReaderSize(answer.Body(), maxLine)}, nil
+		return &runStream{answer: answer, lines: bufio.NewReaderSize(answer.Body(), maxEventBytes)}, nil
 	}
-	return nil, refusalOf(answer)
+	return nil, readRefusal(answer)
 }
 
-// refusalOf reads the refusal from an answer that is no stream.
-func refusalOf(answer *httpcall.Answer) error {
+// readRefusal returns the error that an answer with a status other than 200 stands for.
+func readRefusal(answer *httpcall.Answer) error {
 	status := answer.Status()
-	body, err := answer.ReadAll(maxReport)
+	body, err := answer.ReadAll(maxBodyBytes)
 	if err != nil {
 		return fmt.Errorf("read refusal: %w", err)
 	}
@@ -72,6 +71,7 @@
 	return &spanrill.CallError{Phase: spanrill.PhaseRefused, Cause: ev.Error}
 }
 
+// post sends v as JSON.
 func (c *Client) post(ctx context.Context, addr, path string, v any) (*httpcall.Answer, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -86,46 +86,46 @@
 	return c.http.Do(ctx, addr, req, httpcall.Reused)
 }
 
-// Status asks an engine for its report.
+// Status returns the status report of an engine.
 func (c *Client) Status(ctx context.Context, addr string) (spanrill.UpstreamStatus, error) {
 	return StatusAt(ctx, c.http, addr, "/v1/status")
 }
 
-// StatusAt reads the report that any upstream serves at path.
+// StatusAt returns the status report that an upstream serves at path.
 func StatusAt(ctx context.Context, http *httpcall.Client, addr, path string) (spanrill.UpstreamStatus, error) {
-	var s spanrill.UpstreamStatus
+	var report spanrill.UpstreamStatus
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + addr + path)
 	answer, err := http.Do(ctx, addr, req, httpcall.Reused)
 	if err != nil {
-		return s, fmt.Errorf("read status: %w", err)
+		return report, fmt.Errorf("read status: %w", err)
 	}
 	status := answer.Status()
-	body, err := answer.ReadAll(maxReport)
+	body, err := answer.ReadAll(maxBodyBytes)
 	if err != nil {
-		return s, fmt.Errorf("read status: %w", err)
+		return report, fmt.Errorf("read status: %w", err)
 	}
 	if status != fasthttp.StatusOK {
-		return s, errors.Errorf("read status of %s: status %d", addr, status)
+		return report, errors.Errorf("read status of %s: status %d", addr, status)
 	}
-	if err := json.Unmarshal(body, &s); err != nil {
-		return s, fmt.Errorf("decode status of %s: %w", addr, err)
+	if err := json.Unmarshal(body, &report); err != nil {
+		return report, fmt.Errorf("decode status of %s: %w", addr, err)
 	}
-	return s, nil
+	return report, nil
 }
 
-// Order gives an engine an order.
+// Order sends an order to an engine.
 func (c *Client) Order(ctx context.Context, addr string, o spanrill.Order) error {
 	answer, err := c.post(ctx, addr, "/v1/orders", o)
 	if err != nil {
-		return fmt.Errorf("give order: %w", err)
+		return fmt.Errorf("send order: %w", err)
 	}
 	if answer.Status() == fasthttp.StatusOK {
-		_, err := answer.ReadAll(maxReport)
+		_, err := answer.ReadAll(maxBodyBytes)
 		return err
 	}
-	return refusalOf(answer)
+	return readRefusal(answer)
 }
 
 // runStream reads the events of one run.
@@ -134,7 +134,8 @@
 	lines  *bufio.Reader
 }
 
-// Next returns the next event.
+// Next returns the next event. It returns spanrill.ErrStalled if nothing arrives within wait, and
+// io.EOF at the end of the stream.
 func (s *runStream) Next(wait spanrill.Millis) (spanrill.RunEvent, error) {
 	var ev spanrill.RunEvent
 	s.answer.SetReadWait(wait)
@@ -154,7 +155,7 @@
 	return ev, nil
 }
 
-// Close ends the stream.
+// Close closes the stream. If it is not read to its end, the engine is told to cancel the run.
 func (s *runStream) Close() error {
 	s.answer.Close()
 	return nil
