--- a/protocol/objectapi/client.go
+++ b/protocol/objectapi/client.go
@@ -1,13 +1,12 @@
-// Package objectapi speaks to the platform's object API and box list over
-// HTTP.
+// Package objectapi is an HTTP client of the platform's object store and box list.
 //
 // An object is read with GET /objects/{key}. Its version is the ETag (RFC
 // 9110). Conditional updates use If-Match, and If-None-Match: * to create. A
 // watch is a GET with If-None-Match and Prefer: wait=N (RFC 7240), which the
 // platform answers when the version changes or after N seconds.
 //
-// No call is repeated here. A write whose answer was lost returns
-// spanrill.ErrUncertain, and the caller settles it by reading.
+// Calls are not retried. A write whose answer was lost returns spanrill.ErrUncertain, and the caller
+// must read the object to learn whether it was written.
 //
 // # Usage
 //
@@ -29,31 +28,31 @@
 	"spanrill/transport/httpcall"
 )
 
-// MaxValue is the largest value that the platform holds, in bytes.
+// MaxValue is the maximum size of an object's value on the platform, in bytes.
 const MaxValue = 1 << 20
 
-// Client is an ObjectStore and a BoxLister.
+// Client implements spanrill.ObjectStore and spanrill.BoxLister.
 type Client struct {
 	addr    string
 	http    *httpcall.Client
 	timeout spanrill.Millis
 
-	mu       sync.Mutex
-	boxes    []spanrill.Box // the last box list
-	boxesTag string         // its ETag, if the platform gave one
+	mu        sync.Mutex
+	boxes     []spanrill.Box // the box list that was read last
+	boxesETag string         // its ETag, if the platform gave one
 }
 
 // Option changes a default of New.
 type Option func(*Client)
 
-// WithTimeout bounds each call. A watch may take this long beyond its wait.
+// WithTimeout sets the timeout of each call. For a watch it is added to the wait.
 func WithTimeout(d spanrill.Millis) Option {
 	return func(c *Client) { c.timeout = d }
 }
 
 const defaultTimeout = 2 * spanrill.Second
 
-// New returns a client of the platform at addr.
+// New returns a Client of the platform at addr.
 func New(addr string, http *httpcall.Client, opts ...Option) *Client {
 	c := &Client{addr: addr, http: http, timeout: defaultTimeout}
 	for _, o := range opts {
@@ -62,16 +61,19 @@
 	return c
 }
 
-// Get returns the object.
+// Get returns the object of a key.
 func (c *Client) Get(ctx context.Context, key string) (spanrill.Object, error) {
 	return c.read(ctx, key, "", 0)
 }
 
-// Watch returns the object once its version differs from known, or after wait.
+// Watch returns the object once its version differs from known. After wait without a change it
+// returns an object that has the known version and no value.
 func (c *Client) Watch(ctx context.Context, key string, known spanrill.Version, wait spanrill.Millis) (spanrill.Object, error) {
 	return c.read(ctx, key, known, wait)
 }
 
+// read reads an object. It returns one without a value if its version is known and it does not
+// change within wait.
 func (c *Client) read(ctx context.Context, key string, known spanrill.Version, wait spanrill.Millis) (spanrill.Object, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -97,7 +99,8 @@
 	return spanrill.Object{}, fmt.Errorf("read object %s: status %d: %w", key, answer.Status(), spanrill.ErrUnavailable)
 }
 
-// Put writes the object if its version is expect.
+// Put writes the object if its version is expect, and returns the new version. If expect is empty,
+// it only creates the object.
 func (c *Client) Put(ctx context.Context, key string, value []byte, expect spanrill.Version) (spanrill.Version, error) {
 	if len(value) > MaxValue {
 		return "", errors.Errorf("write object %s: %d bytes, at most %d are allowed", key, len(value), MaxValue)
@@ -127,7 +130,7 @@
 	return "", fmt.Errorf("write object %s: status %d: %w", key, answer.Status(), spanrill.ErrUncertain)
 }
 
-// writeError says what a failed call means for the write.
+// writeError returns ErrUnavailable if a failed write cannot have run, and else ErrUncertain.
 func writeError(err error) error {
 	var call *spanrill.CallError
 	if errors.As(err, &call) && call.Outcome() == spanrill.OutcomeNotRun {
@@ -136,6 +139,7 @@
 	return spanrill.ErrUncertain
 }
 
+// do makes one call and reads the whole body. The call may take wait longer than the timeout.
 func (c *Client) do(ctx context.Context, req *fasthttp.Request, wait spanrill.Millis) ([]byte, *httpcall.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, (c.timeout + wait).Duration())
 	defer cancel()
@@ -154,14 +158,14 @@
 	return spanrill.Version(a.Header().Peek("ETag"))
 }
 
-// Boxes returns the platform's box list. The list is asked for with the ETag of
-// the last one, so that a platform that knows ETags sends it only after a change.
-// The slice must not be changed.
+// Boxes returns the platform's box list. The request carries the ETag of the last list, so that a
+// platform that supports ETags sends the list only after a change. Callers must not modify the
+// slice.
 func (c *Client) Boxes(ctx context.Context) ([]spanrill.Box, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + c.addr + "/boxes")
-	known, tag := c.lastBoxes()
+	known, tag := c.cachedBoxes()
 	if tag != "" {
 		req.Header.Set("If-None-Match", tag)
 	}
@@ -179,18 +183,18 @@
 	if err := json.Unmarshal(body, &boxes); err != nil {
 		return nil, fmt.Errorf("decode box list: %w", err)
 	}
-	c.keepBoxes(boxes, string(etag(answer)))
+	c.cacheBoxes(boxes, string(etag(answer)))
 	return boxes, nil
 }
 
-func (c *Client) lastBoxes() (boxes []spanrill.Box, tag string) {
+func (c *Client) cachedBoxes() (boxes []spanrill.Box, tag string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.boxes, c.boxesTag
+	return c.boxes, c.boxesETag
 }
 
-func (c *Client) keepBoxes(boxes []spanrill.Box, tag string) {
+func (c *Client) cacheBoxes(boxes []spanrill.Box, tag string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.boxes, c.boxesTag = boxes, tag
+	c.boxes, c.boxesETag = boxes, tag
 }
