--- a/protocol/serviceapi/client.go
+++ b/protocol/serviceapi/client.go
@@ -1,7 +1,7 @@
-// Package serviceapi speaks to plain services over HTTP.
+// Package serviceapi is an HTTP client of plain services.
 //
-// A call that may not be repeated always goes over a new connection, so that
-// an old one cannot close under it.
+// A call that must not be repeated always uses a new connection, since the service may close an
+// idle one just as the request is sent.
 //
 // # Usage
 //
@@ -29,14 +29,14 @@
 // Option changes a default of New.
 type Option func(*Client)
 
-// WithMaxAnswer bounds the body of an answer, in bytes.
+// WithMaxAnswer sets the maximum size of an answer's body, in bytes.
 func WithMaxAnswer(n int) Option {
 	return func(c *Client) { c.maxAnswer = n }
 }
 
 const defaultMaxAnswer = 16 << 20
 
-// New returns a client.
+// New returns a Client that makes its calls with http.
 func New(http *httpcall.Client, opts ...Option) *Client {
 	c := &Client{http: http, maxAnswer: defaultMaxAnswer}
 	for _, o := range opts {
@@ -45,7 +45,7 @@
 	return c
 }
 
-// Call makes one attempt.
+// Call sends a request to the instance at addr, once, and returns the whole answer.
 func (c *Client) Call(ctx context.Context, addr string, req *spanrill.ServiceRequest) (*spanrill.ServiceAnswer, error) {
 	out := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(out)
@@ -62,23 +62,24 @@
 	return c.read(answer)
 }
 
+// read reads the whole answer and drops its hop-by-hop headers.
 func (c *Client) read(answer *httpcall.Answer) (*spanrill.ServiceAnswer, error) {
-	whole := &spanrill.ServiceAnswer{Status: answer.Status()}
+	result := &spanrill.ServiceAnswer{Status: answer.Status()}
 	for name, value := range answer.Header().All() {
 		if !hopByHop[string(name)] {
-			whole.Headers = append(whole.Headers, spanrill.Header{Name: string(name), Value: string(value)})
+			result.Headers = append(result.Headers, spanrill.Header{Name: string(name), Value: string(value)})
 		}
 	}
 	body, err := answer.ReadAll(c.maxAnswer)
 	if err != nil {
 		return nil, fmt.Errorf("read answer of service: %w", err)
 	}
-	whole.Body = body
-	return whole, nil
+	result.Body = body
+	return result, nil
 }
 
-// hopByHop lists the headers that concern one connection alone (RFC 9110,
-// section 7.6.1), and those that the next hop sets by itself.
+// hopByHop lists the headers that apply to a single connection (RFC 9110, section 7.6.1), and those
+// that the next hop sets itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true,
@@ -86,10 +87,11 @@
 	"Date": true, "Server": true, "Host": true,
 }
 
-// HopByHop reports whether a header concerns one connection alone.
+// HopByHop reports whether a header applies to a single connection or is set by the next hop, so
+// that it must not be forwarded.
 func HopByHop(name string) bool { return hopByHop[name] }
 
-// Status asks one upstream for its report.
+// Status returns the status report of an upstream.
 func (c *Client) Status(ctx context.Context, addr string) (spanrill.UpstreamStatus, error) {
 	return engineapi.StatusAt(ctx, c.http, addr, "/status")
 }
