--- a/protocol/callerapi/inference.go
+++ b/protocol/callerapi/inference.go
@@ -168,7 +168,7 @@
 	}
 	in.endAdmission(result.Tokens())
 	in.setOutcome(spanrill.OutcomeRan)
-	in.server.Meters.Ended(spanrill.OutcomeRan)
+	in.server.Meters.CountOutcome(spanrill.OutcomeRan)
 	in.ctx.Response.Header.Set(HeaderChain, formatChain(result.Chain()))
 	in.writeJSON(in.completion(answer.text.String(), result))
 }
--- a/protocol/callerapi/stream.go
+++ b/protocol/callerapi/stream.go
@@ -105,7 +105,7 @@
 		w.writeError(sink.refusal)
 		return
 	}
-	in.server.Meters.Ended(spanrill.OutcomeRan)
+	in.server.Meters.CountOutcome(spanrill.OutcomeRan)
 	w.writeEnd(sink.result)
 }
 
