--- a/state/config/build.go
+++ b/state/config/build.go
@@ -13,10 +13,10 @@
 	"spanrill/checked"
 )
 
-// Documents are the documents of a whole configuration, in canonical JSON.
+// Documents holds all documents of a configuration by name, in canonical JSON.
 type Documents map[Name]json.RawMessage
 
-// names returns the names of a kind in order.
+// names returns the names of all documents of a kind, sorted.
 func (d Documents) names(k Kind) []Name {
 	var names []Name
 	for n := range d {
@@ -28,8 +28,8 @@
 	return names
 }
 
-// Build checks that the documents fit together and returns them as a snapshot.
-// The error is checked.Problems when a document is at fault.
+// Build validates the documents, including the references between them, and returns them as a
+// snapshot. The error is a checked.Problems if a document is invalid.
 func Build(revision uint64, editID string, docs Documents) (*Snapshot, error) {
 	b := builder{docs: docs, snapshot: newSnapshot(revision, editID, docs)}
 	for _, k := range Kinds {
@@ -49,7 +49,7 @@
 	problems checked.Problems
 }
 
-func (b *builder) fault(n Name, field, format string, args ...any) {
+func (b *builder) addProblem(n Name, field, format string, args ...any) {
 	b.problems = append(b.problems, checked.Problem{
 		File: n.String(), Field: field, Line: 1, Column: 1, Text: fmt.Sprintf(format, args...),
 	})
@@ -58,7 +58,7 @@
 func (b *builder) add(n Name) {
 	doc := newDocument(n.Kind)
 	if err := schemas[n.Kind].Decode(n.String(), b.docs[n], doc); err != nil {
-		b.decodeFault(n, err)
+		b.addDecodeError(n, err)
 		return
 	}
 	switch d := doc.(type) {
@@ -73,21 +73,21 @@
 	}
 }
 
-func (b *builder) decodeFault(n Name, err error) {
+func (b *builder) addDecodeError(n Name, err error) {
 	var ps checked.Problems
 	if errors.As(err, &ps) {
 		b.problems = append(b.problems, ps...)
 		return
 	}
-	b.fault(n, "/", "%v", err)
+	b.addProblem(n, "/", "%v", err)
 }
 
-// addTemplate checks a template with the defaults of its parameters.
+// addTemplate adds a template and checks that it resolves with the default of each parameter.
 func (b *builder) addTemplate(n Name, t *Template) {
 	b.snapshot.templates[t.Name] = t
 	for name, p := range t.Parameters {
 		if err := p.check(p.Default); err != nil {
-			b.fault(n, "/parameters/"+name+"/default", "%v", err)
+			b.addProblem(n, "/parameters/"+name+"/default", "%v", err)
 		}
 	}
 	b.resolve(n, t, &Account{})
@@ -96,7 +96,7 @@
 func (b *builder) addAccount(n Name, a *Account) {
 	t := b.snapshot.templates[a.Template]
 	if t == nil {
-		b.fault(n, "/template", "there is no template %q; there are: %s", a.Template, sortedKeys(b.snapshot.templates))
+		b.addProblem(n, "/template", "there is no template %q; there are: %s", a.Template, sortedKeys(b.snapshot.templates))
 		return
 	}
 	for name, value := range a.Parameters {
@@ -112,38 +112,38 @@
 func (b *builder) checkParameter(n Name, t *Template, name string, value json.RawMessage) {
 	p, ok := t.Parameters[name]
 	if !ok {
-		b.fault(n, "/parameters/"+name, "template %q has no such parameter; it has: %s", t.Name, sortedKeys(t.Parameters))
+		b.addProblem(n, "/parameters/"+name, "template %q has no such parameter; it has: %s", t.Name, sortedKeys(t.Parameters))
 		return
 	}
 	if err := p.check(value); err != nil {
-		b.fault(n, "/parameters/"+name, "%v", err)
+		b.addProblem(n, "/parameters/"+name, "%v", err)
 	}
 }
 
 func (b *builder) addKey(n Name, i int, hash string, grant *Grant) {
 	var key KeyHash
 	if _, err := hex.Decode(key[:], []byte(hash)); err != nil {
-		b.fault(n, fmt.Sprintf("/key_hashes/%d", i), "%v", err)
+		b.addProblem(n, fmt.Sprintf("/key_hashes/%d", i), "%v", err)
 		return
 	}
 	if other := b.snapshot.byKey[key]; other != nil {
-		b.fault(n, fmt.Sprintf("/key_hashes/%d", i), "account %q has the same key", other.account)
+		b.addProblem(n, fmt.Sprintf("/key_hashes/%d", i), "account %q has the same key", other.account)
 		return
 	}
 	b.snapshot.byKey[key] = grant
 }
 
-// check reports whether a value fits the parameter.
+// check returns an error if the value does not have the parameter's type or is not allowed.
 func (p Parameter) check(value json.RawMessage) error {
 	if p.Type == "string" {
 		return p.checkString(value)
 	}
 	var n int
 	if err := json.Unmarshal(value, &n); err != nil {
-		return errors.Errorf("%s is no integer", value)
+		return errors.Errorf("%s is not an integer", value)
 	}
 	if p.Minimum != nil && n < *p.Minimum || p.Maximum != nil && n > *p.Maximum {
-		return errors.Errorf("%d is out of range; allowed: %s to %s", n, bound(p.Minimum), bound(p.Maximum))
+		return errors.Errorf("%d is out of range; allowed: %s to %s", n, formatBound(p.Minimum), formatBound(p.Maximum))
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 func (p Parameter) checkString(value json.RawMessage) error {
 	var s string
 	if err := json.Unmarshal(value, &s); err != nil {
-		return errors.Errorf("%s is no string", value)
+		return errors.Errorf("%s is not a string", value)
 	}
 	if len(p.Allowed) == 0 {
 		return nil
@@ -164,7 +164,7 @@
 	return errors.Errorf("%q is not allowed; allowed: %s", s, strings.Join(p.Allowed, ", "))
 }
 
-func bound(n *int) string {
+func formatBound(n *int) string {
 	if n == nil {
 		return "any"
 	}
@@ -183,5 +183,5 @@
 	return strings.Join(keys, ", ")
 }
 
-// HashKey returns the hash under which an account stores a bearer key.
+// HashKey returns the hash of a bearer key, as accounts list it.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -46,84 +46,85 @@
 	}
 }
 
-// world is a platform and clients of it.
-type world struct {
+// harness runs a platform and creates clients of it.
+type harness struct {
 	t        *testing.T
 	platform *platform.Platform
 	addr     string
 }
 
-func newWorld(t *testing.T) *world {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	p, addr := platformtest.Start(t)
-	return &world{t: t, platform: p, addr: addr}
+	return &harness{t: t, platform: p, addr: addr}
 }
 
-func (w *world) store() spanrill.ObjectStore {
-	return objectapi.New(w.addr, httpcall.New(), objectapi.WithTimeout(500))
+func (h *harness) store() spanrill.ObjectStore {
+	return objectapi.New(h.addr, httpcall.New(), objectapi.WithTimeout(500))
 }
 
-func (w *world) commit(docs map[Name]json.RawMessage) Edit {
-	w.t.Helper()
-	edit, err := w.tryCommit(Change{Author: "test", Documents: docs})
+func (h *harness) commit(docs map[Name]json.RawMessage) Edit {
+	h.t.Helper()
+	edit, err := h.tryCommit(Change{Author: "test", Documents: docs})
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return edit
 }
 
-func (w *world) tryCommit(c Change) (Edit, error) {
+func (h *harness) tryCommit(c Change) (Edit, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	return NewEditor(w.store()).Commit(ctx, c)
+	return NewEditor(h.store()).Commit(ctx, c)
 }
 
-// follow starts a follower that fails the test if its revision ever falls.
-func (w *world) follow() *Follower {
+// startFollower starts a follower that fails the test if its revision does not rise with each
+// snapshot.
+func (h *harness) startFollower() *Follower {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	last := uint64(0)
-	f := NewFollower(w.store(), WithLogger(log), WithOnChange(func(s *Snapshot) {
+	f := NewFollower(h.store(), WithLogger(log), WithOnChange(func(s *Snapshot) {
 		if s.Revision() <= last {
-			w.t.Errorf("revision fell from %d to %d", last, s.Revision())
+			h.t.Errorf("revision went from %d to %d", last, s.Revision())
 		}
 		last = s.Revision()
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = f.Run(ctx) }()
-	w.t.Cleanup(func() { cancel(); <-done })
+	h.t.Cleanup(func() { cancel(); <-done })
 	return f
 }
 
-func (w *world) await(what string, holds func() bool) {
-	w.t.Helper()
-	limit := time.Now().Add(15 * time.Second)
+func (h *harness) waitUntil(what string, holds func() bool) {
+	h.t.Helper()
+	deadline := time.Now().Add(15 * time.Second)
 	for !holds() {
-		if time.Now().After(limit) {
-			w.t.Fatalf("not in time: %s", what)
+		if time.Now().After(deadline) {
+			h.t.Fatalf("timed out waiting: %s", what)
 		}
 		<-time.After(5 * time.Millisecond)
 	}
 }
 
-func (w *world) awaitRevision(f *Follower, revision uint64) {
-	w.t.Helper()
-	w.await(fmt.Sprintf("revision %d", revision), func() bool { return f.Revision() >= revision })
+func (h *harness) waitForRevision(f *Follower, revision uint64) {
+	h.t.Helper()
+	h.waitUntil(fmt.Sprintf("revision %d", revision), func() bool { return f.Revision() >= revision })
 }
 
-// Operators race on one template and on accounts; every edit told as accepted
-// is there at the end.
-func TestRacingEditsAreAllKept(t *testing.T) {
-	w := newWorld(t)
-	w.commit(baseDocs())
-	f := w.follow()
+// Concurrent edits of different accounts do not overwrite one another: each accepted edit is in the
+// final configuration.
+func TestConcurrentEditsAreAllKept(t *testing.T) {
+	h := newHarness(t)
+	h.commit(baseDocs())
+	f := h.startFollower()
 	var wg sync.WaitGroup
 	for i := range 12 {
-		wg.Go(func() { w.commit(map[Name]json.RawMessage{account(i): accountDoc(account(i), "keeper")}) })
+		wg.Go(func() { h.commit(map[Name]json.RawMessage{account(i): accountDoc(account(i), "keeper")}) })
 	}
 	wg.Wait()
-	w.awaitRevision(f, 13)
+	h.waitForRevision(f, 13)
 	for i := range 12 {
 		if f.Current().Account(account(i).Name) == nil {
 			t.Errorf("the accepted edit of %s is lost", account(i))
@@ -131,16 +132,16 @@
 	}
 }
 
-// Of two operators that started from the same value one wins, and the other is
-// shown both sides.
-func TestLoserOfARaceSeesTheConflict(t *testing.T) {
-	w := newWorld(t)
+// Of several operators that edit the same value, the first succeeds. The others get a Conflict with
+// both values.
+func TestConflictReportsBothVersions(t *testing.T) {
+	h := newHarness(t)
 	docs := baseDocs()
-	w.commit(docs)
+	h.commit(docs)
 	base := HashDocument(docs[template])
 	won, lost := 0, 0
 	for i := range 4 {
-		_, err := w.tryCommit(Change{
+		_, err := h.tryCommit(Change{
 			Author:    fmt.Sprintf("operator-%d", i),
 			Documents: map[Name]json.RawMessage{template: templateDoc("keeper", i+5)},
 			Base:      map[Name]string{template: base},
@@ -156,34 +157,34 @@
 		}
 	}
 	if won != 1 || lost != 3 {
-		t.Fatalf("%d won and %d lost", won, lost)
+		t.Fatalf("%d edits accepted and %d conflicts, want 1 and 3", won, lost)
 	}
 }
 
-// One operator removes a template while another adds an account that uses it.
-// Whoever is first, no revision holds an account without its template.
-func TestTemplateAndItsAccountCannotBreakEachOther(t *testing.T) {
+// One operator removes a template while another adds an account that uses it. Exactly one edit is
+// accepted, so that no revision has an account without its template.
+func TestTemplateRemovalAgainstAccountCreation(t *testing.T) {
 	for i := range 8 {
-		w := newWorld(t)
-		w.commit(baseDocs())
-		f := w.follow()
+		h := newHarness(t)
+		h.commit(baseDocs())
+		f := h.startFollower()
 		var wg sync.WaitGroup
 		var removeErr, addErr error
-		wg.Go(func() { _, removeErr = w.tryCommit(Change{Documents: map[Name]json.RawMessage{template: nil}}) })
+		wg.Go(func() { _, removeErr = h.tryCommit(Change{Documents: map[Name]json.RawMessage{template: nil}}) })
 		wg.Go(func() {
-			_, addErr = w.tryCommit(Change{Documents: map[Name]json.RawMessage{account(1): accountDoc(account(1), "keeper")}})
+			_, addErr = h.tryCommit(Change{Documents: map[Name]json.RawMessage{account(1): accountDoc(account(1), "keeper")}})
 		})
 		wg.Wait()
 		if (removeErr == nil) == (addErr == nil) {
 			t.Fatalf("round %d: remove %v, add %v: exactly one must be accepted", i, removeErr, addErr)
 		}
-		w.awaitRevision(f, 2)
+		h.waitForRevision(f, 2)
 	}
 }
 
-// A write took effect while its answer was lost, or was lost itself: the editor
-// tells the truth.
-func TestLostAnswersAreSettled(t *testing.T) {
+// If the platform loses requests or answers, or returns stale reads, the editor still reports
+// correctly whether an edit was accepted.
+func TestUncertainWritesAreReportedCorrectly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults platform.Faults
@@ -196,22 +197,22 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t)
-			w.commit(baseDocs())
-			w.commit(map[Name]json.RawMessage{account(0): accountDoc(account(0), "keeper")})
+			h := newHarness(t)
+			h.commit(baseDocs())
+			h.commit(map[Name]json.RawMessage{account(0): accountDoc(account(0), "keeper")})
 			accepted := map[Name]bool{}
 			for i := range 10 {
-				w.platform.SetFaults(c.faults)
+				h.platform.SetFaults(c.faults)
 				n := account(i + 1)
-				_, err := w.tryCommit(Change{Documents: map[Name]json.RawMessage{n: accountDoc(n, "keeper")}})
+				_, err := h.tryCommit(Change{Documents: map[Name]json.RawMessage{n: accountDoc(n, "keeper")}})
 				accepted[n] = err == nil
 			}
-			w.platform.SetFaults(platform.Faults{})
-			head, docs := w.read()
-			w.checkHistory(head)
-			for n, told := range accepted {
-				if there := docs[n] != nil; there != told {
-					t.Errorf("%s: told accepted %v, is there %v", n, told, there)
+			h.platform.SetFaults(platform.Faults{})
+			head, docs := h.readConfig()
+			h.checkHistory(head)
+			for n, reported := range accepted {
+				if stored := docs[n] != nil; stored != reported {
+					t.Errorf("%s: reported as accepted %v, stored %v", n, reported, stored)
 				}
 			}
 		})
@@ -219,38 +220,38 @@
 }
 
 // checkHistory fails the test if an edit was accepted twice.
-func (w *world) checkHistory(head *Head) {
-	w.t.Helper()
+func (h *harness) checkHistory(head *Head) {
+	h.t.Helper()
 	seen := map[string]bool{}
 	for _, e := range head.Recent {
 		if seen[e.EditID] {
-			w.t.Errorf("edit %s was accepted twice", e.EditID)
+			h.t.Errorf("edit %s was accepted twice", e.EditID)
 		}
 		seen[e.EditID] = true
 	}
 }
 
-func (w *world) read() (*Head, Documents) {
-	w.t.Helper()
-	head, _, err := ReadHead(context.Background(), w.store())
+func (h *harness) readConfig() (*Head, Documents) {
+	h.t.Helper()
+	head, _, err := ReadHead(context.Background(), h.store())
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	docs, err := ReadDocuments(context.Background(), w.store(), head)
+	docs, err := ReadDocuments(context.Background(), h.store(), head)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return head, docs
 }
 
-// A peer that offers an older head does not take a daemon back.
-func TestOlderHeadOfAPeerIsIgnored(t *testing.T) {
-	w := newWorld(t)
-	w.commit(baseDocs())
-	old, _ := w.read()
-	w.commit(map[Name]json.RawMessage{account(1): accountDoc(account(1), "keeper")})
-	f := w.follow()
-	w.awaitRevision(f, 2)
+// An older head from a peer does not replace the configuration in force.
+func TestOlderHeadFromPeerIsIgnored(t *testing.T) {
+	h := newHarness(t)
+	h.commit(baseDocs())
+	old, _ := h.readConfig()
+	h.commit(map[Name]json.RawMessage{account(1): accountDoc(account(1), "keeper")})
+	f := h.startFollower()
+	h.waitForRevision(f, 2)
 	if err := f.Offer(context.Background(), old); err != nil {
 		t.Fatal(err)
 	}
@@ -259,78 +260,78 @@
 	}
 }
 
-// Reads that show an older head do not take a daemon back.
+// Stale reads of an older head do not replace the configuration in force.
 func TestStaleReadsDoNotRevert(t *testing.T) {
-	w := newWorld(t)
-	w.commit(baseDocs())
-	f := w.follow()
+	h := newHarness(t)
+	h.commit(baseDocs())
+	f := h.startFollower()
 	for i := range 10 {
-		w.platform.SetFaults(platform.Faults{StaleReads: 2})
-		edit := w.commit(map[Name]json.RawMessage{account(i): accountDoc(account(i), "keeper")})
-		w.awaitRevision(f, edit.Revision)
+		h.platform.SetFaults(platform.Faults{StaleReads: 2})
+		edit := h.commit(map[Name]json.RawMessage{account(i): accountDoc(account(i), "keeper")})
+		h.waitForRevision(f, edit.Revision)
 	}
 }
 
-// An older head is put back on the platform, and operators go on editing. No
-// daemon goes back, and neither the edits before nor those after are lost.
+// The platform's head is restored to an older copy, and operators go on editing. No daemon goes back
+// to an older revision, and edits before and after the restore are kept.
 func TestRestoredHeadLosesNoEdit(t *testing.T) {
 	for _, between := range []int{0, 1, 4} {
 		t.Run(fmt.Sprintf("%d edits after the restore", between), func(t *testing.T) {
-			w := newWorld(t)
-			w.commit(baseDocs())
+			h := newHarness(t)
+			h.commit(baseDocs())
 			for i := range 3 {
-				w.commit(map[Name]json.RawMessage{account(i): accountDoc(account(i), "keeper")})
+				h.commit(map[Name]json.RawMessage{account(i): accountDoc(account(i), "keeper")})
 			}
-			f := w.follow()
-			w.awaitRevision(f, 4)
-			w.platform.SetFaults(platform.Faults{FreezeWatch: true, FailEvery: 1})
-			if err := w.platform.Restore(HeadKey, 2); err != nil {
+			f := h.startFollower()
+			h.waitForRevision(f, 4)
+			h.platform.SetFaults(platform.Faults{FreezeWatch: true, FailEvery: 1})
+			if err := h.platform.Restore(HeadKey, 2); err != nil {
 				t.Fatal(err)
 			}
-			w.platform.SetFaults(platform.Faults{FreezeWatch: true})
+			h.platform.SetFaults(platform.Faults{FreezeWatch: true})
 			for i := range between {
 				n := account(100 + i)
-				w.commit(map[Name]json.RawMessage{n: accountDoc(n, "keeper")})
+				h.commit(map[Name]json.RawMessage{n: accountDoc(n, "keeper")})
 			}
-			w.platform.SetFaults(platform.Faults{})
-			w.await("all edits are in force", func() bool {
+			h.platform.SetFaults(platform.Faults{})
+			h.waitUntil("all edits in force", func() bool {
 				return f.Current().Account("a2") != nil && (between == 0 || f.Current().Account(account(99+between).Name) != nil)
 			})
-			w.await("the platform has them too", func() bool {
-				_, docs := w.read()
+			h.waitUntil("all edits on the platform", func() bool {
+				_, docs := h.readConfig()
 				return docs[account(2)] != nil
 			})
-			fresh := w.follow()
-			w.await("a new daemon has them", func() bool {
+			fresh := h.startFollower()
+			h.waitUntil("all edits on a new daemon", func() bool {
 				return fresh.Current() != nil && fresh.Current().Account("a2") != nil
 			})
 		})
 	}
 }
 
-// A watch that has silently died does not keep an edit from a daemon.
-func TestDeadWatchIsNoticed(t *testing.T) {
+// A watch that never reports a change does not keep a daemon from learning of an edit.
+func TestSilentWatchIsDetected(t *testing.T) {
 	if testing.Short() {
 		t.Skip("waits for the longest watch")
 	}
-	w := newWorld(t)
-	w.commit(baseDocs())
-	f := w.follow()
-	w.awaitRevision(f, 1)
-	w.platform.SetFaults(platform.Faults{FreezeWatch: true})
-	edit := w.commit(map[Name]json.RawMessage{account(1): accountDoc(account(1), "keeper")})
-	w.awaitRevision(f, edit.Revision)
+	h := newHarness(t)
+	h.commit(baseDocs())
+	f := h.startFollower()
+	h.waitForRevision(f, 1)
+	h.platform.SetFaults(platform.Faults{FreezeWatch: true})
+	edit := h.commit(map[Name]json.RawMessage{account(1): accountDoc(account(1), "keeper")})
+	h.waitForRevision(f, edit.Revision)
 }
 
-func TestInvalidEditsAreRefusedWhole(t *testing.T) {
-	w := newWorld(t)
-	w.commit(baseDocs())
+func TestInvalidEditsAreRejected(t *testing.T) {
+	h := newHarness(t)
+	h.commit(baseDocs())
 	for _, c := range []struct {
 		name string
 		docs map[Name]json.RawMessage
 		want []string
 	}{
-		{"account of no template", map[Name]json.RawMessage{account(1): accountDoc(account(1), "nobody")}, []string{"account/a1", "/template", "keeper"}},
+		{"account without its template", map[Name]json.RawMessage{account(1): accountDoc(account(1), "nobody")}, []string{"account/a1", "/template", "keeper"}},
 		{"unknown parameter", map[Name]json.RawMessage{
 			account(1): json.RawMessage(`{"name":"a1","template":"keeper","key_hashes":[],"parameters":{"speed":1}}`),
 		}, []string{"/parameters/speed", "has no such parameter"}},
@@ -347,7 +348,7 @@
 		}, []string{"/zone", "unknown field", "availability_zones"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := w.tryCommit(Change{Documents: c.docs})
+			_, err := h.tryCommit(Change{Documents: c.docs})
 			var problems checked.Problems
 			if !errors.As(err, &problems) {
 				t.Fatalf("got %v, want problems", err)
@@ -359,12 +360,12 @@
 			}
 		})
 	}
-	if head, _ := w.read(); head.Revision != 1 {
+	if head, _ := h.readConfig(); head.Revision != 1 {
 		t.Fatalf("an invalid edit was accepted: revision %d", head.Revision)
 	}
 }
 
-func TestParametersResolve(t *testing.T) {
+func TestParametersAreResolved(t *testing.T) {
 	docs := Documents(baseDocs())
 	docs[template] = json.RawMessage(`{"name":"keeper",
 		"parameters":{"p":{"type":"integer","default":2},"s":{"type":"string","default":"quebec"},"rps":{"type":"integer","default":7}},
@@ -380,13 +381,12 @@
 	}
 }
 
-// Eight daemons over an outage of ten minutes of driven time: they go on with
-// what is in force, ask the platform seldom, and have the edit made after it
-// soon, without a storm.
-func TestTenMinutesWithoutThePlatform(t *testing.T) {
+// In an outage of ten minutes on a manual clock, eight daemons keep their configuration and call
+// the platform rarely. Afterwards they load a new edit after one backoff, without a burst of reads.
+func TestPlatformOutageOfTenMinutes(t *testing.T) {
 	const daemons = 8
-	w := newWorld(t)
-	w.commit(baseDocs())
+	h := newHarness(t)
+	h.commit(baseDocs())
 	c := clock.NewManual()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -395,23 +395,23 @@
 	log.SetOutput(io.Discard)
 	var all []*Follower
 	for range daemons {
-		f := NewFollower(w.store(), WithClock(c), WithLogger(log))
+		f := NewFollower(h.store(), WithClock(c), WithLogger(log))
 		all = append(all, f)
 		running.Go(func() { _ = f.Run(ctx) })
 	}
 	for _, f := range all {
-		w.awaitRevision(f, 1)
+		h.waitForRevision(f, 1)
 	}
-	w.platform.SetFaults(platform.Faults{Down: true})
-	w.commitWatchers() // ends the watches that wait
-	before := w.platform.Calls()
+	h.platform.SetFaults(platform.Faults{Down: true})
+	h.endWatches()
+	before := h.platform.Calls()
 	const seconds = 600
 	for range seconds {
 		c.AwaitAlarms(daemons)
 		c.Advance(spanrill.Second)
 	}
 	c.AwaitAlarms(daemons)
-	calls := w.platform.Calls()
+	calls := h.platform.Calls()
 	if n := calls.Reads + calls.Watches - before.Reads - before.Watches; n > seconds*daemons/4 {
 		t.Errorf("%d calls in %d seconds of outage", n, seconds)
 	}
@@ -420,24 +420,24 @@
 			t.Fatal("the configuration in force was dropped")
 		}
 	}
-	w.platform.SetFaults(platform.Faults{})
-	edit := w.commit(map[Name]json.RawMessage{account(1): accountDoc(account(1), "keeper")})
-	before = w.platform.Calls()
+	h.platform.SetFaults(platform.Faults{})
+	edit := h.commit(map[Name]json.RawMessage{account(1): accountDoc(account(1), "keeper")})
+	before = h.platform.Calls()
 	c.Advance(maxBackoff)
 	for _, f := range all {
-		w.awaitRevision(f, edit.Revision)
+		h.waitForRevision(f, edit.Revision)
 	}
-	calls = w.platform.Calls()
+	calls = h.platform.Calls()
 	if n := calls.Reads - before.Reads; n > 10*daemons {
 		t.Errorf("%d reads after the outage", n)
 	}
 }
 
-// commitWatchers changes the head while the platform is down for others, so
-// that waiting watches end and see the outage.
-func (w *world) commitWatchers() {
-	w.t.Helper()
-	if err := w.platform.Restore(HeadKey, 0); err != nil {
-		w.t.Fatal(err)
+// endWatches writes the head in the store while the platform is down, so that pending watches end
+// and the followers notice the outage.
+func (h *harness) endWatches() {
+	h.t.Helper()
+	if err := h.platform.Restore(HeadKey, 0); err != nil {
+		h.t.Fatal(err)
 	}
 }
--- a/state/config/doc.go
+++ b/state/config/doc.go
@@ -1,14 +1,13 @@
-// Package config holds the configuration: what operators edit and what
-// daemons act on.
+// Package config stores the configuration of a fleet. Operators edit it, daemons follow it.
 //
-// All documents form one whole with one total order of edits. An object of the
-// platform, the head, names the revision and the hash of each part. Parts hold
-// the documents and are stored under their hash. An edit is checked against
-// the whole, its parts are stored, and then the head is moved by a conditional
-// update: from that moment the edit is accepted.
+// The configuration consists of documents, which are edited together: all edits have one total
+// order. An object in the platform's store, the head, contains the revision and the hash of each
+// part. Parts contain the documents and are stored under their hash. An edit is validated against
+// the whole configuration, its parts are stored, and then a conditional update of the head accepts
+// it.
 //
-// A daemon keeps an immutable Snapshot and replaces it only by one with a
-// higher revision, so that a request sees one revision from start to end.
+// A daemon holds an immutable Snapshot, which it replaces only by one with a higher revision, so
+// that a request sees one revision from start to end.
 //
 // # Usage
 //
--- a/state/config/documents.go
+++ b/state/config/documents.go
@@ -19,7 +19,7 @@
 	KindAccount  Kind = "account"
 )
 
-// Kinds lists the kinds in the order in which they refer to one another.
+// Kinds lists the kinds such that each one refers only to kinds before it.
 var Kinds = []Kind{KindModel, KindSite, KindTemplate, KindAccount}
 
 // ParseKind returns the kind with that name.
@@ -38,14 +38,14 @@
 	Name string `json:"name"`
 }
 
-// String returns kind/name.
+// String returns the name in the form kind/name.
 func (n Name) String() string { return string(n.Kind) + "/" + n.Name }
 
-// ParseName reads kind/name.
+// ParseName parses a name in the form kind/name.
 func ParseName(s string) (Name, error) {
 	kindName, name, ok := strings.Cut(s, "/")
 	if !ok || name == "" {
-		return Name{}, errors.Errorf("%q is no document: write kind/name, for example template/keeper", s)
+		return Name{}, errors.Errorf("%q is not the name of a document: write kind/name, for example template/keeper", s)
 	}
 	k, err := ParseKind(kindName)
 	if err != nil {
@@ -54,17 +54,17 @@
 	return Name{Kind: k, Name: name}, nil
 }
 
-// Model says how many layers a model has.
+// Model is a model that engines load in ranges of layers.
 type Model struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 	Layers  int    `json:"layers"`
 }
 
-// Fences says which upstreams of a site check the term of an order.
+// Fences selects the upstreams of a site that check the term (fencing token) of an order.
 type Fences string
 
-// Which upstreams check fences.
+// The values of Fences.
 const (
 	FencesAll    Fences = "all"
 	FencesNone   Fences = "none"
@@ -76,10 +76,10 @@
 	Name   string   `json:"name"`
 	Zones  []string `json:"availability_zones"`
 	Fences Fences   `json:"fences"`
-	Fenced []string `json:"fenced_upstreams,omitempty"` // with FencesListed
+	Fenced []string `json:"fenced_upstreams,omitempty"` // used with FencesListed
 }
 
-// ChecksFences reports whether an upstream of the site checks fences.
+// ChecksFences reports whether an upstream of the site checks the term of an order.
 func (s *Site) ChecksFences(upstream string) bool {
 	switch s.Fences {
 	case FencesAll:
@@ -103,7 +103,7 @@
 	Allowed []string        `json:"allowed,omitempty"`
 }
 
-// ModelUse says how the accounts of a template use a model.
+// ModelUse allows the accounts of a template to use a model, and says how.
 type ModelUse struct {
 	Model     string `json:"model"`
 	Priority  Int    `json:"priority"`
@@ -111,22 +111,22 @@
 	MaxTokens Int    `json:"max_tokens"`
 }
 
-// Call is a call of a plain service.
+// Call matches requests to a plain service.
 type Call struct {
 	Method     string `json:"method"`
-	Path       string `json:"path"` // a trailing * matches the rest
-	Repeatable bool   `json:"repeatable"`
+	Path       string `json:"path"`       // a trailing * matches the rest
+	Repeatable bool   `json:"repeatable"` // may run twice without harm
 }
 
-// ServiceUse says which calls of a service the accounts of a template may make.
+// ServiceUse lists the calls of a service that the accounts of a template may make.
 type ServiceUse struct {
 	Service string `json:"service"`
 	Site    String `json:"site"`
 	Calls   []Call `json:"calls"`
 }
 
-// Limits bounds what an account may ask for, over all daemons together. A
-// limit of 0 is no limit.
+// Limits are the limits of an account over all daemons combined. Zero means unlimited, except for
+// the weight, which is at least 1.
 type Limits struct {
 	RequestsPerSecond Int `json:"requests_per_second"`
 	TokensPerSecond   Int `json:"tokens_per_second"`
@@ -134,7 +134,7 @@
 	Weight            Int `json:"weight"`
 }
 
-// Template says which models and services its accounts use, and how.
+// Template is a set of models, services and limits that several accounts share.
 type Template struct {
 	Name       string               `json:"name"`
 	Parameters map[string]Parameter `json:"parameters,omitempty"`
@@ -143,19 +143,19 @@
 	Limits     Limits               `json:"limits"`
 }
 
-// Account is a client account.
+// Account is a client account: its keys, and its values for the template's parameters.
 type Account struct {
 	Name       string                     `json:"name"`
 	Template   string                     `json:"template"`
 	KeyHashes  []string                   `json:"key_hashes"` // sha256 of each bearer key, in hex
 	Parameters map[string]json.RawMessage `json:"parameters,omitempty"`
-	Disabled   bool                       `json:"disabled,omitempty"`
+	Disabled   bool                       `json:"disabled,omitempty"` // all requests are refused
 }
 
-// paramPrefix marks a value that is taken from a parameter.
+// paramPrefix marks a reference to a parameter.
 const paramPrefix = "$"
 
-// Int is an integer, or the name of a parameter that holds one.
+// Int is a literal integer or a reference to an integer parameter.
 type Int struct {
 	value int
 	param string
@@ -167,7 +167,7 @@
 // Param returns the parameter's name, or "" for a literal.
 func (i Int) Param() string { return i.param }
 
-// MarshalJSON writes a number, or "$name".
+// MarshalJSON encodes a literal as a number and a reference as "$name".
 func (i Int) MarshalJSON() ([]byte, error) {
 	if i.param != "" {
 		return json.Marshal(paramPrefix + i.param)
@@ -175,7 +175,7 @@
 	return json.Marshal(i.value)
 }
 
-// UnmarshalJSON reads a number, or "$name".
+// UnmarshalJSON decodes a number or "$name".
 func (i *Int) UnmarshalJSON(data []byte) error {
 	*i = Int{}
 	var name string
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// String is a string, or the name of a parameter that holds one.
+// String is a literal string or a reference to a string parameter.
 type String struct {
 	value string
 	param string
@@ -198,7 +198,7 @@
 // Param returns the parameter's name, or "" for a literal.
 func (s String) Param() string { return s.param }
 
-// MarshalJSON writes the string, or "$name".
+// MarshalJSON encodes a literal as it is and a reference as "$name".
 func (s String) MarshalJSON() ([]byte, error) {
 	if s.param != "" {
 		return json.Marshal(paramPrefix + s.param)
@@ -206,7 +206,7 @@
 	return json.Marshal(s.value)
 }
 
-// UnmarshalJSON reads a string, or "$name".
+// UnmarshalJSON decodes a string; one that begins with "$" is a reference.
 func (s *String) UnmarshalJSON(data []byte) error {
 	*s = String{}
 	if err := json.Unmarshal(data, &s.value); err != nil {
--- a/state/config/edit.go
+++ b/state/config/edit.go
@@ -13,38 +13,37 @@
 	"spanrill/clock"
 )
 
-// Change is what an operator asks for.
+// Change is a request to edit documents.
 type Change struct {
-	EditID string // empty: a new one is made
+	EditID string // generated if empty
 	Author string
-	// Documents maps each document to its new value, or to nil to remove it.
+	// Documents maps each document to its new value. Nil removes the document.
 	Documents map[Name]json.RawMessage
-	// Base maps documents to the hash of the value that the operator started
-	// from. A document that has another value by now is a conflict. An empty
-	// hash means that the document did not exist.
+	// Base maps documents to the hash of the value that the operator edited, empty for a
+	// document that did not exist. If the current value has another hash, Commit fails with a
+	// Conflict.
 	Base map[Name]string
 }
 
-// Conflict means that another edit changed the same document first.
+// Conflict is the error if another edit has changed a document since the operator read it.
 type Conflict struct {
 	Document Name
 	Mine     json.RawMessage
 	Theirs   json.RawMessage
-	Edit     Edit // the last edit of the document, if it is recent
+	Edit     Edit // the last edit of the document, zero if no longer in Head.Recent
 }
 
-// Error names the document and the edit that was first.
+// Error names the document and the edit that changed it.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("conflict on %s: edit %s by %s (revision %d) was first",
 		c.Document, c.Edit.EditID, c.Edit.Author, c.Edit.Revision)
 }
 
-// ErrUnsettled means that it could not be found out whether the edit was
-// accepted. Its id tells, once the platform answers: see Editor.Settle.
+// ErrUnknownOutcome means that the editor could not determine whether the edit was accepted. Once
+// the platform answers again, Editor.Accepted tells by the edit's id.
 var ErrUnsettled = errors.New("the edit may or may not have been accepted")
 
-// HashDocument returns the hash of a document in canonical form, or "" for
-// none.
+// HashDocument returns the hash of a document in canonical form, or "" if doc is nil.
 func HashDocument(doc json.RawMessage) string {
 	if doc == nil {
 		return ""
@@ -52,7 +51,7 @@
 	return HashPart(doc)
 }
 
-// Editor makes edits.
+// Editor commits edits to the configuration in a store.
 type Editor struct {
 	store spanrill.ObjectStore
 	clock spanrill.Clock
@@ -61,7 +60,7 @@
 // EditorOption changes a default of NewEditor.
 type EditorOption func(*Editor)
 
-// WithEditorClock sets the clock that edits are dated by.
+// WithEditorClock sets the clock for the time of edits and for the pauses between retries.
 func WithEditorClock(c spanrill.Clock) EditorOption {
 	return func(e *Editor) { e.clock = c }
 }
@@ -75,36 +74,36 @@
 	return e
 }
 
-// NewEditID returns an id that no other edit has.
+// NewEditID returns a random id for an edit.
 func NewEditID() string { return rand.Text()[:16] }
 
 const (
-	maxRaces  = 16                       // edits that may come first before Commit gives up
-	settleGap = 100 * spanrill.Millis(1) // pause between tries to settle a write
+	maxCommitAttempts   = 16                       // attempts of Commit while other edits change the head
+	uncertainRetryDelay = 100 * spanrill.Millis(1) // between attempts after a write of unknown effect
 )
 
-// Commit makes an edit and returns it once it is accepted. An error other
-// than ErrUnsettled means that the edit was not accepted.
+// Commit makes an edit and returns it once it is accepted. After any error other than
+// ErrUnknownOutcome the edit was not accepted.
 func (e *Editor) Commit(ctx context.Context, c Change) (Edit, error) {
 	if c.EditID == "" {
 		c.EditID = NewEditID()
 	}
-	for range maxRaces {
+	for range maxCommitAttempts {
 		head, version, err := ReadHead(ctx, e.store)
 		if err != nil {
 			return Edit{}, fmt.Errorf("start edit: %w", err)
 		}
 		edit, err := e.attempt(ctx, c, head, version)
-		if errors.Is(err, errRaced) {
+		if errors.Is(err, errHeadChanged) {
 			continue
 		}
 		return edit, err
 	}
-	return Edit{}, errors.Errorf("edit lost %d races in a row", maxRaces)
+	return Edit{}, errors.Errorf("edit given up after %d attempts: other edits changed the head each time", maxCommitAttempts)
 }
 
-// errRaced means that the head moved and the edit has to start again.
-var errRaced = errors.New("another edit was first")
+// errHeadChanged means that another edit changed the head and this one has to start again.
+var errHeadChanged = errors.New("another edit changed the head")
 
 func (e *Editor) attempt(ctx context.Context, c Change, head *Head, version spanrill.Version) (Edit, error) {
 	docs, err := ReadDocuments(ctx, e.store, head)
@@ -114,7 +113,7 @@
 	if err := c.apply(docs, head); err != nil {
 		return Edit{}, err
 	}
-	edit := c.edit(head.Revision+1, e.clock.Unix())
+	edit := c.newEdit(head.Revision+1, e.clock.Unix())
 	if _, err := Build(edit.Revision, edit.EditID, docs); err != nil {
 		return Edit{}, err
 	}
@@ -122,10 +121,10 @@
 	if err != nil {
 		return Edit{}, fmt.Errorf("store parts: %w", err)
 	}
-	return edit, e.moveHead(ctx, next, version)
+	return edit, e.updateHead(ctx, next, version)
 }
 
-func (c *Change) edit(revision uint64, at spanrill.Millis) Edit {
+func (c *Change) newEdit(revision uint64, at spanrill.Millis) Edit {
 	edit := Edit{Revision: revision, EditID: c.EditID, Author: c.Author, At: at}
 	for n := range c.Documents {
 		edit.Documents = append(edit.Documents, n)
@@ -136,7 +135,7 @@
 	return edit
 }
 
-// apply changes docs, unless another edit was there first.
+// apply changes docs, or returns a Conflict if a document differs from the change's base.
 func (c *Change) apply(docs Documents, head *Head) error {
 	for n, base := range c.Base {
 		if HashDocument(docs[n]) != base {
@@ -164,9 +163,9 @@
 	return Edit{}
 }
 
-// storeParts stores what head does not have yet and returns the next head.
+// storeParts stores the parts that head does not name and returns the next head.
 func (e *Editor) storeParts(ctx context.Context, head *Head, edit Edit, docs Documents) (*Head, error) {
-	values, err := split(docs)
+	values, err := splitParts(docs)
 	if err != nil {
 		return nil, err
 	}
@@ -181,10 +180,10 @@
 			return nil, err
 		}
 	}
-	return head.follow(edit, parts), nil
+	return head.withEdit(edit, parts), nil
 }
 
-// storePart writes a part. A part that is there already is the same one.
+// storePart writes a part. If its key exists, the value is the same, since the key is its hash.
 func (e *Editor) storePart(ctx context.Context, hash string, value []byte) error {
 	for {
 		_, err := e.store.Put(ctx, PartKey(hash), value, "")
@@ -200,78 +199,80 @@
 	}
 }
 
-// moveHead writes the head. The write is repeated while its effect is
-// unknown, which is safe because the condition allows it to take effect once.
-func (e *Editor) moveHead(ctx context.Context, next *Head, version spanrill.Version) error {
+// updateHead writes the next head if the store still holds the given version. It repeats the
+// write while the effect is unknown, which is safe because the condition lets only one succeed.
+func (e *Editor) updateHead(ctx context.Context, next *Head, version spanrill.Version) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return fmt.Errorf("encode head: %w", err)
 	}
-	sent := false // whether an earlier write may have taken effect
+	maybeApplied := false // an earlier write may have taken effect
 	for {
 		_, err := e.store.Put(ctx, HeadKey, value, version)
 		switch {
 		case err == nil:
 			return nil
 		case errors.Is(err, spanrill.ErrConflict):
-			return e.afterConflict(ctx, next, version, sent)
+			return e.resolveConflict(ctx, next, version, maybeApplied)
 		case errors.Is(err, spanrill.ErrUncertain):
-			sent = true
-		case !sent:
-			return fmt.Errorf("move head: %w", err)
+			maybeApplied = true
+		case !maybeApplied:
+			return fmt.Errorf("update head: %w", err)
 		}
 		if err := e.pause(ctx); err != nil {
-			return unsettled(next, err)
+			return unknownOutcomeError(next, err)
 		}
 	}
 }
 
-func unsettled(next *Head, err error) error {
+func unknownOutcomeError(next *Head, err error) error {
 	return fmt.Errorf("edit %s: %w: %v", next.EditID, ErrUnsettled, err)
 }
 
-// afterConflict finds out whether the head has moved to next.
-func (e *Editor) afterConflict(ctx context.Context, next *Head, version spanrill.Version, sent bool) error {
-	if !sent {
-		return errRaced
+// resolveConflict determines after a conflict whether an earlier write of next took effect. It
+// returns nil if so.
+func (e *Editor) resolveConflict(ctx context.Context, next *Head, version spanrill.Version, maybeApplied bool) error {
+	if !maybeApplied {
+		return errHeadChanged
 	}
 	for {
-		head, seen, err := ReadHead(ctx, e.store)
+		head, latest, err := ReadHead(ctx, e.store)
 		if err == nil && head.Contains(next.EditID) {
 			return nil
 		}
-		// An old version is a stale read: the conflict showed a newer one.
-		if err == nil && seen != version && head.Revision >= next.Revision {
-			return e.settleMissing(head, next)
+		// A read that returns the old version is stale: the conflict proves a newer one.
+		if err == nil && latest != version && head.Revision >= next.Revision {
+			return e.checkMissingEdit(head, next)
 		}
 		if err := e.pause(ctx); err != nil {
-			return unsettled(next, err)
+			return unknownOutcomeError(next, err)
 		}
 	}
 }
 
-// settleMissing decides on an edit that is not among the recent ones.
-func (e *Editor) settleMissing(head, next *Head) error {
-	if head.Revision-next.Revision >= maxRecent {
-		return unsettled(next, errors.New("too many edits came after it"))
+// checkMissingEdit handles an edit that is not among the recent ones of head: it was not accepted,
+// unless so many edits followed that it may have been dropped from the list.
+func (e *Editor) checkMissingEdit(head, next *Head) error {
+	if head.Revision-next.Revision >= maxRecentEdits {
+		return unknownOutcomeError(next, errors.New("too many edits followed to tell"))
 	}
-	return errRaced
+	return errHeadChanged
 }
 
 func (e *Editor) pause(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return fmt.Errorf("wait for platform: %w", ctx.Err())
-	case <-e.clock.After(settleGap):
+	case <-e.clock.After(uncertainRetryDelay):
 		return nil
 	}
 }
 
-// Settle reports whether an edit is among the recent accepted ones.
+// Accepted reports whether an edit is among the recent accepted ones.
 func (e *Editor) Settle(ctx context.Context, editID string) (bool, error) {
 	head, _, err := ReadHead(ctx, e.store)
 	if err != nil {
-		return false, fmt.Errorf("settle edit %s: %w", editID, err)
+		return false, fmt.Errorf("check edit %s: %w", editID, err)
 	}
 	return head.Contains(editID), nil
 }
--- a/state/config/follow.go
+++ b/state/config/follow.go
@@ -14,7 +14,7 @@
 	"spanrill/events"
 )
 
-// Follower keeps a daemon's snapshot at the newest accepted edit.
+// Follower keeps a daemon's snapshot up to date with the newest accepted edit.
 type Follower struct {
 	store    spanrill.ObjectStore
 	clock    spanrill.Clock
@@ -23,15 +23,15 @@
 	jitter   func(spanrill.Millis) spanrill.Millis
 	onChange func(*Snapshot)
 
-	current atomic.Pointer[state]
-	mu      sync.Mutex // one update at a time
-	ready   chan struct{}
-	once    sync.Once
-	lost    bool
+	current      atomic.Pointer[activeConfig]
+	mu           sync.Mutex // serializes updates
+	ready        chan struct{}
+	readyOnce    sync.Once
+	platformLost bool
 }
 
-// state is what is in force, replaced as a whole.
-type state struct {
+// activeConfig is the configuration in force. It is replaced as a whole and never changed.
+type activeConfig struct {
 	head     *Head
 	snapshot *Snapshot
 	parts    map[string][]byte // by hash
@@ -45,37 +45,37 @@
 	return func(f *Follower) { f.clock = c }
 }
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) FollowerOption {
 	return func(f *Follower) { f.log = log }
 }
 
-// WithWatches sets whether this daemon watches the platform's head. The
-// others learn of edits from their peers and look themselves once in a while.
+// WithWatchesHead sets a function that reports whether this daemon watches the platform's head. A
+// daemon that does not learns of edits from its peers and polls the head every 30 s.
 func WithWatches(watches func() bool) FollowerOption {
 	return func(f *Follower) { f.watches = watches }
 }
 
-// WithJitter sets how pauses are spread.
+// WithJitter sets a function that randomizes pauses, so that daemons do not act at once.
 func WithJitter(j func(spanrill.Millis) spanrill.Millis) FollowerOption {
 	return func(f *Follower) { f.jitter = j }
 }
 
-// WithOnChange sets what is called, in order, with each new snapshot.
-func WithOnChange(f func(*Snapshot)) FollowerOption {
-	return func(fo *Follower) { fo.onChange = f }
+// WithOnChange sets a function that is called with each new snapshot, in order of revision.
+func WithOnChange(onChange func(*Snapshot)) FollowerOption {
+	return func(f *Follower) { f.onChange = onChange }
 }
 
-// The follower's pauses.
+// Timing of the follower.
 const (
-	watchWait   = 10 * spanrill.Second // longest wait of one watch
-	lookPause   = 30 * spanrill.Second // between looks of a daemon that does not watch
-	minBackoff  = 500 * spanrill.Millis(1)
-	maxBackoff  = 5 * spanrill.Second
-	offerWindow = 5 * spanrill.Second // bound on taking one head
+	watchWait    = 10 * spanrill.Second // longest time that one watch waits for a change
+	pollInterval = 30 * spanrill.Second // between reads of a daemon that does not watch
+	minBackoff   = 500 * spanrill.Millis(1)
+	maxBackoff   = 5 * spanrill.Second
+	offerTimeout = 5 * spanrill.Second // limit for loading one revision
 )
 
-// NewFollower returns a follower with nothing in force.
+// NewFollower returns a follower without a configuration.
 func NewFollower(store spanrill.ObjectStore, opts ...FollowerOption) *Follower {
 	f := &Follower{
 		store: store, clock: clock.NewSystem(), log: logrus.StandardLogger(),
@@ -93,7 +93,7 @@
 // Ready returns a channel that is closed once a configuration is in force.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
-// Current returns what is in force, or nil before the first configuration.
+// Current returns the snapshot in force, or nil before the first configuration.
 func (f *Follower) Current() *Snapshot {
 	s := f.current.Load()
 	if s == nil {
@@ -120,8 +120,8 @@
 	return s.head
 }
 
-// Part returns a part that is in force, which makes a follower a PartSource
-// for its peers.
+// Part returns a part of the configuration in force, so that the follower can be a PartSource for
+// peers.
 func (f *Follower) Part(_ context.Context, hash string) ([]byte, error) {
 	s := f.current.Load()
 	if s == nil || s.parts[hash] == nil {
@@ -135,34 +135,34 @@
 	backoff := minBackoff
 	var known spanrill.Version
 	for ctx.Err() == nil {
-		version, err := f.look(ctx, known)
+		version, err := f.checkHead(ctx, known)
 		if err != nil {
-			f.notePlatform(ctx, err)
+			f.logPlatformState(ctx, err)
 			f.sleep(ctx, f.jitter(backoff))
 			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		f.notePlatform(ctx, nil)
+		f.logPlatformState(ctx, nil)
 		backoff, known = minBackoff, version
 		if !f.watches() {
-			f.sleep(ctx, f.jitter(lookPause))
+			f.sleep(ctx, f.jitter(pollInterval))
 			known = ""
 		}
 	}
 	return ctx.Err()
 }
 
-// look waits for a change of the head if this daemon watches, and takes it.
-// A watch that ends without news is followed by a plain read, because a watch
-// that has silently died looks the same.
-func (f *Follower) look(ctx context.Context, known spanrill.Version) (spanrill.Version, error) {
+// checkHead waits for a change of the known head, or only reads the head if known is empty, and
+// handles the result. After a watch that ends without a change it reads the head, because a watch
+// whose connection has silently died looks the same.
+func (f *Follower) checkHead(ctx context.Context, known spanrill.Version) (spanrill.Version, error) {
 	if known != "" {
 		obj, err := f.store.Watch(ctx, HeadKey, known, watchWait)
 		if err != nil {
 			return "", fmt.Errorf("watch head: %w", err)
 		}
 		if obj.Version != known {
-			return f.take(ctx, obj)
+			return f.handleHead(ctx, obj)
 		}
 	}
 	obj, err := f.store.Get(ctx, HeadKey)
@@ -173,16 +173,16 @@
 	if err != nil {
 		return "", fmt.Errorf("read head: %w", err)
 	}
-	return f.take(ctx, obj)
+	return f.handleHead(ctx, obj)
 }
 
-func (f *Follower) take(ctx context.Context, obj spanrill.Object) (spanrill.Version, error) {
+func (f *Follower) handleHead(ctx context.Context, obj spanrill.Object) (spanrill.Version, error) {
 	head, err := decodeHead(obj.Value)
 	if err != nil {
-		return "", fmt.Errorf("take head: %w", err)
+		return "", fmt.Errorf("handle head: %w", err)
 	}
-	if f.lostEdits(head) {
-		return f.heal(ctx, head, obj.Version)
+	if f.lacksLocalEdits(head) {
+		return f.writeBack(ctx, head, obj.Version)
 	}
 	if err := f.Offer(ctx, head); err != nil {
 		return "", err
@@ -190,34 +190,34 @@
 	return obj.Version, nil
 }
 
-// Offer puts a head into force if it is newer than what is. Parts come from
-// the sources given, then from the platform.
+// Offer puts a head into force if it is newer than the current one. Missing parts are read from the
+// given sources first, then from the platform.
 func (f *Follower) Offer(ctx context.Context, head *Head, sources ...PartSource) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if head.Revision <= f.Revision() {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, offerWindow.Duration())
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout.Duration())
 	defer cancel()
 	next, err := f.load(ctx, head, append(sources, storeSource{f.store}))
 	if err != nil {
 		return fmt.Errorf("load revision %d: %w", head.Revision, err)
 	}
-	f.force(next)
+	f.activate(next)
 	return nil
 }
 
-// load fetches what is missing and builds the snapshot.
-func (f *Follower) load(ctx context.Context, head *Head, sources []PartSource) (*state, error) {
-	next := &state{head: head, parts: make(map[string][]byte, len(head.Parts))}
+// load fetches the parts that this daemon lacks and builds the snapshot.
+func (f *Follower) load(ctx context.Context, head *Head, sources []PartSource) (*activeConfig, error) {
+	next := &activeConfig{head: head, parts: make(map[string][]byte, len(head.Parts))}
 	docs := Documents{}
 	for part, hash := range head.Parts {
 		value, err := fetch(ctx, hash, append([]PartSource{f}, sources...)...)
 		if err != nil {
 			return nil, err
 		}
-		if err := join(docs, part, value); err != nil {
+		if err := addPart(docs, part, value); err != nil {
 			return nil, err
 		}
 		next.parts[hash] = value
@@ -231,10 +231,10 @@
 	return next, nil
 }
 
-func (f *Follower) force(next *state) {
+func (f *Follower) activate(next *activeConfig) {
 	f.current.Store(next)
 	f.onChange(next.snapshot)
-	f.once.Do(func() { close(f.ready) })
+	f.readyOnce.Do(func() { close(f.ready) })
 	events.ConfigInForce.Log(f.log, logrus.Fields{"revision": next.head.Revision, "edit": next.head.EditID})
 }
 
@@ -245,13 +245,13 @@
 	}
 }
 
-// notePlatform logs when the platform is lost and found.
-func (f *Follower) notePlatform(ctx context.Context, err error) {
-	if ctx.Err() != nil || (err != nil) == f.lost {
+// logPlatformState logs an event when the platform stops or resumes answering.
+func (f *Follower) logPlatformState(ctx context.Context, err error) {
+	if ctx.Err() != nil || (err != nil) == f.platformLost {
 		return
 	}
-	f.lost = err != nil
-	if f.lost {
+	f.platformLost = err != nil
+	if f.platformLost {
 		events.PlatformLost.Log(f.log, logrus.Fields{"error": err})
 		return
 	}
--- a/state/config/head.go
+++ b/state/config/head.go
@@ -13,13 +13,14 @@
 	"spanrill"
 )
 
-// HeadKey is the object that orders the edits.
+// HeadKey is the key of the head. Its conditional updates put all edits in one order.
 const HeadKey = "config/head"
 
-// PartKey returns the object that holds the part with that hash.
+// PartKey returns the key of the part with that hash.
 func PartKey(hash string) string { return "config/part/" + hash }
 
-// Head names one revision of the whole configuration.
+// Head describes one revision of the whole configuration: the hash of each part, and the most
+// recent edits.
 type Head struct {
 	Revision uint64            `json:"revision"`
 	EditID   string            `json:"edit_id"`
@@ -27,7 +28,7 @@
 	Recent   []Edit            `json:"recent"` // oldest first, this edit last
 }
 
-// Edit is an accepted edit as the history shows it.
+// Edit is an accepted edit in the history.
 type Edit struct {
 	Revision  uint64          `json:"revision"`
 	EditID    string          `json:"edit_id"`
@@ -36,8 +37,8 @@
 	Documents []Name          `json:"documents"`
 }
 
-// maxRecent bounds the edits kept in the head.
-const maxRecent = 64
+// maxRecentEdits bounds Head.Recent.
+const maxRecentEdits = 64
 
 // Contains reports whether the edit is among the recent ones.
 func (h *Head) Contains(editID string) bool {
@@ -49,17 +50,17 @@
 	return false
 }
 
-// follow returns a head that comes after h with one more edit.
-func (h *Head) follow(e Edit, parts map[string]string) *Head {
+// withEdit returns the head that follows h by one edit.
+func (h *Head) withEdit(e Edit, parts map[string]string) *Head {
 	recent := append(append([]Edit(nil), h.Recent...), e)
-	if len(recent) > maxRecent {
-		recent = recent[len(recent)-maxRecent:]
+	if len(recent) > maxRecentEdits {
+		recent = recent[len(recent)-maxRecentEdits:]
 	}
 	return &Head{Revision: e.Revision, EditID: e.EditID, Parts: parts, Recent: recent}
 }
 
-// Accounts are spread over buckets, so that an edit of one account moves one
-// small part. The other kinds have few documents.
+// Documents are spread over buckets by the hash of their name, each of which is one part. There may
+// be many accounts: more buckets keep the part small that an edit of one account rewrites.
 const (
 	accountBuckets = 64
 	otherBuckets   = 4
@@ -80,8 +81,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// split cuts documents into parts, and returns the values by part name.
-func split(docs Documents) (map[string][]byte, error) {
+// splitParts returns the encoded parts of the documents by part name.
+func splitParts(docs Documents) (map[string][]byte, error) {
 	byPart := map[string]map[string]json.RawMessage{}
 	for n, doc := range docs {
 		part := partName(n)
@@ -101,8 +102,8 @@
 	return values, nil
 }
 
-// join adds the documents of one part to docs.
-func join(docs Documents, part string, value []byte) error {
+// addPart adds the documents of one part to docs.
+func addPart(docs Documents, part string, value []byte) error {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(value, &members); err != nil {
 		return fmt.Errorf("decode part %s: %w", part, err)
@@ -117,13 +118,13 @@
 	return nil
 }
 
-// PartSource gives the value of a part.
+// PartSource is a place to read parts from, such as the platform or a peer.
 type PartSource interface {
-	// Part returns the value whose hash is given.
+	// Part returns the value with the given hash.
 	Part(ctx context.Context, hash string) ([]byte, error)
 }
 
-// ErrWrongHash means that a source gave a value with another hash.
+// ErrWrongHash means that a source returned a value that does not have the requested hash.
 var ErrWrongHash = errors.New("part has another hash")
 
 // fetch returns a part from the first source that has it.
@@ -145,7 +146,7 @@
 // storeSource reads parts from the platform.
 type storeSource struct{ store spanrill.ObjectStore }
 
-// Part returns the value whose hash is given.
+// Part returns the value with the given hash.
 func (s storeSource) Part(ctx context.Context, hash string) ([]byte, error) {
 	obj, err := s.store.Get(ctx, PartKey(hash))
 	if err != nil {
@@ -154,8 +155,8 @@
 	return obj.Value, nil
 }
 
-// ReadHead returns the platform's head and its version. A platform without
-// configuration has the empty head.
+// ReadHead returns the platform's head and its version. On a platform without configuration the
+// head is empty.
 func ReadHead(ctx context.Context, store spanrill.ObjectStore) (*Head, spanrill.Version, error) {
 	obj, err := store.Get(ctx, HeadKey)
 	if errors.Is(err, spanrill.ErrNotFound) {
@@ -176,7 +177,7 @@
 	return h, nil
 }
 
-// ReadDocuments returns all documents that a head names.
+// ReadDocuments returns all documents of a revision.
 func ReadDocuments(ctx context.Context, store spanrill.ObjectStore, h *Head) (Documents, error) {
 	docs := Documents{}
 	for part, hash := range h.Parts {
@@ -184,7 +185,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := join(docs, part, value); err != nil {
+		if err := addPart(docs, part, value); err != nil {
 			return nil, err
 		}
 	}
--- a/state/config/schema.go
+++ b/state/config/schema.go
@@ -43,15 +43,15 @@
 	return &Account{}
 }
 
-// Check decodes one document by itself and returns it in canonical form.
-// References to other documents are checked by Build.
+// Check validates a single document and returns it in canonical form. References to other
+// documents are not checked; Build does that.
 func Check(file string, n Name, data []byte) (json.RawMessage, error) {
 	doc := newDocument(n.Kind)
 	if err := schemas[n.Kind].Decode(file, data, doc); err != nil {
 		return nil, err
 	}
-	if own := documentName(doc); own != n.Name {
-		text := fmt.Sprintf("is %q, but the document is edited as %q", own, n.Name)
+	if declared := documentName(doc); declared != n.Name {
+		text := fmt.Sprintf("is %q, but the document is edited as %q", declared, n.Name)
 		return nil, checked.Problems{{File: file, Field: "/name", Line: 1, Column: 1, Text: text}}
 	}
 	canonical, err := json.Marshal(doc)
--- a/state/config/snapshot.go
+++ b/state/config/snapshot.go
@@ -7,7 +7,7 @@
 // KeyHash is the SHA-256 hash of a bearer key.
 type KeyHash [32]byte
 
-// Snapshot is one revision of the whole configuration. It never changes.
+// Snapshot is one revision of the whole configuration. It is immutable.
 type Snapshot struct {
 	revision  uint64
 	editID    string
@@ -27,19 +27,19 @@
 	}
 }
 
-// Revision returns the place of the last edit in the order of edits.
+// Revision returns the number of the last edit, which rises with each edit.
 func (s *Snapshot) Revision() uint64 { return s.revision }
 
 // EditID returns the id of the last edit.
 func (s *Snapshot) EditID() string { return s.editID }
 
-// Documents returns all documents. The map must not be changed.
+// Documents returns all documents. The caller must not modify the map.
 func (s *Snapshot) Documents() Documents { return s.docs }
 
 // Model returns the model with that name, or nil.
 func (s *Snapshot) Model(name string) *Model { return s.models[name] }
 
-// Models returns all models by name. The map must not be changed.
+// Models returns all models by name. The caller must not modify the map.
 func (s *Snapshot) Models() map[string]*Model { return s.models }
 
 // ModelsAt returns the models that accounts use at a site, each with the
@@ -56,10 +56,10 @@
 	return used
 }
 
-// Account returns what the client account may do, or nil.
+// Account returns the grant of the client account with that name, or nil.
 func (s *Snapshot) Account(name string) *Grant { return s.accounts[name] }
 
-// ByKey returns what the client account with that key may do, or nil.
+// ByKey returns the grant of the client account with that bearer key, or nil.
 func (s *Snapshot) ByKey(key string) *Grant { return s.byKey[HashKey(key)] }
 
 // SiteOf returns the site of an availability zone, or nil.
@@ -82,7 +82,7 @@
 	return false
 }
 
-// Grant is what one client account may do.
+// Grant describes what one client account may do, with all parameters resolved.
 type Grant struct {
 	account  string
 	template string
@@ -98,22 +98,22 @@
 // Template returns the name of the account's template.
 func (g *Grant) Template() string { return g.template }
 
-// Disabled reports whether every request of the account is refused.
+// Disabled reports whether all requests of the account are refused.
 func (g *Grant) Disabled() bool { return g.disabled }
 
-// Limits returns the account's bounds.
+// Limits returns the account's limits.
 func (g *Grant) Limits() GrantLimits { return g.limits }
 
-// Model returns how the account uses the model, or nil.
+// Model returns the account's grant for a model, or nil.
 func (g *Grant) Model(name string) *ModelGrant { return g.models[name] }
 
-// Models returns all models of the account. The map must not be changed.
+// Models returns the account's grants by model. The caller must not modify the map.
 func (g *Grant) Models() map[string]*ModelGrant { return g.models }
 
-// Service returns how the account uses the service, or nil.
+// Service returns the account's grant for a service, or nil.
 func (g *Grant) Service(name string) *ServiceGrant { return g.services[name] }
 
-// ModelGrant is how one account uses one model.
+// ModelGrant describes how one account may use one model.
 type ModelGrant struct {
 	model     *Model
 	priority  int
@@ -124,16 +124,16 @@
 // Model returns the model.
 func (m *ModelGrant) Model() *Model { return m.model }
 
-// Priority returns the priority, 0 to 9.
+// Priority returns the priority of the account's requests, from 0 (lowest) to 9.
 func (m *ModelGrant) Priority() int { return m.priority }
 
-// Site returns where the account's requests run.
+// Site returns the site where the account's requests run.
 func (m *ModelGrant) Site() *Site { return m.site }
 
-// MaxTokens returns the longest answer allowed.
+// MaxTokens returns the highest number of tokens allowed in an answer.
 func (m *ModelGrant) MaxTokens() int { return m.maxTokens }
 
-// ServiceGrant is how one account uses one plain service.
+// ServiceGrant describes which calls of one plain service an account may make.
 type ServiceGrant struct {
 	service string
 	site    *Site
@@ -143,10 +143,10 @@
 // Service returns the service's name.
 func (s *ServiceGrant) Service() string { return s.service }
 
-// Site returns where the account's calls run.
+// Site returns the site where the account's calls run.
 func (s *ServiceGrant) Site() *Site { return s.site }
 
-// Call returns the first call that allows the method and path, or nil.
+// Call returns the first allowed call that matches the method and path, or nil.
 func (s *ServiceGrant) Call(method, path string) *Call {
 	for i := range s.calls {
 		if s.calls[i].matches(method, path) {
@@ -166,8 +166,7 @@
 	return c.Path == path
 }
 
-// GrantLimits are the bounds of one account over all daemons together. Zero is
-// no bound.
+// GrantLimits are the limits of one account over all daemons combined. Zero means unlimited.
 type GrantLimits struct {
 	requestsPerSecond int
 	tokensPerSecond   int
@@ -175,14 +174,14 @@
 	weight            int
 }
 
-// RequestsPerSecond returns the requests that may start in a second.
+// RequestsPerSecond returns the number of requests that may start per second.
 func (l GrantLimits) RequestsPerSecond() int { return l.requestsPerSecond }
 
-// TokensPerSecond returns the tokens that may be generated in a second.
+// TokensPerSecond returns the number of tokens that may be generated per second.
 func (l GrantLimits) TokensPerSecond() int { return l.tokensPerSecond }
 
-// InFlight returns the requests that may run at once.
+// InFlight returns the number of requests that may run concurrently.
 func (l GrantLimits) InFlight() int { return l.inFlight }
 
-// Weight returns the account's share against other accounts, at least 1.
+// Weight returns the account's weight relative to other accounts, at least 1.
 func (l GrantLimits) Weight() int { return l.weight }
--- a/state/config/heal.go
+++ b/state/config/writeback.go
@@ -12,9 +12,9 @@
 	"spanrill/events"
 )
 
-// lostEdits reports whether the platform's head lacks edits that are in force
-// here, as it does after an older head was restored.
-func (f *Follower) lostEdits(head *Head) bool {
+// lacksLocalEdits reports whether the platform's head lacks edits that are in force on this
+// daemon, as it does after the platform's store was restored from an older copy.
+func (f *Follower) lacksLocalEdits(head *Head) bool {
 	ours := f.Head()
 	if ours == nil || head.EditID == ours.EditID {
 		return false
@@ -22,16 +22,16 @@
 	if head.Revision <= ours.Revision {
 		return true
 	}
-	return head.Revision-ours.Revision < maxRecent && !head.Contains(ours.EditID)
+	return head.Revision-ours.Revision < maxRecentEdits && !head.Contains(ours.EditID)
 }
 
-// healAuthor is the author of edits that write lost edits back.
-const healAuthor = "spanrill"
+// writeBackAuthor is the author of edits that write lost edits back to the platform.
+const writeBackAuthor = "spanrill"
 
-// heal writes an edit that holds what is in force here and, on top of it, what
-// was accepted on the platform since the loss. The conditional update makes it
-// harmless after a stale read, and lets one daemon win.
-func (f *Follower) heal(ctx context.Context, head *Head, version spanrill.Version) (spanrill.Version, error) {
+// writeBack commits an edit that consists of the configuration in force on this daemon and, on top
+// of it, the edits that the platform accepted since it lost them. The update of the head is
+// conditional, so that it does no harm after a stale read and only one daemon succeeds.
+func (f *Follower) writeBack(ctx context.Context, head *Head, version spanrill.Version) (spanrill.Version, error) {
 	ours := f.current.Load()
 	events.ConfigDiverged.Log(f.log, logrus.Fields{
 		"in_force": ours.head.Revision, "platform": head.Revision, "edit": head.EditID,
@@ -39,9 +39,9 @@
 	editor := NewEditor(f.store, WithEditorClock(f.clock))
 	next, err := f.merge(ctx, editor, ours, head)
 	if err == nil {
-		err = editor.moveHead(ctx, next, version)
+		err = editor.updateHead(ctx, next, version)
 	}
-	if errors.Is(err, errRaced) {
+	if errors.Is(err, errHeadChanged) {
 		return "", nil
 	}
 	if err != nil {
@@ -52,8 +52,8 @@
 	return "", f.Offer(ctx, next)
 }
 
-// merge returns a head that follows both ours and the platform's.
-func (f *Follower) merge(ctx context.Context, editor *Editor, ours *state, head *Head) (*Head, error) {
+// merge returns a head that contains the edits of both ours and the platform's head.
+func (f *Follower) merge(ctx context.Context, editor *Editor, ours *activeConfig, head *Head) (*Head, error) {
 	theirs, err := ReadDocuments(ctx, f.store, head)
 	if err != nil {
 		return nil, fmt.Errorf("read documents of platform: %w", err)
@@ -62,22 +62,23 @@
 	for n, doc := range ours.snapshot.docs {
 		docs[n] = doc
 	}
-	c := Change{EditID: NewEditID(), Author: healAuthor, Documents: map[Name]json.RawMessage{}}
+	c := Change{EditID: NewEditID(), Author: writeBackAuthor, Documents: map[Name]json.RawMessage{}}
 	base := &Head{Recent: append([]Edit(nil), ours.head.Recent...)}
 	for _, e := range head.Recent {
 		if !ours.head.Contains(e.EditID) {
-			takeOver(docs, theirs, e.Documents, &c)
+			copyDocuments(docs, theirs, e.Documents, &c)
 			base.Recent = append(base.Recent, e)
 		}
 	}
-	edit := c.edit(max(ours.head.Revision, head.Revision)+1, f.clock.Unix())
+	edit := c.newEdit(max(ours.head.Revision, head.Revision)+1, f.clock.Unix())
 	if _, err := Build(edit.Revision, edit.EditID, docs); err != nil {
 		return nil, fmt.Errorf("merge edits: %w", err)
 	}
 	return editor.storeParts(ctx, base, edit, docs)
 }
 
-func takeOver(docs, theirs Documents, names []Name, c *Change) {
+// copyDocuments sets the named documents in docs to their value in theirs, and records them in c.
+func copyDocuments(docs, theirs Documents, names []Name, c *Change) {
 	for _, n := range names {
 		c.Documents[n] = theirs[n]
 		if theirs[n] == nil {
