--- a/state/routes/current.go
+++ b/state/routes/current.go
@@ -7,24 +7,24 @@
 	"spanrill"
 )
 
-// Current holds the newest version that this process has seen, and how fresh
-// that knowledge is. A version is never replaced by an older one.
+// Current holds the newest version that this process has received, and when it was last confirmed
+// to be the newest. A version is never replaced by an older one.
 //
-// Knowledge is proved by a read of the store, made by this process or by a
-// peer. A proof counts from before its read was sent, on the steady clock.
+// A version is confirmed by a read of the store, by this process or by a peer. The time of a
+// confirmation is that before the read was sent, on the monotonic clock.
 type Current struct {
 	clock spanrill.Clock
 
-	mu       sync.Mutex
-	table    atomic.Pointer[Table]
-	revision atomic.Uint64
-	ignored  atomic.Uint64 // highest revision that Take has ignored
-	raw      atomic.Pointer[[]byte]
-	provedAt atomic.Int64
-	ready    chan struct{}
+	mu          sync.Mutex
+	table       atomic.Pointer[Table]
+	revision    atomic.Uint64
+	ignored     atomic.Uint64 // highest revision that Update has ignored
+	raw         atomic.Pointer[[]byte]
+	confirmedAt atomic.Int64
+	ready       chan struct{}
 }
 
-// NewCurrent returns a Current that knows nothing.
+// NewCurrent returns a Current without a version.
 func NewCurrent(clock spanrill.Clock) *Current {
 	return &Current{clock: clock, ready: make(chan struct{})}
 }
@@ -35,12 +35,12 @@
 // Revision returns the store's revision of the newest version, or 0.
 func (c *Current) Revision() uint64 { return c.revision.Load() }
 
-// Seen reports whether Take has already put in force or ignored this or a later revision.
+// Handled reports whether Update has already accepted or ignored this or a later revision.
 func (c *Current) Seen(revision uint64) bool {
 	return revision <= max(c.revision.Load(), c.ignored.Load())
 }
 
-// Raw returns the newest version as it lies in the store, for peers.
+// Raw returns the newest version as encoded in the store, for peers. It is nil before the first.
 func (c *Current) Raw() []byte {
 	if raw := c.raw.Load(); raw != nil {
 		return *raw
@@ -48,11 +48,10 @@
 	return nil
 }
 
-// Ready returns a channel that is closed once a version is known.
+// Ready returns a channel that is closed once there is a version.
 func (c *Current) Ready() <-chan struct{} { return c.ready }
 
-// Take puts a version in force if it is newer than the one held, and reports
-// whether it did.
+// Update replaces the version if the given one is newer, and reports whether it did.
 func (c *Current) Take(t *Table, raw []byte, revision uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,21 +69,21 @@
 	return true
 }
 
-// Prove notes that at the time given the newest version had that revision. A
-// proof of another revision than the one held proves nothing.
+// ConfirmUnchanged records that the newest version in the store had the revision at that time. It
+// has no effect if this is not the revision held, or if a later confirmation is known.
 func (c *Current) Prove(revision uint64, at spanrill.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.table.Load() == nil || revision != c.revision.Load() {
 		return
 	}
-	if int64(at) > c.provedAt.Load() {
-		c.provedAt.Store(int64(at))
+	if int64(at) > c.confirmedAt.Load() {
+		c.confirmedAt.Store(int64(at))
 	}
 }
 
-// ProvedAt returns the time of the newest proof, on this process's clock.
-func (c *Current) ProvedAt() spanrill.Millis { return spanrill.Millis(c.provedAt.Load()) }
+// ConfirmedAt returns the time of the latest confirmation, on this process's clock.
+func (c *Current) ProvedAt() spanrill.Millis { return spanrill.Millis(c.confirmedAt.Load()) }
 
-// Age returns how old the newest proof is.
+// Age returns the time since the latest confirmation.
 func (c *Current) Age() spanrill.Millis { return c.clock.Now() - c.ProvedAt() }
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -1,8 +1,7 @@
-// Package routes looks up routes, services and keys of one version of the
-// configuration.
+// Package routes indexes the configuration of a gateway by host, path, service and key.
 //
-// A Table is built once for each version and not changed afterwards, so that a
-// request that holds one sees a single version from its start to its end.
+// A Table is built once for each version and is immutable, so that a request that holds one sees a
+// single version from start to end. Current holds the newest table of the process.
 //
 // # Usage
 //
@@ -18,7 +17,7 @@
 	"spanrill"
 )
 
-// Table is one version of the configuration, made for look-ups.
+// Table is one version of the configuration, indexed for lookups.
 type Table struct {
 	config   *spanrill.RouteConfig
 	byHost   map[string][]*spanrill.Route // longest prefix first
@@ -54,20 +53,22 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// Odd describes the values of the configuration that cannot be true.
+// ImplausibleValues describes the values of the configuration that cannot be true and were treated
+// as missing.
 func (t *Table) Odd() []string { return t.config.Odd }
 
-// Limits returns the bounds on what callers may send.
+// Limits returns the limits on what callers may send.
 func (t *Table) Limits() spanrill.CallerLimits { return t.config.Limits }
 
 // Services returns all services.
 func (t *Table) Services() []spanrill.ServiceInfo { return t.config.Services }
 
-// HasAccounts reports whether routes that are not open need a key.
+// HasAccounts reports whether there are client accounts, so that routes that are not open need a
+// key.
 func (t *Table) HasAccounts() bool { return len(t.config.Accounts) > 0 }
 
-// Find returns the route of a host and a path: the one whose prefix begins the
-// path and is longest. A port in the host is ignored.
+// Find returns the route of the host with the longest prefix of the path. A port in the host is
+// ignored.
 func (t *Table) Find(host, path string) (*spanrill.Route, bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.byHost[host] {
@@ -87,16 +88,17 @@
 // Service returns a service by its name, or nil.
 func (t *Table) Service(name string) *spanrill.ServiceInfo { return t.services[name] }
 
-// Choose returns the service of a route for a draw from 0 to 1.
+// ChooseService returns a service of the route according to the weights of its shares. The draw is a
+// random number from 0 to 1.
 func Choose(r *spanrill.Route, draw float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, s := range r.Shares {
-		at -= float64(s.Weight)
-		if at < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
@@ -106,7 +108,7 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// KeysNotIn returns how many keys of the table another one does not have.
+// CountKeysNotIn returns the number of keys in the table that the other table lacks.
 func (t *Table) KeysNotIn(other *Table) int {
 	n := 0
 	for key := range t.accounts {
--- a/state/routes/routes_test.go
+++ b/state/routes/routes_test.go
@@ -7,7 +7,7 @@
 	"spanrill/clock"
 )
 
-func table(version int64, keys ...string) *Table {
+func newTable(version int64, keys ...string) *Table {
 	return New(&spanrill.RouteConfig{
 		Version: version,
 		Routes: []spanrill.Route{
@@ -20,8 +20,8 @@
 	})
 }
 
-func TestFind(t *testing.T) {
-	s := table(1)
+func TestFindRoute(t *testing.T) {
+	s := newTable(1)
 	for _, c := range []struct{ host, path, want string }{
 		{"h.example", "/a/b/c", "ab"},
 		{"h.example", "/a/bc", "a"},
@@ -42,13 +42,13 @@
 }
 
 func TestAccount(t *testing.T) {
-	s := table(1, "k")
+	s := newTable(1, "k")
 	if a, ok := s.Account("k"); !ok || a.Name != "x" {
-		t.Fatal("the key is not known")
+		t.Fatal("the key is not found")
 	}
 	for _, key := range []string{"", "K", "other"} {
 		if _, ok := s.Account(key); ok {
-			t.Errorf("key %q is known", key)
+			t.Errorf("key %q is found", key)
 		}
 	}
 }
@@ -68,9 +68,9 @@
 	}
 }
 
-// Whatever the order in which versions arrive, over the store or over peers, a
-// process never goes back.
-func TestNeverBackwards(t *testing.T) {
+// Versions may arrive in any order, from the store or from peers. An older one never replaces a
+// newer one.
+func TestOlderVersionsAreIgnored(t *testing.T) {
 	c := NewCurrent(clock.NewManual())
 	for _, step := range []struct {
 		version  int64
@@ -79,34 +79,34 @@
 	}{
 		{3, 30, true}, {2, 20, false}, {3, 30, false}, {2, 31, false}, {5, 50, true}, {4, 40, false},
 	} {
-		if got := c.Take(table(step.version), nil, step.revision); got != step.want {
-			t.Errorf("version %d at revision %d was taken: %t, want %t", step.version, step.revision, got, step.want)
+		if got := c.Take(newTable(step.version), nil, step.revision); got != step.want {
+			t.Errorf("version %d at revision %d accepted: %t, want %t", step.version, step.revision, got, step.want)
 		}
 	}
 }
 
-// A proof counts from the time given, only for the revision held, and an older
-// proof does not replace a newer one.
-func TestProof(t *testing.T) {
+// The age counts from the latest confirmation of the revision held. Confirmations of other revisions
+// and earlier ones have no effect.
+func TestFreshness(t *testing.T) {
 	manual := clock.NewManual()
 	manual.Advance(10_000)
 	c := NewCurrent(manual)
 	c.Prove(1, manual.Now())
 	if c.Age() < 10_000 {
-		t.Fatal("nothing is held and it is proved")
+		t.Fatal("a revision is confirmed although none is held")
 	}
-	c.Take(table(1), nil, 7)
+	c.Take(newTable(1), nil, 7)
 	c.Prove(6, manual.Now())
 	if c.Age() < 10_000 {
-		t.Fatal("a proof of another revision counts")
+		t.Fatal("a confirmation of another revision is accepted")
 	}
 	c.Prove(7, manual.Now()-300)
 	c.Prove(7, manual.Now()-900)
 	if got := c.Age(); got != 300 {
-		t.Fatalf("the proof is %d ms old, want 300", got)
+		t.Fatalf("the age is %d ms, want 300", got)
 	}
 	manual.Advance(5000)
 	if got := c.Age(); got != 5300 {
-		t.Fatalf("after a pause of 5 s the proof is %d ms old, want 5300", got)
+		t.Fatalf("the age is %d ms after another 5 s, want 5300", got)
 	}
 }
