--- a/state/follow/follow.go
+++ b/state/follow/follow.go
@@ -1,13 +1,12 @@
-// Package follow keeps up with a collection of the platform's store.
+// Package follow tracks the changes of a collection in the platform's store.
 //
-// A Follower lists the collection, then watches it. Whenever the store has
-// forgotten the history it lists again. Each answer is handed on with the time
-// at which its call was sent, so that its owner knows how old the knowledge is
-// at most.
+// A Follower lists the collection, then watches it. If the store no longer has the history that the
+// watch needs, it lists again. It passes each answer to a Sink with the time at which the call was
+// sent, which bounds the age of the data.
 //
 // # Usage
 //
-//	f := follow.New(store.Collection("config"), clock, sink, follow.WithWait(spanrill.Second))
+//	f := follow.New(store.Collection("config"), clock, sink, follow.WithWatchTimeout(spanrill.Second))
 //	err := f.Run(ctx)
 package follow
 
@@ -22,50 +21,49 @@
 	"spanrill/events"
 )
 
-// Sink takes what a follower learns. Its functions are called from one
-// goroutine.
+// Sink receives the data that a follower reads. Its methods are called from one goroutine.
 type Sink interface {
-	// Listed takes the whole collection as it stood at a revision of the store.
-	Listed(items []spanrill.Item, at uint64, sent spanrill.Millis)
-	// Changed takes the changes up to a revision of the store, which may be none.
-	Changed(changes []spanrill.Change, at uint64, sent spanrill.Millis)
+	// Listed receives the whole collection as of a revision of the store.
+	Listed(items []spanrill.Item, revision uint64, sentAt spanrill.Millis)
+	// Changed receives the changes up to a revision of the store. There may be none.
+	Changed(changes []spanrill.Change, revision uint64, sentAt spanrill.Millis)
 }
 
-// Follower keeps up with one collection.
+// Follower tracks the changes of one collection.
 type Follower struct {
-	source spanrill.Collection
-	clock  spanrill.Clock
-	sink   Sink
-	log    logrus.FieldLogger
-	name   string
-	wait   spanrill.Millis
-	settle spanrill.Millis
-	due    func() spanrill.Millis
-	jitter func() float64
-	known  func() uint64
-	pause  func() spanrill.Millis // the longest between failed calls
-	limit  func() spanrill.Millis // of a first call
-	first  func() spanrill.Millis // until the collection is listed
-	ahead  *Follower              // of the same store, or nil
+	source           spanrill.Collection
+	clock            spanrill.Clock
+	sink             Sink
+	log              logrus.FieldLogger
+	name             string
+	watchTimeout     spanrill.Millis
+	batchDelay       spanrill.Millis
+	pollDelay        func() spanrill.Millis
+	jitter           func() float64
+	knownRevision    func() uint64
+	maxRetryDelay    func() spanrill.Millis // longest pause between failed calls
+	firstCallTimeout func() spanrill.Millis // of a call that follows an answer, or nil
+	listDelay        func() spanrill.Millis // 0 once the collection may be listed
+	primary          *Follower              // finds the store again after an outage, or nil
 
-	at      uint64
-	listed  bool
-	relists bool // the history that followed the list was gone
-	lost    bool
-	tries   int
+	revision     uint64
+	listed       bool
+	relisting    bool // the store no longer had the history to watch
+	outageLogged bool
+	failures     int
 
-	failing atomic.Bool  // the last call has failed
-	askedAt atomic.Int64 // when the first call without a good answer was sent, or noCall
+	failing         atomic.Bool  // the last call failed
+	unansweredSince atomic.Int64 // when the first call since the last answer was sent, or answered
 }
 
-// noCall stands for a store that has answered the last call.
-const noCall = -1
+// answered is the value of unansweredSince if the store has answered the last call.
+const answered = -1
 
-// Unanswered returns for how long the store has given no good answer to calls that
-// were made, or 0 if it has answered the last one. Other goroutines may call it.
+// UnresponsiveFor returns the time since the first call that the store has not answered, or 0 if it
+// has answered the last one. It is safe for concurrent use.
 func (f *Follower) Unanswered() spanrill.Millis {
-	since := f.askedAt.Load()
-	if since == noCall {
+	since := f.unansweredSince.Load()
+	if since == answered {
 		return 0
 	}
 	return f.clock.Now() - spanrill.Millis(since)
@@ -74,94 +72,93 @@
 // Option changes a default of New.
 type Option func(*Follower)
 
-// WithWait sets how long a watch waits for changes.
+// WithWatchTimeout sets how long a watch waits for changes.
 func WithWait(d spanrill.Millis) Option {
-	return func(f *Follower) { f.wait = d }
+	return func(f *Follower) { f.watchTimeout = d }
 }
 
-// WithSettle sets a pause after changes have come, so that changes that come
-// in quick succession are fetched by one call.
+// WithBatchDelay sets a pause after each call that returned changes, so that changes in quick
+// succession are fetched by one call.
 func WithSettle(d spanrill.Millis) Option {
-	return func(f *Follower) { f.settle = d }
+	return func(f *Follower) { f.batchDelay = d }
 }
 
-// WithDue makes the follower ask for changes without waiting for them, each time
-// that due returns 0. Until then it is asked again after what it returns.
-func WithDue(due func() spanrill.Millis) Option {
-	return func(f *Follower) { f.due, f.wait = due, 0 }
+// WithPollDelay makes the follower poll for changes, instead of waiting for them, each time that
+// delay returns 0. Otherwise the follower pauses for that time and calls delay again.
+func WithDue(delay func() spanrill.Millis) Option {
+	return func(f *Follower) { f.pollDelay, f.watchTimeout = delay, 0 }
 }
 
-// WithAt sets where the revision is read up to which the sink knows everything
-// from elsewhere, so that it is not asked for again.
-func WithAt(at func() uint64) Option {
-	return func(f *Follower) { f.known = at }
+// WithKnownRevision sets a function that returns the revision up to which the sink has all data
+// from another source, so that the follower does not request it again.
+func WithAt(revision func() uint64) Option {
+	return func(f *Follower) { f.knownRevision = revision }
 }
 
-// WithFirst makes the follower list the collection only once first returns 0, and not
-// at all if the sink knows it from elsewhere by then. Until then it is asked again after
-// what it returns.
-func WithFirst(first func() spanrill.Millis) Option {
-	return func(f *Follower) { f.first = first }
+// WithListDelay makes the follower list the collection for the first time only once delay returns
+// 0, and not at all if the sink has it from another source by then. Otherwise the follower pauses
+// for that time and calls delay again.
+func WithFirst(delay func() spanrill.Millis) Option {
+	return func(f *Follower) { f.listDelay = delay }
 }
 
-// WithBehind makes a follower whose last call has failed leave it to another one of the
-// same store to find it again, as long as that one's calls fail too: one call asks for
-// both.
+// WithPrimary names another follower of the same store. In an outage only the primary calls the
+// store: a follower whose last call failed makes no call as long as those of the primary fail too.
 //
-// In an outage of 8 s a daemon makes 19 to 22 calls when both ask, and 10 to 13 when one
-// does; the second collection is known 40 ms after the first one at most
-// (TestOneFollowerFindsTheStore).
-func WithBehind(ahead *Follower) Option {
-	return func(f *Follower) { f.ahead = ahead }
+// In an outage of 8 s a daemon makes 19 to 22 calls if both followers call, and 10 to 13 with a
+// primary; the second collection is then read at most 40 ms after the first one
+// (TestPrimaryReducesCallsInOutage).
+func WithBehind(primary *Follower) Option {
+	return func(f *Follower) { f.primary = primary }
 }
 
-// WithLongestPause sets where the longest pause between failed calls is read: in a
-// large fleet not every daemon needs to find a store at once that has come back.
-func WithLongestPause(pause func() spanrill.Millis) Option {
-	return func(f *Follower) { f.pause = pause }
+// WithMaxRetryDelay sets a function that returns the longest pause between failed calls. In a large
+// fleet not every daemon has to find at once that the store answers again.
+func WithLongestPause(delay func() spanrill.Millis) Option {
+	return func(f *Follower) { f.maxRetryDelay = delay }
 }
 
-// WithLimit sets where it is read how long a call may take that follows an answer, so
-// that a second one is in time: a connection may have gone silent. Calls that follow it
-// take as long as the source lets them, since the source may just be slow.
-func WithLimit(limit func() spanrill.Millis) Option {
-	return func(f *Follower) { f.limit = limit }
+// WithFirstCallTimeout sets a function that returns the timeout of a call that follows an answer.
+// The connection may have gone silent, and the timeout leaves time for a second call. Calls after a
+// failed one have only the source's own timeout, since the source may just be slow.
+func WithLimit(timeout func() spanrill.Millis) Option {
+	return func(f *Follower) { f.firstCallTimeout = timeout }
 }
 
-// WithLogger sets where events go, and the name of the collection in them.
+// WithLogger sets the logger for events, and the name of the collection in them.
 func WithLogger(log logrus.FieldLogger, name string) Option {
 	return func(f *Follower) { f.log, f.name = log, name }
 }
 
-// WithJitter sets a source of numbers from 0 to 1 that spreads retries.
+// WithJitter sets a source of numbers from 0 to 1 that randomizes the pauses between retries.
 func WithJitter(jitter func() float64) Option {
 	return func(f *Follower) { f.jitter = jitter }
 }
 
 const (
-	// defaultWait is the longest watch that the store takes.
+	// defaultWait is the longest watch that the store allows.
 	defaultWait = 30 * spanrill.Second
-	// maxDoublings bounds how often the pause doubles.
-	maxDoublings = 4
-	// FirstPause follows the first failed call: 25 times the store's usual
-	// answer, so that a store that has just come back is found at once.
+	// maxRetryDoublings bounds how often the pause between failed calls doubles.
+	maxRetryDoublings = 4
+	// InitialRetryDelay is the pause after the first failed call: 25 times the store's usual
+	// response time, so that a store that answers again is found at once.
 	FirstPause spanrill.Millis = 100
-	// behindPoll is how often a follower looks whether the one ahead has found the store.
-	behindPoll spanrill.Millis = 20
-	// LongestPause bounds the pause between failed calls. It is a fraction of
-	// the freshness that requests with a key need.
+	// primaryCheckInterval is how often a follower checks whether the primary's calls still fail.
+	primaryCheckInterval spanrill.Millis = 20
+	// MaxRetryDelay bounds the pause between failed calls. It is a fraction of the age that the
+	// configuration may have for requests with a key.
 	LongestPause spanrill.Millis = 400
 )
 
-// New returns a follower that has read nothing.
+// New returns a follower that has not read anything yet.
 func New(source spanrill.Collection, clock spanrill.Clock, sink Sink, opts ...Option) *Follower {
 	f := &Follower{
 		source: source, clock: clock, sink: sink, log: logrus.StandardLogger(),
-		wait: defaultWait, jitter: func() float64 { return 0 }, known: func() uint64 { return 0 },
-		pause: func() spanrill.Millis { return LongestPause },
-		first: func() spanrill.Millis { return 0 },
+		watchTimeout: defaultWait, jitter: func() float64 { return 0 }, knownRevision: func() uint64 { return 0 },
+		maxRetryDelay: func() spanrill.Millis { return LongestPause },
+		listDelay:     func() spanrill.Millis { return 0 },
 	}
-	f.askedAt.Store(noCall)
+	f.unansweredSince.Store(answered)
 	for _, o := range opts {
 		o(f)
 	}
@@ -185,98 +182,98 @@
 
 // Step makes one call and returns how long to pause before the next.
 func (f *Follower) Step(ctx context.Context) spanrill.Millis {
-	if !f.listed && f.tries == 0 && !f.relists {
-		if pause := f.begin(); pause > 0 {
+	if !f.listed && f.failures == 0 && !f.relisting {
+		if pause := f.initialDelay(); pause > 0 {
 			return pause
 		}
 	}
-	if f.due != nil && f.listed {
-		if pause := f.due(); pause > 0 {
+	if f.pollDelay != nil && f.listed {
+		if pause := f.pollDelay(); pause > 0 {
 			return pause
 		}
 	}
-	if f.tries > 0 && f.ahead != nil && f.ahead.failing.Load() {
-		return behindPoll
+	if f.failures > 0 && f.primary != nil && f.primary.failing.Load() {
+		return primaryCheckInterval
 	}
-	sent := f.clock.Now()
-	f.askedAt.CompareAndSwap(noCall, int64(sent))
-	changed, err := f.call(ctx, sent)
+	sentAt := f.clock.Now()
+	f.unansweredSince.CompareAndSwap(answered, int64(sentAt))
+	changed, err := f.makeCall(ctx, sentAt)
 	if errors.Is(err, spanrill.ErrHistoryGone) {
-		f.askedAt.Store(noCall) // that is an answer
-		events.HistoryGone.Log(f.log, logrus.Fields{"collection": f.name, "after": f.at})
-		f.listed, f.relists = false, true
+		f.unansweredSince.Store(answered) // this error is an answer of the store
+		events.HistoryGone.Log(f.log, logrus.Fields{"collection": f.name, "after": f.revision})
+		f.listed, f.relisting = false, true
 		return 0
 	}
 	if err != nil {
-		return f.failed(ctx, err)
+		return f.recordFailure(ctx, err)
 	}
-	f.askedAt.Store(noCall)
-	if f.lost {
-		f.lost = false
-		events.PlatformFound.Log(f.log, logrus.Fields{"collection": f.name, "tries": f.tries})
+	f.unansweredSince.Store(answered)
+	if f.outageLogged {
+		f.outageLogged = false
+		events.PlatformFound.Log(f.log, logrus.Fields{"collection": f.name, "tries": f.failures})
 	}
-	f.tries = 0
+	f.failures = 0
 	f.failing.Store(false)
 	if changed {
-		return f.settle
+		return f.batchDelay
 	}
 	return 0
 }
 
-// begin returns how long to wait before the collection is listed for the first time.
-// What the sink knows from elsewhere is not listed.
-func (f *Follower) begin() spanrill.Millis {
-	if at := f.known(); at > 0 {
-		f.at, f.listed = at, true
+// initialDelay returns how long to wait before the first list. If the sink has the collection from
+// another source, the follower skips the list and watches from that revision.
+func (f *Follower) initialDelay() spanrill.Millis {
+	if revision := f.knownRevision(); revision > 0 {
+		f.revision, f.listed = revision, true
 		return 0
 	}
-	return f.first()
+	return f.listDelay()
 }
 
-// call makes one call, which ends early if a second one would be late otherwise.
-func (f *Follower) call(ctx context.Context, sent spanrill.Millis) (changed bool, err error) {
+// makeCall lists or watches once. A call that follows an answer has the timeout firstCallTimeout.
+func (f *Follower) makeCall(ctx context.Context, sentAt spanrill.Millis) (changed bool, err error) {
 	if !f.listed {
-		return false, f.list(ctx, sent)
+		return false, f.list(ctx, sentAt)
 	}
-	if f.limit != nil && f.tries == 0 {
+	if f.firstCallTimeout != nil && f.failures == 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, f.limit().Duration())
+		ctx, cancel = context.WithTimeout(ctx, f.firstCallTimeout().Duration())
 		defer cancel()
 	}
-	return f.watch(ctx, sent)
+	return f.watch(ctx, sentAt)
 }
 
-func (f *Follower) list(ctx context.Context, sent spanrill.Millis) error {
-	items, at, err := f.source.List(ctx)
+func (f *Follower) list(ctx context.Context, sentAt spanrill.Millis) error {
+	items, revision, err := f.source.List(ctx)
 	if err != nil {
 		return err
 	}
-	f.at, f.listed = at, true
-	f.sink.Listed(items, at, sent)
+	f.revision, f.listed = revision, true
+	f.sink.Listed(items, revision, sentAt)
 	return nil
 }
 
-func (f *Follower) watch(ctx context.Context, sent spanrill.Millis) (changed bool, err error) {
-	f.at = max(f.at, f.known())
-	changes, at, err := f.source.Watch(ctx, f.at, f.wait)
+func (f *Follower) watch(ctx context.Context, sentAt spanrill.Millis) (changed bool, err error) {
+	f.revision = max(f.revision, f.knownRevision())
+	changes, revision, err := f.source.Watch(ctx, f.revision, f.watchTimeout)
 	if err != nil {
 		return false, err
 	}
-	f.at = max(f.at, at)
-	f.sink.Changed(changes, at, sent)
+	f.revision = max(f.revision, revision)
+	f.sink.Changed(changes, revision, sentAt)
 	return len(changes) > 0, nil
 }
 
-func (f *Follower) failed(ctx context.Context, err error) spanrill.Millis {
+func (f *Follower) recordFailure(ctx context.Context, err error) spanrill.Millis {
 	if ctx.Err() != nil {
 		return 0
 	}
-	f.tries++
+	f.failures++
 	f.failing.Store(true)
-	if !f.lost {
-		f.lost = true
+	if !f.outageLogged {
+		f.outageLogged = true
 		events.PlatformLost.Log(f.log, logrus.Fields{"collection": f.name, "error": err})
 	}
-	pause := min(f.pause(), FirstPause<<min(f.tries-1, maxDoublings))
+	pause := min(f.maxRetryDelay(), FirstPause<<min(f.failures-1, maxRetryDoublings))
 	return pause/2 + spanrill.Millis(float64(pause)*f.jitter()/2)
 }
--- a/state/follow/follow_test.go
+++ b/state/follow/follow_test.go
@@ -12,73 +12,73 @@
 	"spanrill/clock"
 )
 
-// source is a collection whose answers a test sets.
+// source is a collection with scripted answers.
 type source struct {
-	clock   *clock.Manual
-	calls   []string
-	changes []spanrill.Change
-	at      uint64
-	err     error
-	takes   spanrill.Millis // time that a call takes
-	after   uint64
+	clock    *clock.Manual
+	calls    []string
+	changes  []spanrill.Change
+	revision uint64
+	err      error
+	callTime spanrill.Millis // duration of a call
+	after    uint64
 }
 
 func (s *source) List(context.Context) ([]spanrill.Item, uint64, error) {
 	s.calls = append(s.calls, "list")
-	s.clock.Advance(s.takes)
-	return nil, s.at, s.err
+	s.clock.Advance(s.callTime)
+	return nil, s.revision, s.err
 }
 
 func (s *source) Watch(_ context.Context, after uint64, _ spanrill.Millis) ([]spanrill.Change, uint64, error) {
 	s.calls = append(s.calls, "watch")
 	s.after = after
-	s.clock.Advance(s.takes)
-	return s.changes, s.at, s.err
+	s.clock.Advance(s.callTime)
+	return s.changes, s.revision, s.err
 }
 
 type sink struct {
 	listed, changed int
-	sent            spanrill.Millis
+	sentAt          spanrill.Millis
 }
 
-func (s *sink) Listed(_ []spanrill.Item, _ uint64, sent spanrill.Millis) {
-	s.listed, s.sent = s.listed+1, sent
+func (s *sink) Listed(_ []spanrill.Item, _ uint64, sentAt spanrill.Millis) {
+	s.listed, s.sentAt = s.listed+1, sentAt
 }
 
-func (s *sink) Changed(_ []spanrill.Change, _ uint64, sent spanrill.Millis) {
-	s.changed, s.sent = s.changed+1, sent
+func (s *sink) Changed(_ []spanrill.Change, _ uint64, sentAt spanrill.Millis) {
+	s.changed, s.sentAt = s.changed+1, sentAt
 }
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// The time handed on is that before the call, not that of its answer.
-func TestAgeCountsFromBeforeTheCall(t *testing.T) {
+// The sink gets the time at which the call was sent, not the time of its answer.
+func TestSentTimePrecedesTheCall(t *testing.T) {
 	c := clock.NewManual()
-	src, to := &source{clock: c, at: 5, takes: 800}, &sink{}
-	f := New(src, c, to, WithLogger(quiet(), "test"))
+	src, to := &source{clock: c, revision: 5, callTime: 800}, &sink{}
+	f := New(src, c, to, WithLogger(discardLogger(), "test"))
 	f.Step(context.Background())
-	if to.listed != 1 || to.sent != 0 {
-		t.Fatalf("listed %d times, sent at %d, want 1 and 0", to.listed, to.sent)
+	if to.listed != 1 || to.sentAt != 0 {
+		t.Fatalf("listed %d times, sent at %d, want 1 and 0", to.listed, to.sentAt)
 	}
 	f.Step(context.Background())
-	if to.changed != 1 || to.sent != 800 {
-		t.Fatalf("changed %d times, sent at %d, want 1 and 800", to.changed, to.sent)
+	if to.changed != 1 || to.sentAt != 800 {
+		t.Fatalf("changed %d times, sent at %d, want 1 and 800", to.changed, to.sentAt)
 	}
 }
 
-// A store that has forgotten its history is listed again, at once.
-func TestHistoryGone(t *testing.T) {
+// If the store no longer has the history, the follower lists again at once.
+func TestHistoryGoneListsAgain(t *testing.T) {
 	c := clock.NewManual()
-	src, to := &source{clock: c, at: 5}, &sink{}
-	f := New(src, c, to, WithLogger(quiet(), "test"))
+	src, to := &source{clock: c, revision: 5}, &sink{}
+	f := New(src, c, to, WithLogger(discardLogger(), "test"))
 	f.Step(context.Background())
 	src.err = spanrill.ErrHistoryGone
 	if pause := f.Step(context.Background()); pause != 0 {
-		t.Fatalf("pause of %d ms", pause)
+		t.Fatalf("pause of %d ms, want 0", pause)
 	}
 	src.err = nil
 	f.Step(context.Background())
@@ -87,31 +87,30 @@
 	}
 }
 
-// Failed calls change nothing, and are made again within the freshness that
-// requests with a key need.
-func TestFailedCalls(t *testing.T) {
+// Failed calls pass nothing to the sink, and the pause between them stays within LongestPause.
+func TestRetryDelayIsBounded(t *testing.T) {
 	c := clock.NewManual()
-	src, to := &source{clock: c, at: 5}, &sink{}
-	f := New(src, c, to, WithLogger(quiet(), "test"), WithJitter(func() float64 { return 1 }))
+	src, to := &source{clock: c, revision: 5}, &sink{}
+	f := New(src, c, to, WithLogger(discardLogger(), "test"), WithJitter(func() float64 { return 1 }))
 	f.Step(context.Background())
 	src.err = spanrill.ErrUnavailable
 	for range 20 {
 		if pause := f.Step(context.Background()); pause <= 0 || pause > LongestPause {
-			t.Fatalf("pause of %d ms", pause)
+			t.Fatalf("pause of %d ms is out of range", pause)
 		}
 	}
 	if to.changed != 0 {
-		t.Fatal("failed calls were handed on")
+		t.Fatal("a failed call was passed to the sink")
 	}
 }
 
-// With a due function no call is made before it is time, and what a peer has
-// told is not asked for again.
-func TestDue(t *testing.T) {
+// With a poll delay no call is made before the delay has passed, and changes up to the known
+// revision are not requested again.
+func TestPollDelayAndKnownRevision(t *testing.T) {
 	c := clock.NewManual()
-	src, to := &source{clock: c, at: 5}, &sink{}
+	src, to := &source{clock: c, revision: 5}, &sink{}
 	due, known := spanrill.Millis(70), uint64(0)
-	f := New(src, c, to, WithLogger(quiet(), "test"), WithDue(func() spanrill.Millis { return due }), WithAt(func() uint64 { return known }))
+	f := New(src, c, to, WithLogger(discardLogger(), "test"), WithDue(func() spanrill.Millis { return due }), WithAt(func() uint64 { return known }))
 	f.Step(context.Background())
 	if pause := f.Step(context.Background()); pause != 70 || len(src.calls) != 1 {
 		t.Fatalf("pause of %d ms, calls %v", pause, src.calls)
@@ -119,40 +118,39 @@
 	due, known = 0, 9
 	f.Step(context.Background())
 	if len(src.calls) != 2 || src.after != 9 {
-		t.Fatalf("calls %v, the last one behind revision %d, want 9", src.calls, src.after)
+		t.Fatalf("calls %v, the last one after revision %d, want 9", src.calls, src.after)
 	}
 }
 
-// How long the store has not answered counts from the first call that got no good
-// answer, and ends with one.
+// The time without an answer counts from the first failed call, and is 0 after an answer.
 func TestUnanswered(t *testing.T) {
 	c := clock.NewManual()
-	src := &source{clock: c, at: 5, takes: 4}
-	f := New(src, c, &sink{}, WithLogger(quiet(), "test"))
+	src := &source{clock: c, revision: 5, callTime: 4}
+	f := New(src, c, &sink{}, WithLogger(discardLogger(), "test"))
 	f.Step(context.Background())
 	if d := f.Unanswered(); d != 0 {
-		t.Fatalf("%d ms after an answer", d)
+		t.Fatalf("%d ms after an answer, want 0", d)
 	}
-	src.err, src.takes = spanrill.ErrUnavailable, 1000
+	src.err, src.callTime = spanrill.ErrUnavailable, 1000
 	f.Step(context.Background())
 	f.Step(context.Background())
 	if d := f.Unanswered(); d != 2000 {
-		t.Fatalf("%d ms after two calls of a second", d)
+		t.Fatalf("%d ms after two failed calls of 1000 ms, want 2000", d)
 	}
 	src.err = nil
 	f.Step(context.Background())
 	if d := f.Unanswered(); d != 0 {
-		t.Fatalf("%d ms after the store has come back", d)
+		t.Fatalf("%d ms after the store has answered again, want 0", d)
 	}
 }
 
-// hanging is a source whose calls end with their context.
-type hanging struct {
+// hangingSource is a source that never answers a watch with a deadline.
+type hangingSource struct {
 	*source
-	limited []bool // for each call, whether it was limited
+	limited []bool // whether each call had a deadline
 }
 
-func (h *hanging) Watch(ctx context.Context, after uint64, wait spanrill.Millis) ([]spanrill.Change, uint64, error) {
+func (h *hangingSource) Watch(ctx context.Context, after uint64, wait spanrill.Millis) ([]spanrill.Change, uint64, error) {
 	_, limited := ctx.Deadline()
 	h.limited = append(h.limited, limited)
 	if !limited {
@@ -162,39 +160,39 @@
 	return nil, 0, spanrill.ErrUnavailable
 }
 
-// A call on a connection that has gone silent ends at the limit. The next one may take
-// its time, and the one after a good answer is limited again.
-func TestLimitOfAFirstCall(t *testing.T) {
+// A call on a connection that has gone silent ends at the timeout. The next call has no timeout,
+// and the one after an answer has it again.
+func TestFirstCallTimeout(t *testing.T) {
 	c := clock.NewManual()
-	src := &hanging{source: &source{clock: c, at: 5}}
-	f := New(src, c, &sink{}, WithLogger(quiet(), "test"), WithLimit(func() spanrill.Millis { return 1 }))
+	src := &hangingSource{source: &source{clock: c, revision: 5}}
+	f := New(src, c, &sink{}, WithLogger(discardLogger(), "test"), WithLimit(func() spanrill.Millis { return 1 }))
 	for range 4 {
 		f.Step(context.Background())
 	}
 	want := []bool{true, false, true}
 	for i := range want {
 		if src.limited[i] != want[i] {
-			t.Fatalf("calls with a limit: %v, want %v", src.limited, want)
+			t.Fatalf("calls with a timeout: %v, want %v", src.limited, want)
 		}
 	}
 }
 
-// The collection is listed when its time has come, and not at all if it is known from
-// elsewhere by then. A history that is gone is listed again at once.
-func TestFirst(t *testing.T) {
+// The first list waits for the list delay, and is skipped if the revision is known from another
+// source by then. If the history is gone, the collection is listed again at once.
+func TestListDelay(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		known uint64 // when the time has come
+		known uint64 // after the delay
 		calls string
 	}{
-		{"nobody tells", 0, "list watch list"},
-		{"a peer tells", 7, "watch watch list"},
+		{"not known from elsewhere", 0, "list watch list"},
+		{"known from a peer", 7, "watch watch list"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := clock.NewManual()
-			src := &source{clock: k, at: 9}
+			src := &source{clock: k, revision: 9}
 			wait, known := spanrill.Millis(30), uint64(0)
-			f := New(src, k, &sink{}, WithLogger(quiet(), "test"),
+			f := New(src, k, &sink{}, WithLogger(discardLogger(), "test"),
 				WithFirst(func() spanrill.Millis { return wait }), WithAt(func() uint64 { return known }))
 			if pause := f.Step(context.Background()); pause != wait || len(src.calls) != 0 {
 				t.Fatalf("pause of %d ms, calls %v", pause, src.calls)
--- a/state/follow/primary_test.go
+++ b/state/follow/primary_test.go
@@ -9,62 +9,60 @@
 	"spanrill/rng"
 )
 
-// outage plays two followers of one store that is away for a while, and returns the calls
-// that they make meanwhile, and how much later than the first one the second knows its
-// collection again.
-func outage(seed uint64, behind bool) (calls int, later spanrill.Millis) {
+// runOutage simulates two followers of one store that fails for a while. It returns the number of
+// failed calls, and how much later than the first follower the second one gets an answer again.
+func runOutage(seed uint64, usePrimary bool) (calls int, delay spanrill.Millis) {
 	const (
-		step   spanrill.Millis = 10
-		begins                 = spanrill.Second
-		ends                   = 9 * spanrill.Second
-		pause  spanrill.Millis = 1600
-		due    spanrill.Millis = 50
+		step        spanrill.Millis = 10
+		outageStart                 = spanrill.Second
+		outageEnd                   = 9 * spanrill.Second
+		pause       spanrill.Millis = 1600
+		interval    spanrill.Millis = 50
 	)
 	c, random := clock.NewManual(), rng.New(seed)
-	first, second := &source{clock: c, at: 5}, &source{clock: c, at: 5}
+	first, second := &source{clock: c, revision: 5}, &source{clock: c, revision: 5}
 	build := func(src *source, opts ...Option) *Follower {
-		return New(src, c, &sink{}, append(opts, WithLogger(quiet(), "test"), WithJitter(random.Float64),
+		return New(src, c, &sink{}, append(opts, WithLogger(discardLogger(), "test"), WithJitter(random.Float64),
 			WithLongestPause(func() spanrill.Millis { return pause }), WithDue(func() spanrill.Millis { return 0 }))...)
 	}
-	ahead := build(first)
+	primary := build(first)
 	opts := []Option{}
-	if behind {
-		opts = append(opts, WithBehind(ahead))
+	if usePrimary {
+		opts = append(opts, WithBehind(primary))
 	}
-	followers := []*Follower{ahead, build(second, opts...)}
-	next, back := [2]spanrill.Millis{}, [2]spanrill.Millis{}
-	for now := c.Now(); now < ends+3*pause; now = c.Now() {
+	followers := []*Follower{primary, build(second, opts...)}
+	next, recovered := [2]spanrill.Millis{}, [2]spanrill.Millis{}
+	for now := c.Now(); now < outageEnd+3*pause; now = c.Now() {
 		for i, src := range []*source{first, second} {
 			src.err = nil
-			if now >= begins && now < ends {
+			if now >= outageStart && now < outageEnd {
 				src.err = spanrill.ErrUnavailable
 			}
 			if now < next[i] {
 				continue
 			}
 			before := len(src.calls)
-			next[i] = now + max(due, followers[i].Step(context.Background()))
+			next[i] = now + max(interval, followers[i].Step(context.Background()))
 			if made := len(src.calls) > before; made && src.err != nil {
 				calls++
-			} else if made && now >= ends && back[i] == 0 {
-				back[i] = now
+			} else if made && now >= outageEnd && recovered[i] == 0 {
+				recovered[i] = now
 			}
 		}
 		c.Advance(step)
 	}
-	return calls, back[1] - back[0]
+	return calls, recovered[1] - recovered[0]
 }
 
-// In an outage of 8 s two followers of a daemon make 19 to 22 calls when both ask for the
-// store, and 10 to 13 when one does; the second then knows its collection 40 ms after the
-// first one at most.
-func TestOneFollowerFindsTheStore(t *testing.T) {
+// In an outage of 8 s two followers make 19 to 22 calls if both call the store, and 10 to 13 if one
+// is the other's primary. The other then gets its answer at most 40 ms after the primary.
+func TestPrimaryReducesCallsInOutage(t *testing.T) {
 	for seed := range uint64(20) {
-		both, _ := outage(seed, false)
-		one, later := outage(seed, true)
-		if one > both*2/3 || later > behindPoll+30 {
-			t.Fatalf("seed %d: %d calls and %d ms later, %d calls when both ask", seed, one, later, both)
+		without, _ := runOutage(seed, false)
+		with, delay := runOutage(seed, true)
+		if with > without*2/3 || delay > primaryCheckInterval+30 {
+			t.Fatalf("seed %d: %d calls with a primary and a delay of %d ms, %d calls without", seed, with, delay, without)
 		}
-		t.Logf("%d calls when both ask, %d when one does, %d ms later", both, one, later)
+		t.Logf("%d calls without a primary, %d with one, delay of %d ms", without, with, delay)
 	}
 }
