--- a/checked/checked.go
+++ b/checked/checked.go
@@ -1,8 +1,8 @@
-// Package checked decodes JSON that people write, and reports every mistake
-// in it at once.
+// Package checked decodes JSON documents that people write, validates them against a JSON schema,
+// and reports all mistakes at once.
 //
-// A JSON schema says what is allowed. Each problem names the field, its line
-// and column, and what is allowed there. Unknown fields are problems.
+// Each problem has the path of the field, its line and column, and a text that says what the schema
+// allows there. Unknown fields are problems if the schema allows no additional properties.
 //
 // # Usage
 //
@@ -25,7 +25,7 @@
 	"golang.org/x/text/message"
 )
 
-// Schema says what a kind of document may hold.
+// Schema is a compiled JSON schema for one kind of document.
 type Schema struct {
 	name     string
 	raw      []byte
@@ -33,8 +33,8 @@
 	compiled *jsonschema.Schema
 }
 
-// MustCompile returns the schema in raw. It panics on a schema that does not
-// compile, which a test of the package that embeds it finds.
+// MustCompile compiles a JSON schema. It panics if the schema is invalid, which the tests of the
+// package that embeds it detect.
 func MustCompile(name string, raw []byte) *Schema {
 	tree, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
@@ -47,7 +47,7 @@
 	return &Schema{name: name, raw: raw, tree: tree, compiled: c.MustCompile(name + ".json")}
 }
 
-// Raw returns the schema as JSON.
+// Raw returns the source of the schema.
 func (s *Schema) Raw() []byte { return s.raw }
 
 // Problem is one mistake in a document.
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", p.File, p.Line, p.Column, p.Field, p.Text)
 }
 
-// Problems is an error that holds every mistake of a document.
+// Problems is an error with all mistakes of a document.
 type Problems []Problem
 
 // Error returns one line for each problem.
@@ -76,15 +76,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Decode checks data against the schema and decodes it into v. The error is
-// Problems when the document is at fault.
+// Decode validates data against the schema and decodes it into v. File is the name of the document
+// in problems. The error is a Problems if the document is invalid.
 func (s *Schema) Decode(file string, data []byte, v any) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
 		return Problems{syntaxProblem(file, data, err)}
 	}
 	if err := s.compiled.Validate(doc); err != nil {
-		return s.problems(file, data, err)
+		return s.validationProblems(file, data, err)
 	}
 	if err := json.Unmarshal(data, v); err != nil {
 		return fmt.Errorf("decode %s: %w", file, err)
@@ -99,42 +99,42 @@
 		offset = syntax.Offset
 		err = syntax
 	}
-	line, column := place(data, offset)
+	line, column := position(data, offset)
 	return Problem{File: file, Field: "/", Line: line, Column: column, Text: "not JSON: " + err.Error()}
 }
 
-func (s *Schema) problems(file string, data []byte, err error) error {
+func (s *Schema) validationProblems(file string, data []byte, err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
 		return fmt.Errorf("check %s: %w", file, err)
 	}
-	c := collector{schema: s, file: file, data: data, offsets: offsets(data)}
+	c := collector{schema: s, file: file, data: data, offsets: valueOffsets(data)}
 	c.collect(invalid)
-	sort.SliceStable(c.found, func(i, k int) bool {
-		a, b := c.found[i], c.found[k]
+	sort.SliceStable(c.problems, func(i, k int) bool {
+		a, b := c.problems[i], c.problems[k]
 		return a.Line < b.Line || a.Line == b.Line && a.Column < b.Column
 	})
-	return c.found
+	return c.problems
 }
 
 type collector struct {
-	schema  *Schema
-	file    string
-	data    []byte
-	offsets map[string]int64
-	found   Problems
+	schema   *Schema
+	file     string
+	data     []byte
+	offsets  map[string]int64
+	problems Problems
 }
 
-var english = message.NewPrinter(language.English)
+var printer = message.NewPrinter(language.English)
 
 func (c *collector) collect(e *jsonschema.ValidationError) {
-	if len(e.Causes) > 0 && !isChoice(e.ErrorKind) {
+	if len(e.Causes) > 0 && !isAlternative(e.ErrorKind) {
 		for _, cause := range e.Causes {
 			c.collect(cause)
 		}
 		return
 	}
-	field := pointer(e.InstanceLocation)
+	field := jsonPointer(e.InstanceLocation)
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
 		for _, name := range k.Properties {
@@ -145,12 +145,13 @@
 			c.add(field, "field "+name+" is missing")
 		}
 	default:
-		c.add(field, e.ErrorKind.LocalizedString(english)+c.describe(e.SchemaURL))
+		c.add(field, e.ErrorKind.LocalizedString(printer)+c.describe(e.SchemaURL))
 	}
 }
 
-// isChoice reports whether the causes of an error exclude one another.
-func isChoice(k jsonschema.ErrorKind) bool {
+// isAlternative reports whether the causes of an error belong to alternatives (anyOf, oneOf). Such
+// an error is one problem, because only one of the alternatives has to match.
+func isAlternative(k jsonschema.ErrorKind) bool {
 	switch k.(type) {
 	case *kind.AnyOf, *kind.OneOf:
 		return true
@@ -159,16 +160,16 @@
 }
 
 func (c *collector) add(field, text string) {
-	line, column := place(c.data, c.offsets[field])
+	line, column := position(c.data, c.offsets[field])
 	if field == "" {
 		field = "/"
 	}
-	c.found = append(c.found, Problem{File: c.file, Field: field, Line: line, Column: column, Text: text})
+	c.problems = append(c.problems, Problem{File: c.file, Field: field, Line: line, Column: column, Text: text})
 }
 
-// allowed lists the fields that the schema at a place knows.
+// allowed lists the fields that the schema node at url has.
 func (c *collector) allowed(url string) string {
-	node, _ := c.at(url).(map[string]any)
+	node, _ := c.schemaNode(url).(map[string]any)
 	properties, _ := node["properties"].(map[string]any)
 	names := make([]string, 0, len(properties))
 	for name := range properties {
@@ -178,9 +179,9 @@
 	return strings.Join(names, ", ")
 }
 
-// describe returns what the schema says of the value at a place.
+// describe returns the description of the schema node at url as the end of a problem's text, or "".
 func (c *collector) describe(url string) string {
-	node, _ := c.at(url).(map[string]any)
+	node, _ := c.schemaNode(url).(map[string]any)
 	text, _ := node["description"].(string)
 	if text == "" {
 		return ""
@@ -188,8 +189,8 @@
 	return "; allowed: " + text
 }
 
-// at walks the schema to the place that url names.
-func (c *collector) at(url string) any {
+// schemaNode returns the node of the schema that the fragment of url points to.
+func (c *collector) schemaNode(url string) any {
 	_, fragment, _ := strings.Cut(url, "#")
 	node := c.schema.tree
 	for _, step := range strings.Split(strings.TrimPrefix(fragment, "/"), "/") {
@@ -202,7 +203,7 @@
 	return node
 }
 
-func pointer(steps []string) string {
+func jsonPointer(steps []string) string {
 	if len(steps) == 0 {
 		return ""
 	}
--- a/checked/place.go
+++ b/checked/position.go
@@ -6,30 +6,30 @@
 	"strconv"
 )
 
-// place returns the line and column of an offset, both counted from 1.
-func place(data []byte, offset int64) (line, column int) {
+// position returns the line and column of an offset, both counted from 1.
+func position(data []byte, offset int64) (line, column int) {
 	before := data[:min(offset, int64(len(data)))]
 	line = bytes.Count(before, []byte("\n")) + 1
 	column = len(before) - bytes.LastIndexByte(before, '\n')
 	return line, column
 }
 
-// offsets returns where the value of each field starts.
-func offsets(data []byte) map[string]int64 {
-	w := walker{dec: json.NewDecoder(bytes.NewReader(data)), data: data, found: map[string]int64{}}
+// valueOffsets returns the offset in data at which each value starts, by its path.
+func valueOffsets(data []byte) map[string]int64 {
+	w := walker{dec: json.NewDecoder(bytes.NewReader(data)), data: data, offsets: map[string]int64{}}
 	w.value("")
-	return w.found
+	return w.offsets
 }
 
 type walker struct {
-	dec   *json.Decoder
-	data  []byte
-	found map[string]int64
+	dec     *json.Decoder
+	data    []byte
+	offsets map[string]int64
 }
 
-// value reads one value and notes where it and the values inside it start.
+// value reads one value and records the offsets of it and of the values inside it.
 func (w *walker) value(path string) {
-	w.found[path] = w.start()
+	w.offsets[path] = w.nextValueOffset()
 	t, err := w.dec.Token()
 	if err != nil {
 		return
@@ -61,8 +61,8 @@
 	_, _ = w.dec.Token()
 }
 
-// start returns the offset of the next value, behind separators and space.
-func (w *walker) start() int64 {
+// nextValueOffset returns the offset of the next value, after any separators and whitespace.
+func (w *walker) nextValueOffset() int64 {
 	offset := w.dec.InputOffset()
 	for offset < int64(len(w.data)) && bytes.IndexByte([]byte(" \t\r\n:,"), w.data[offset]) >= 0 {
 		offset++
