--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -11,14 +11,14 @@
 )
 
 //go:embed gateway.json
-var gatewayJSON []byte
+var gatewaySchemaJSON []byte
 
-var gatewaySchema = checked.MustCompile("gateway", gatewayJSON)
+var gatewaySchema = checked.MustCompile("gateway", gatewaySchemaJSON)
 
-// GatewaySchema returns the JSON schema of the settings of a gateway.
+// GatewaySchema returns the JSON schema of Gateway.
 func GatewaySchema() *checked.Schema { return gatewaySchema }
 
-// Gateway is the settings of one process that runs on the users' platform.
+// Gateway holds the settings of one process that runs as a gateway on the users' platform.
 type Gateway struct {
 	Name          string   `json:"name"`
 	Zone          string   `json:"availability_zone"`
@@ -29,32 +29,32 @@
 	Peers         []string `json:"peers"`
 	Platform      string   `json:"platform"`
 	FleetSecret   string   `json:"fleet_secret"`
-	MemoryMB      int      `json:"memory_mb"`   // 0: no limit
-	Descriptors   int      `json:"descriptors"` // that the process may have, 0: not known
-	CPUShare      float64  `json:"cpu_share"`   // of a core that the process gets, 0: not known
-	Cores         float64  `json:"cores"`       // how many times as fast as one the core runs
+	MemoryMB      int      `json:"memory_mb"`   // 0 for no limit
+	Descriptors   int      `json:"descriptors"` // file descriptors allowed to the process, 0 if unknown
+	CPUShare      float64  `json:"cpu_share"`   // of a core that the process gets, 0 if unknown
+	Cores         float64  `json:"cores"`       // speed of that core, relative to one core
 	Bounds        Bounds   `json:"bounds"`
 	Log           Log      `json:"log"`
 }
 
-// Bounds is what the operator holds the fleet to.
+// Bounds are the limits that the operator sets for the whole fleet.
 type Bounds struct {
-	Revoke      spanrill.Millis `json:"revoke_ms"` // after this no request runs under a withdrawn key
-	Grace       spanrill.Millis `json:"grace_ms"`  // from the request to stop to the kill
-	Drain       spanrill.Millis `json:"drain_ms"`  // after this an upstream that leaves gets nothing new
-	RetryRatio  float64         `json:"retry_ratio"`
-	RetrySlack  float64         `json:"retry_slack"`
+	Revoke      spanrill.Millis `json:"revoke_ms"`   // time after which no request runs with a withdrawn key
+	Grace       spanrill.Millis `json:"grace_ms"`    // time between the signal to stop and the kill
+	Drain       spanrill.Millis `json:"drain_ms"`    // time after which a leaving upstream gets no new requests
+	RetryRatio  float64         `json:"retry_ratio"` // retries per request
+	RetrySlack  float64         `json:"retry_slack"` // retries per window beyond the ratio, of all daemons
 	RetryWindow spanrill.Millis `json:"retry_window_ms"`
 }
 
-// DefaultDrain is the shortest time that the users' deployments give an upstream
-// that leaves.
+// DefaultDrain is the shortest time that deployments of the users give an upstream to leave.
 const DefaultDrain = 2 * spanrill.Second
 
-// Power returns the processor of the box in thousandths of a core, or 0 if it is not known.
+// CPUMillicores returns the processor capacity of the process in thousandths of a core, or 0 if it
+// is unknown.
 func (g *Gateway) Power() int { return int(math.Round(1000 * g.CPUShare * g.Cores)) }
 
-// DefaultGateway returns settings in which all optional fields have their value.
+// DefaultGateway returns settings with the default of each optional field.
 func DefaultGateway() Gateway {
 	return Gateway{
 		Peers: []string{}, Cores: 1, Log: Log{Level: "info"},
@@ -62,7 +62,7 @@
 	}
 }
 
-// ParseGateway checks and decodes the settings of a gateway. File names them in
+// ParseGateway validates and decodes the settings of a gateway. File is the name of their source in
 // errors.
 func ParseGateway(file string, data []byte) (Gateway, error) {
 	s := DefaultGateway()
@@ -72,7 +72,7 @@
 	return s, nil
 }
 
-// LoadGateway reads the settings of a gateway from a file.
+// LoadGateway reads, validates and decodes the settings of a gateway from a file.
 func LoadGateway(path string) (Gateway, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -9,14 +9,14 @@
 	"spanrill/checked"
 )
 
-const goodGateway = `{
+const validGateway = `{
   "name": "front-1", "availability_zone": "z", "listen": "10.0.0.1:80", "ready_listen": "10.0.0.1:81",
   "peer_listen": "10.0.0.1:82", "platform": "10.9.0.1:90", "fleet_secret": "sixteen characters",
   "bounds": {"revoke_ms": 5000, "grace_ms": 8000}
 }`
 
 func TestGatewaySettings(t *testing.T) {
-	s, err := ParseGateway("good.json", []byte(goodGateway))
+	s, err := ParseGateway("good.json", []byte(validGateway))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 		{"no JSON", `{
   "name"`, `name`, ""},
 	} {
-		_, err := ParseGateway("bad.json", []byte(strings.Replace(goodGateway, c.old, c.new, 1)))
+		_, err := ParseGateway("bad.json", []byte(strings.Replace(validGateway, c.old, c.new, 1)))
 		var problems checked.Problems
 		if err == nil || c.want != "" && (!errors.As(err, &problems) || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s: %v", c.name, err)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads the settings of a spanrilld process.
+// Package settings reads and validates the settings file of a spanrilld process.
 //
-// Settings are one JSON object. They are checked whole when the process
-// starts: every mistake is reported at once, with its field, its place and
-// what is allowed there. The schema in settings.json is the reference.
+// Settings are one JSON object. It is validated as a whole when the process starts: all mistakes
+// are reported at once, each with its field, its position and what is allowed there. The schemas in
+// settings.json and gateway.json define the fields.
 //
 // # Usage
 //
@@ -23,14 +23,14 @@
 )
 
 //go:embed settings.json
-var schemaJSON []byte
+var settingsSchemaJSON []byte
 
-var schema = checked.MustCompile("settings", schemaJSON)
+var settingsSchema = checked.MustCompile("settings", settingsSchemaJSON)
 
-// Schema returns the JSON schema of settings.
-func Schema() *checked.Schema { return schema }
+// Schema returns the JSON schema of Settings.
+func Schema() *checked.Schema { return settingsSchema }
 
-// Settings are the settings of one process.
+// Settings are the settings of one daemon.
 type Settings struct {
 	Name          string   `json:"name"`
 	Zone          string   `json:"availability_zone"`
@@ -52,7 +52,7 @@
 	Pprof         bool     `json:"pprof"`
 }
 
-// Limits bounds what callers may send and receive.
+// Limits are the limits on what callers may send and receive.
 type Limits struct {
 	BodyBytes    int             `json:"body_bytes"`
 	HeaderBytes  int             `json:"header_bytes"`
@@ -62,33 +62,33 @@
 	PerSlot      int             `json:"requests_per_slot"`
 }
 
-// Waits says how long upstreams may take.
+// Waits are the timeouts for responses of upstreams.
 type Waits struct {
 	FirstToken spanrill.Millis `json:"first_token_ms"`
-	Token      spanrill.Millis `json:"token_ms"`
-	Service    spanrill.Millis `json:"service_ms"`
+	Token      spanrill.Millis `json:"token_ms"`   // between two tokens
+	Service    spanrill.Millis `json:"service_ms"` // of a call of a plain service
 }
 
-// Drain says how a planned stop goes.
+// Drain is the timing of a planned stop.
 type Drain struct {
-	Notice spanrill.Millis `json:"notice_ms"`
-	Finish spanrill.Millis `json:"finish_ms"`
+	Notice spanrill.Millis `json:"notice_ms"` // new requests are still accepted
+	Finish spanrill.Millis `json:"finish_ms"` // running requests may finish
 }
 
-// Observe says how upstreams are observed.
+// Observe configures the observation of boxes and upstreams.
 type Observe struct {
 	Boxes     spanrill.Millis `json:"boxes_ms"`
 	Status    spanrill.Millis `json:"status_ms"`
-	Observers int             `json:"observers"`
+	Observers int             `json:"observers"` // daemons that observe each upstream
 }
 
-// Log says where and how much is logged.
+// Log configures the log.
 type Log struct {
 	Level  string `json:"level"`
 	Format string `json:"format"`
 }
 
-// Default returns settings in which all optional fields have their value.
+// Default returns settings with the default of each optional field.
 func Default() Settings {
 	return Settings{
 		Peers:         []string{},
@@ -105,7 +105,7 @@
 	}
 }
 
-// Example returns settings that pass the check, for people to start from.
+// Example returns valid settings that operators can start from.
 func Example() Settings {
 	s := Default()
 	s.Name, s.Zone = "entry-1", "hall-un"
@@ -115,16 +115,16 @@
 	return s
 }
 
-// Parse checks and decodes settings. File names them in errors.
+// Parse validates and decodes settings. File is the name of their source in errors.
 func Parse(file string, data []byte) (Settings, error) {
 	s := Default()
-	if err := schema.Decode(file, data, &s); err != nil {
+	if err := settingsSchema.Decode(file, data, &s); err != nil {
 		return Settings{}, err
 	}
 	return s, nil
 }
 
-// PeerAddr returns the address that peers reach this daemon by.
+// PeerAddr returns the address at which peers reach this daemon.
 func (s Settings) PeerAddr() string {
 	if s.PeerAdvertise != "" {
 		return s.PeerAdvertise
@@ -132,7 +132,7 @@
 	return s.PeerListen
 }
 
-// Load reads settings from a file.
+// Load reads, validates and decodes settings from a file.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"spanrill/checked"
 )
 
-func TestExampleIsRight(t *testing.T) {
+func TestExampleIsValid(t *testing.T) {
 	data, err := Example().JSON()
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 	}
 }
 
-const tenMistakes = `{
+const invalidSettings = `{
   "name": "entry 1",
   "availability_zone": "",
   "listen": "localhost:8080",
@@ -38,13 +38,12 @@
   "log": {"level": "loud"}
 }`
 
-// Every mistake is reported at once, each with its field, its line and what is
-// allowed.
-func TestTenMistakesAreReportedAtOnce(t *testing.T) {
-	_, err := Parse("bad.json", []byte(tenMistakes))
+// All mistakes are reported at once, each with its field, its line and what is allowed.
+func TestAllProblemsAreReported(t *testing.T) {
+	_, err := Parse("bad.json", []byte(invalidSettings))
 	var problems checked.Problems
 	if !errors.As(err, &problems) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want checked.Problems", err)
 	}
 	want := []struct {
 		field string
@@ -64,8 +63,8 @@
 		{"/log/level", 11, "debug, info"},
 	}
 	for _, w := range want {
-		if !reported(problems, w.field, w.line, w.text) {
-			t.Errorf("no problem at %s in line %d naming %q in:\n%v", w.field, w.line, w.text, err)
+		if !containsProblem(problems, w.field, w.line, w.text) {
+			t.Errorf("no problem with %s in line %d that contains %q:\n%v", w.field, w.line, w.text, err)
 		}
 	}
 	if len(problems) != len(want) {
@@ -73,7 +72,7 @@
 	}
 }
 
-func reported(ps checked.Problems, field string, line int, text string) bool {
+func containsProblem(ps checked.Problems, field string, line int, text string) bool {
 	for _, p := range ps {
 		if p.Field == field && p.Line == line && strings.Contains(p.Text, text) {
 			return true
@@ -82,24 +81,23 @@
 	return false
 }
 
-func TestBrokenJSONNamesThePlace(t *testing.T) {
+func TestSyntaxErrorHasPosition(t *testing.T) {
 	_, err := Parse("bad.json", []byte("{\n  \"name\": \"x\",\n  oops\n}"))
 	if err == nil || !strings.HasPrefix(err.Error(), "bad.json:3:") {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want one at line 3", err)
 	}
 }
 
-// The schema is the reference of settings, so that it must know each field of
-// the structure and no other.
-func TestSchemaAndStructureAgree(t *testing.T) {
+// The schema has exactly the fields of the struct.
+func TestSchemaMatchesStruct(t *testing.T) {
 	var schema map[string]any
-	if err := json.Unmarshal(schemaJSON, &schema); err != nil {
+	if err := json.Unmarshal(settingsSchemaJSON, &schema); err != nil {
 		t.Fatal(err)
 	}
-	compare(t, "", schema, reflect.TypeFor[Settings]())
+	compareFields(t, "", schema, reflect.TypeFor[Settings]())
 }
 
-func compare(t *testing.T, path string, schema map[string]any, s reflect.Type) {
+func compareFields(t *testing.T, path string, schema map[string]any, s reflect.Type) {
 	t.Helper()
 	properties, _ := schema["properties"].(map[string]any)
 	for i := range s.NumField() {
@@ -111,23 +109,23 @@
 		}
 		delete(properties, name)
 		if s.Field(i).Type.Kind() == reflect.Struct {
-			compare(t, path+"/"+name, inner, s.Field(i).Type)
+			compareFields(t, path+"/"+name, inner, s.Field(i).Type)
 		}
 	}
 	for name := range properties {
-		t.Errorf("the structure lacks %s/%s", path, name)
+		t.Errorf("the struct lacks %s/%s", path, name)
 	}
 }
 
-// FuzzParse feeds the parser anything. It must not panic, and what it accepts
-// must read back as itself.
+// FuzzParse parses arbitrary data. Parse must not panic, and must accept its own result again when
+// that is encoded.
 func FuzzParse(f *testing.F) {
 	example, err := Example().JSON()
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(example)
-	f.Add([]byte(tenMistakes))
+	f.Add([]byte(invalidSettings))
 	f.Add([]byte("{"))
 	f.Add([]byte("null"))
 	f.Fuzz(func(t *testing.T, data []byte) {
