--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,9 +1,9 @@
-// Package meter counts what a daemon does, for Prometheus-style scrapers.
+// Package meter provides the metrics of a daemon in the Prometheus text format.
 //
 // # Usage
 //
 //	m := meter.New()
-//	m.Refused(spanrill.ReasonQueueFull)
+//	m.CountRefusal(spanrill.ReasonQueueFull)
 //	m.Write(w)
 package meter
 
@@ -16,34 +16,34 @@
 	"spanrill"
 )
 
-// Retry says why a request was tried again.
+// Retry is the reason for which a request was retried.
 type Retry uint8
 
 // The reasons for a retry.
 const (
-	// RetryRefused means that a stage refused before any work.
+	// RetryRefused means that a stage refused the request before it did any work.
 	RetryRefused Retry = iota
-	// RetryDial means that no connection to an upstream was made.
+	// RetryDial means that no connection to an upstream could be opened.
 	RetryDial
-	// RetryStageLost means that a stage failed while the chain ran.
+	// RetryStageLost means that a stage failed while the chain was running.
 	RetryStageLost
 	// RetryStalled means that no token came in time.
 	RetryStalled
 	// RetryBadToken means that a token failed its check.
 	RetryBadToken
-	// RetryCut means that the stream ended before the answer was whole.
+	// RetryCut means that the stream ended before the answer was complete.
 	RetryCut
-	// RetryWithheld means that nothing was sent: the upstream has asked for rest or leaves.
+	// RetryWithheld means that nothing was sent because the upstream asks for rest or is leaving.
 	RetryWithheld
 	retryCount
 )
 
 var retryNames = [retryCount]string{"refused", "dial", "stage_lost", "stalled", "bad_token", "cut", "withheld"}
 
-// String returns the name used in metrics.
+// String returns the value of the label in metrics.
 func (r Retry) String() string { return retryNames[r] }
 
-// RetryReasons returns every reason for a retry.
+// RetryReasons returns all reasons for a retry.
 func RetryReasons() []Retry {
 	all := make([]Retry, retryCount)
 	for r := range retryCount {
@@ -52,7 +52,7 @@
 	return all
 }
 
-// Meters holds the counters of one daemon.
+// Meters holds the metrics of one daemon.
 type Meters struct {
 	set      *metrics.Set
 	refusals map[spanrill.Reason]*metrics.Counter
@@ -63,43 +63,42 @@
 	Requests *metrics.Counter
 	// Tokens counts tokens delivered to callers.
 	Tokens *metrics.Counter
-	// Resumed counts streams that went on on another chain.
+	// StreamsResumed counts streams that continued on another chain.
 	Resumed *metrics.Counter
-	// CallersLeft counts callers that left before their answer was whole.
+	// CallersLeft counts callers that left before their answer was complete.
 	CallersLeft *metrics.Counter
-	// CallerGone is the time from the last look that found a caller that left
-	// still there to the end of all work for it, in seconds.
+	// CallerGoneDelay is the time for which work went on for a caller that left: from the last check
+	// at which it was still connected to the end of all work for it, in seconds.
 	CallerGone *metrics.Histogram
-	// RefusedAfterRun counts refusals that promise that a request has not run,
-	// although an upstream had answered that it ran it. It must stay at zero.
+	// RefusedAfterRun counts refusals that state that the request has not run although an upstream
+	// answered that it has. It must stay at zero.
 	RefusedAfterRun *metrics.Counter
-	// EndedUnder counts requests under which an upstream has ended.
+	// UpstreamCrashes counts requests under which an upstream crashed.
 	EndedUnder *metrics.Counter
-	// UpstreamRefusals counts requests that upstreams have refused, whatever became of
-	// them.
+	// UpstreamRefusals counts refusals by upstreams, whatever the outcome of the request.
 	UpstreamRefusals *metrics.Counter
-	// ClosedAtOnce counts new connections that the other side has ended before anything was
-	// sent: an upstream has more than it takes.
+	// ConnectionsClosedAtOnce counts new connections that the other side closed before anything was
+	// sent, because an upstream has more connections than it accepts.
 	ClosedAtOnce *metrics.Counter
-	// FramesRefused counts frames of peers that were refused.
+	// FramesRefused counts frames from peers that were refused.
 	FramesRefused *metrics.Counter
 	// PeerBytesSent counts bytes sent to peers.
 	PeerBytesSent *metrics.Counter
 	// PeerBytesReceived counts bytes received from peers.
 	PeerBytesReceived *metrics.Counter
-	// SilentConnections counts open connections that said nothing more and were given up.
+	// SilentConnections counts open connections that were closed because nothing more arrived.
 	SilentConnections *metrics.Counter
-	// FirstToken is the time to the first token, in seconds.
+	// TimeToFirstToken is the time to the first token, in seconds.
 	FirstToken *metrics.Histogram
-	// BetweenTokens is the time between two tokens, in seconds.
+	// TimeBetweenTokens is the time between two tokens, in seconds.
 	BetweenTokens *metrics.Histogram
-	// ServiceCall is the time of a call of a plain service, in seconds.
+	// ServiceCallTime is the duration of a call of a plain service, in seconds.
 	ServiceCall *metrics.Histogram
 	// QueueWait is the time a request waited before it started, in seconds.
 	QueueWait *metrics.Histogram
 }
 
-// New returns counters that stand at zero.
+// New returns metrics without any values.
 func New() *Meters {
 	s := metrics.NewSet()
 	m := &Meters{
@@ -134,29 +133,29 @@
 	return m
 }
 
-// Refused counts a refusal.
+// CountRefusal counts a refusal by its reason.
 func (m *Meters) Refused(r spanrill.Reason) {
 	if c := m.refusals[r]; c != nil {
 		c.Inc()
 	}
 }
 
-// Refusals returns how many requests were refused for the reason.
+// Refusals returns the number of refusals for the reason.
 func (m *Meters) Refusals(r spanrill.Reason) uint64 { return m.refusals[r].Get() }
 
-// Retried counts a retry.
+// CountRetry counts a retry by its reason.
 func (m *Meters) Retried(r Retry) { m.retries[r].Inc() }
 
-// Retries returns how many retries there were for the reason.
+// Retries returns the number of retries for the reason.
 func (m *Meters) Retries(r Retry) uint64 { return m.retries[r].Get() }
 
-// Ended counts the outcome of a request.
+// CountOutcome counts the end of a request by its outcome.
 func (m *Meters) Ended(o spanrill.Outcome) { m.outcomes[o].Inc() }
 
-// Gauge registers a figure that is read when the counters are written.
+// Gauge registers a gauge. Each call of Write calls f for its value.
 func (m *Meters) Gauge(name string, f func() float64) { m.set.NewGauge(name, f) }
 
-// Write writes all counters in the Prometheus text format.
+// Write writes all metrics, and those of the process, in the Prometheus text format.
 func (m *Meters) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
