--- a/events/events.go
+++ b/events/events.go
@@ -1,17 +1,16 @@
-// Package events lists every event that spanrill logs, each with a number
-// that never changes its meaning. docs/EVENTS.md is the catalogue for people,
-// and a test holds the two together.
+// Package events defines the events that spanrill logs. Each has a number whose meaning never
+// changes. docs/EVENTS.md documents them, and a test compares it with this package.
 //
 // # Usage
 //
-//	events.ConfigInForce.Log(log, logrus.Fields{"revision": 7})
+//	events.ConfigActivated.Log(log, logrus.Fields{"revision": 7})
 package events
 
 import (
 	"github.com/sirupsen/logrus"
 )
 
-// Event is a numbered kind of log line.
+// Event is a kind of log line with a fixed number, level and message.
 type Event struct {
 	number int
 	level  logrus.Level
@@ -24,10 +23,10 @@
 // Level returns the level at which the event is logged.
 func (e Event) Level() logrus.Level { return e.level }
 
-// Text returns the message.
+// Text returns the event's message.
 func (e Event) Text() string { return e.text }
 
-// Log writes the event with its fields.
+// Log writes the event with the given fields.
 func (e Event) Log(log logrus.FieldLogger, fields logrus.Fields) {
 	entry := log.WithField("event", e.number)
 	if entry.Logger.IsLevelEnabled(e.level) {
@@ -43,7 +42,7 @@
 	return e
 }
 
-// All returns every event in the order of its number.
+// All returns all events in the order in which they are defined below.
 func All() []Event { return append([]Event(nil), catalogue...) }
 
 // The process, 100 to 199.
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// docs/EVENTS.md holds one row for each event, and no other rows.
+// docs/EVENTS.md has exactly one row for each event.
 func TestCatalogueIsDocumented(t *testing.T) {
 	data, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
--- a/events/limiter.go
+++ b/events/limiter.go
@@ -8,23 +8,23 @@
 	"spanrill"
 )
 
-// Limiter bounds how many lines of one sort are written in a second. Lines
-// beyond that are counted, and the count is written with the next line.
+// Limiter limits the rate of log lines of one sort with a token bucket. Lines beyond the limit are
+// skipped, and their number is logged with the next line as skipped_before.
 type Limiter struct {
-	mu      sync.Mutex
-	clock   spanrill.Clock
-	perSec  float64
-	balance float64
-	at      spanrill.Millis
-	skipped int
+	mu             sync.Mutex
+	clock          spanrill.Clock
+	linesPerSecond float64
+	available      float64
+	refilledAt     spanrill.Millis
+	skipped        int
 }
 
-// NewLimiter returns a limiter that lets that many lines through in a second.
+// NewLimiter returns a limiter that allows the given number of lines per second.
 func NewLimiter(clock spanrill.Clock, perSecond float64) *Limiter {
-	return &Limiter{clock: clock, perSec: perSecond, balance: perSecond, at: clock.Now()}
+	return &Limiter{clock: clock, linesPerSecond: perSecond, available: perSecond, refilledAt: clock.Now()}
 }
 
-// Log writes the event if the limit allows it. Fields are made only then.
+// Log writes the event if the limit allows it. It calls fields only in that case.
 func (l *Limiter) Log(e Event, log logrus.FieldLogger, fields func() logrus.Fields) {
 	skipped, ok := l.take()
 	if !ok {
@@ -41,13 +41,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	l.balance = min(l.perSec, l.balance+l.perSec*float64(now-l.at)/float64(spanrill.Second))
-	l.at = now
-	if l.balance < 1 {
+	l.available = min(l.linesPerSecond, l.available+l.linesPerSecond*float64(now-l.refilledAt)/float64(spanrill.Second))
+	l.refilledAt = now
+	if l.available < 1 {
 		l.skipped++
 		return 0, false
 	}
-	l.balance--
+	l.available--
 	skipped, l.skipped = l.skipped, 0
 	return skipped, true
 }
--- a/events/writer.go
+++ b/events/writer.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// Writer hands log lines to a slow writer without ever waiting for it. Lines
-// that do not fit into its queue are dropped and counted.
+// Writer passes log lines to another writer through a queue, so that a slow writer never blocks the
+// caller. Lines that do not fit into the queue are dropped and counted.
 type Writer struct {
 	queue   chan []byte
 	dropped atomic.Uint64
@@ -16,12 +16,12 @@
 	closing chan struct{}
 }
 
-// queuedLines bounds the memory of lines that wait: about 400 bytes each.
-const queuedLines = 2048
+// maxQueuedLines bounds the memory of queued lines, which have about 400 bytes each.
+const maxQueuedLines = 2048
 
-// NewWriter returns a writer in front of w. It owns one goroutine until Close.
+// NewWriter returns a writer that passes lines to w. Its goroutine runs until Close.
 func NewWriter(w io.Writer) *Writer {
-	l := &Writer{queue: make(chan []byte, queuedLines), done: make(chan struct{}), closing: make(chan struct{})}
+	l := &Writer{queue: make(chan []byte, maxQueuedLines), done: make(chan struct{}), closing: make(chan struct{})}
 	go l.run(w)
 	return l
 }
@@ -36,21 +36,21 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (l *Writer) Dropped() uint64 { return l.dropped.Load() }
 
-// ErrLogsLeft means that lines were still queued when waiting for them ended.
-var ErrLogsLeft = errors.New("log lines were not written in time")
+// ErrLinesPending means that Close stopped waiting while lines were still queued.
+var ErrLinesPending = errors.New("log lines were not written in time")
 
-// Close lets the queued lines be written, for as long as the channel given does
-// not fire.
+// Close waits until the queued lines are written or until limit fires, in which case it returns
+// ErrLinesPending.
 func (l *Writer) Close(limit <-chan struct{}) error {
 	close(l.closing)
 	select {
 	case <-l.done:
 		return nil
 	case <-limit:
-		return ErrLogsLeft
+		return ErrLinesPending
 	}
 }
 
@@ -80,6 +80,6 @@
 
 func (l *Writer) write(w io.Writer, line []byte) {
 	if _, err := w.Write(line); err != nil {
-		l.dropped.Add(1) // there is nowhere else to say so
+		l.dropped.Add(1) // the error cannot be logged, since this is the log
 	}
 }
--- a/events/writer_test.go
+++ b/events/writer_test.go
@@ -10,9 +10,9 @@
 	"spanrill/clock"
 )
 
-// A reader that stops reading standard output stops nothing: lines beyond the
-// queue are dropped and counted. The pipe here is one that nobody reads.
-func TestWriterNeverWaits(t *testing.T) {
+// If nobody reads standard output, here a pipe, the writer does not block: lines that do not fit
+// into the queue are dropped and counted.
+func TestWriterNeverBlocks(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -22,23 +22,23 @@
 	log := logrus.New()
 	log.SetFormatter(&logrus.JSONFormatter{})
 	log.SetOutput(lines)
-	const n = 20 * queuedLines // many times what the pipe and the queue hold
+	const n = 20 * maxQueuedLines // many times the capacity of the pipe and the queue
 	for i := range n {
 		RequestEnded.Log(log, logrus.Fields{"i": i})
 	}
 	if lines.Dropped() == 0 {
-		t.Fatal("no line was dropped although nobody reads")
+		t.Fatal("no line was dropped although nobody reads the pipe")
 	}
 	limit := make(chan struct{})
 	close(limit)
-	if err := lines.Close(limit); err != ErrLogsLeft {
-		t.Fatalf("error %v, want %v", err, ErrLogsLeft)
+	if err := lines.Close(limit); err != ErrLinesPending {
+		t.Fatalf("error %v, want %v", err, ErrLinesPending)
 	}
 	_ = w.Close()
 }
 
-// Lines that are read arrive, in order, before the end.
-func TestWriterWritesAll(t *testing.T) {
+// Close waits until all queued lines are written, in order.
+func TestCloseWritesQueuedLines(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -63,9 +63,8 @@
 	}
 }
 
-// A limiter lets so many lines through in a second and says how many it left
-// out.
-func TestLimiter(t *testing.T) {
+// A limiter allows a number of lines per second and reports how many it skipped.
+func TestLimiterBoundsRate(t *testing.T) {
 	c := clock.NewManual()
 	l := NewLimiter(c, 10)
 	written, skipped := 0, 0
@@ -81,6 +80,6 @@
 		}
 	}
 	if written > 60 || written < 40 || skipped < 400 {
-		t.Fatalf("%d lines written and %d said to be left out, of 500", written, skipped)
+		t.Fatalf("of 500 lines %d written and %d reported as skipped", written, skipped)
 	}
 }
