--- a/state/follow/follow_test.go
+++ b/state/follow/follow_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Failed calls pass nothing to the sink, and the pause between them stays within LongestPause.
+// Failed calls pass nothing to the sink, and the pause between them stays within MaxRetryDelay.
 func TestRetryDelayIsBounded(t *testing.T) {
 	c := clock.NewManual()
 	src, to := &source{clock: c, revision: 5}, &sink{}
