--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -55,7 +55,7 @@
 
 // ImplausibleValues describes the values of the configuration that cannot be true and were treated
 // as missing.
-func (t *Table) Odd() []string { return t.config.Odd }
+func (t *Table) Odd() []string { return t.config.IgnoredValues }
 
 // Limits returns the limits on what callers may send.
 func (t *Table) Limits() spanrill.CallerLimits { return t.config.Limits }
