--- a/doc.go
+++ b/doc.go
@@ -4,23 +4,27 @@
 // Spanrill routes inference pipelines over mixed accelerators. Each answer
 // crosses several engines, and each engine holds a contiguous range of a
 // model's layers. Plain services are routed as well, and some of their calls
-// may not be repeated.
+// must not be repeated.
 //
-// The package contains no behaviour of its own beyond small value types. Each
-// interface declared here is implemented in a package below this one:
+// Apart from small value types the package has no behaviour of its own. Each
+// interface declared here is implemented in one or more packages below this one:
 //
-//	ObjectStore  protocol/objectapi   the platform's object API over HTTP
-//	BoxLister    protocol/objectapi   the platform's box list over HTTP
-//	Engines      protocol/engineapi   model engines over HTTP
-//	Services     protocol/serviceapi  plain services over HTTP
-//	Clock        clock                monotonic milliseconds
+//	ObjectStore   protocol/objectapi, platform  the platform's object API over HTTP
+//	BoxLister     protocol/objectapi            the platform's box list over HTTP
+//	Engines       protocol/engineapi            model engines over HTTP
+//	Services      protocol/serviceapi           plain services over HTTP
+//	Collection    platform                      collections of the users' platform over HTTP
+//	LayerEngines  platform                      engines of the users' platform over HTTP
+//	Identifier    platform                      identity requests to upstreams over HTTP
+//	HeaderCodec   platform                      headers of the users' platform
+//	Clock         clock                         monotonic milliseconds
 //
-// Interfaces between parts of one layer stand with the part that uses them: a
-// routing policy is a routing.Policy, an admission a callerapi.Admission.
+// Interfaces used within one layer are declared by the package that uses them,
+// for example routing.Policy and callerapi.Admission.
 //
 // # Usage
 //
-// A program that wants a whole router builds a daemon and runs it until its
+// A program that embeds a complete router builds a daemon and runs it until its
 // context ends:
 //
 //	settings, err := settings.Load("spanrilld.json")
@@ -33,6 +37,6 @@
 //	}
 //	return d.Run(ctx)
 //
-// The one-call entry lives in package daemon and not here, because the
-// implementations import this package.
+// The daemon is in a package of its own, because the implementations import this
+// package.
 package spanrill
--- a/layerengine.go
+++ b/layerengine.go
@@ -2,39 +2,39 @@
 
 import "context"
 
-// EngineEntry is what an upstream says of itself in the platform's store.
+// EngineEntry is the record that an upstream writes of itself in the platform's store.
 type EngineEntry struct {
-	ID       string // the name under which the upstream stands, which may stay when it starts again
+	ID       string // the name of the entry, which may stay the same after a restart
 	Service  string
 	Addr     string
 	Zone     string
 	Kind     string // accelerator, or "" for a plain service
 	Slots    int
 	Leaving  bool
-	Layers   LayerRange // empty while nothing is held
+	Layers   LayerRange // empty while no layers are loaded
 	Revision uint64     // of the entry in the store
-	Born     int64      // Unix time of the start in milliseconds, 0 where it is not told
-	Beats    uint64     // how often it has written its entry since its start, 0 where it is not told
+	Born     int64      // Unix time of the start in milliseconds, 0 if unknown
+	Beats    uint64     // number of writes of the entry since the start, 0 if unknown
 }
 
-// EngineReport is what an engine answers when it is asked. Load lags.
+// EngineReport is the state that an engine returns on request. Its load figures lag behind.
 type EngineReport struct {
 	Layers   LayerRange
-	Busy     bool // an order is under way
+	Busy     bool // an order is being carried out
 	Sequence uint64
 	Running  int
 	Waiting  int
-	KVUsed   float64 // tokens times layers
+	KVUsed   float64 // tokens times layers, as KVTotal
 	KVTotal  float64
-	Born     int64     // Unix time of the start in milliseconds, 0 where it is not told
-	Pace     float64   // over 1: slower than its kind
+	Born     int64     // Unix time of the start in milliseconds, 0 if unknown
+	Pace     float64   // step time relative to its kind: over 1 is slower
 	Stalled  []Stalled // requests that wait for another engine
 }
 
-// Stalled is a request that its first engine sees waiting.
+// Stalled is a request of which the first engine reports that it waits for another engine.
 type Stalled struct {
 	RequestID string
-	Addr      string // the engine that it waits for
+	Addr      string // of the engine that it waits for
 }
 
 // PathPart is one engine of a request's path and the layers it runs.
@@ -44,12 +44,12 @@
 	Layers LayerRange
 }
 
-// PlaceOrder asks an engine to hold a range of layers.
+// PlaceOrder tells an engine to load a range of layers.
 type PlaceOrder struct {
 	Layers   LayerRange
 	Term     uint64 // fencing token of the lease
-	Sequence uint64 // orders that the engine has taken so far
-	Cut      bool   // requests that run on layers given up are cut, not waited for
+	Sequence uint64 // number of orders that the engine has accepted so far
+	Cut      bool   // requests on layers that the engine unloads are cancelled, not waited for
 }
 
 // OrderState is an engine's answer to an order.
@@ -57,9 +57,9 @@
 
 // The answers to an order.
 const (
-	// OrderBegun means that the engine has started to carry it out.
+	// OrderBegun means that the engine has started to carry out the order.
 	OrderBegun OrderState = iota
-	// OrderDone means that the engine is already in the state asked for.
+	// OrderDone means that the engine is already in the requested state.
 	OrderDone
 	// OrderConflict means that the order does not fit the engine's state.
 	OrderConflict
@@ -77,20 +77,20 @@
 	return orderStateNames[s]
 }
 
-// Identifier asks addresses who listens there.
+// Identifier finds out which upstream listens at an address.
 type Identifier interface {
-	// Identify returns the name under which the upstream at an address stands in the
-	// platform's store. The path is that of the service's health check.
+	// Identify returns the name of the entry of the upstream at an address. The path is
+	// that of the service's health check.
 	Identify(ctx context.Context, addr, path string) (name string, err error)
 }
 
-// LayerEngines speaks to engines that hold layers and take orders.
+// LayerEngines calls engines that hold layers and accept placement orders.
 type LayerEngines interface {
 	// Report asks an engine for its state.
 	Report(ctx context.Context, addr string) (EngineReport, error)
-	// Place gives an order. An error means that it may still be carried out.
+	// Place sends an order. After an error the order may still be carried out.
 	Place(ctx context.Context, addr, id string, o PlaceOrder) (OrderState, error)
-	// Repath moves a running request to another path with the same first
-	// engine. An error means that the request goes on as before, or is gone.
+	// Repath moves a running request to another path with the same first engine. An
+	// error means that the request continues on its old path, or no longer exists.
 	Repath(ctx context.Context, addr, requestID string, path []PathPart) error
 }
--- a/millis.go
+++ b/millis.go
@@ -21,10 +21,10 @@
 	return Millis(d / time.Millisecond)
 }
 
-// Clock tells the time in milliseconds.
+// Clock returns the time in milliseconds.
 //
 // Deadlines, leases and ages use Now, which never jumps. Unix is only for
-// records that people or other processes read.
+// records that operators or other processes read.
 type Clock interface {
 	// Now returns the monotonic time. Its zero point is arbitrary.
 	Now() Millis
--- a/notice.go
+++ b/notice.go
@@ -1,11 +1,11 @@
 package spanrill
 
-// Notice is what an upstream says of itself in the head of any answer, beside the answer.
+// Notice is what an upstream reports about itself in the headers of any answer.
 type Notice struct {
-	Leaving bool   // it is going to end and wants no new requests
-	Rest    Millis // for how long it wants no requests from this daemon, 0 for no rest
-	// Unreadable is the value of a request for rest that is no time, or "". How long the
-	// rest is cannot be told then.
+	Leaving bool   // it is shutting down and wants no new requests
+	Rest    Millis // how long it wants no requests from this daemon, or 0
+	// Unreadable is the value of a request for rest that is not a valid time, or "". The
+	// length of the rest is unknown then.
 	Unreadable string
 	// Limit is the request rate limit that the upstream sent, if any.
 	Limit RateLimit
@@ -20,5 +20,5 @@
 	PerSecond float64
 }
 
-// Empty reports whether nothing was said.
+// Empty reports whether the answer had no notice.
 func (n Notice) Empty() bool { return n == Notice{} }
--- a/outcome.go
+++ b/outcome.go
@@ -1,10 +1,9 @@
 package spanrill
 
-// Outcome says whether a request ran on an upstream.
+// Outcome tells whether a request ran on an upstream.
 type Outcome uint8
 
-// The three outcomes. The zero value is the honest answer of a caller that
-// knows nothing.
+// The outcomes. The zero value is the one to report when nothing is known.
 const (
 	// OutcomeUnknown means that the request may or may not have run.
 	OutcomeUnknown Outcome = iota
@@ -28,7 +27,7 @@
 	return outcomeNames[o]
 }
 
-// Phase says how far a call to an upstream got before it failed.
+// Phase tells how far a call to an upstream got before it failed.
 type Phase uint8
 
 // The phases of a call, in order.
@@ -39,8 +38,8 @@
 	PhaseSend
 	// PhaseAnswer means that the request was written and the answer failed.
 	PhaseAnswer
-	// PhaseRefused means that the upstream's own protocol said that it did
-	// not run the request.
+	// PhaseRefused means that the upstream's protocol reported that it did not run
+	// the request.
 	PhaseRefused
 )
 
@@ -59,9 +58,8 @@
 	return phaseNames[p]
 }
 
-// OutcomeOf is the one place that turns the end of a failed call into an
-// outcome. Written is the number of bytes of the request that were handed to
-// the operating system.
+// OutcomeOf derives the outcome of a failed call; nothing else does. Written is the number of
+// bytes of the request that were handed to the operating system.
 func OutcomeOf(p Phase, written int) Outcome {
 	switch p {
 	case PhaseDial, PhaseRefused:
--- a/refusal.go
+++ b/refusal.go
@@ -5,13 +5,14 @@
 	"fmt"
 )
 
-// Reason says why a request was refused or failed. Each reason has a stable
-// code for callers and a counter of its own.
+// Reason tells why a request was refused or failed. Each reason has a stable code for callers
+// and its own counter.
 type Reason uint8
 
-// The reasons, grouped by who is at fault.
+// The reasons, grouped by whether the caller, this daemon, an upstream or the platform is the
+// cause.
 const (
-	// ReasonNone is no refusal.
+	// ReasonNone means that there is no refusal.
 	ReasonNone Reason = iota
 
 	ReasonBadKey           // no key, or a key that no client account has
@@ -20,35 +21,35 @@
 	ReasonBodyTooLarge     // the body is over the limit
 	ReasonBadField         // a field that spanrill reads has a wrong value
 	ReasonHeadersTooLarge  // the headers are over the limit
-	ReasonUnknownModel     // the account may not use the model, or none has it
+	ReasonUnknownModel     // the account may not use the model, or it does not exist
 	ReasonUnknownRoute     // no such path
 	ReasonUnknownService   // the account may not use the service
-	ReasonCallNotAllowed   // the template does not list the call
-	ReasonKeyReused        // an Idempotency-Key came with another request
-	ReasonAccountRate      // the account is over its requests a second
-	ReasonAccountTokens    // the account is over its tokens a second
+	ReasonCallNotAllowed   // the service's template does not list the call
+	ReasonKeyReused        // the Idempotency-Key was used with a different request
+	ReasonAccountRate      // the account exceeds its requests per second
+	ReasonAccountTokens    // the account exceeds its tokens per second
 	ReasonAccountInFlight  // the account has too many requests in flight
 	ReasonQueueFull        // the queue is full
 	ReasonQueueDeadline    // the request cannot start before its deadline
 	ReasonDraining         // this daemon is stopping
 	ReasonNotReady         // this daemon has no configuration yet
 	ReasonNoChain          // no chain of engines covers the model
-	ReasonNoUpstream       // no upstream of the service takes work
-	ReasonPlatformDown     // a claim cannot be written while the platform is out
-	ReasonUpstreamRefused  // the upstream said it did not run the request
-	ReasonUpstreamFailed   // the upstream failed before the answer was whole
-	ReasonUpstreamTimeout  // the upstream gave no answer in time
-	ReasonRetryBudget      // a retry was due and the budget was spent
+	ReasonNoUpstream       // no upstream of the service accepts requests
+	ReasonPlatformDown     // a claim cannot be written while the platform is unavailable
+	ReasonUpstreamRefused  // the upstream reported that it did not run the request
+	ReasonUpstreamFailed   // the upstream failed before the answer was complete
+	ReasonUpstreamTimeout  // the upstream did not answer in time
+	ReasonRetryBudget      // a retry was needed and the retry budget was exhausted
 	ReasonClaimOutstanding // an earlier request with this key has no outcome yet
-	ReasonClaimsFull       // the slot of the key holds as many records as fit
-	ReasonConfigStale      // the configuration cannot be proved fresh
-	ReasonUpstreamsStale   // the entries of upstreams cannot be proved, others have newer ones
-	ReasonNoRoom           // every chain is full
-	ReasonSuspected        // upstreams ended under the request, it is kept back for a while
+	ReasonClaimsFull       // the claims object of the key's slot is full
+	ReasonConfigStale      // the configuration was not confirmed recently enough
+	ReasonUpstreamsStale   // the entries of upstreams are outdated, other daemons have newer ones
+	ReasonNoRoom           // all chains are at capacity
+	ReasonSuspected        // upstreams terminated while running the request, which is withheld for a while
 	ReasonUpstreamsRest    // every upstream that could take it has asked for rest
 	ReasonUpstreamsLimited // every upstream that could take it has exhausted its rate limit
-	ReasonEndsUpstreams    // too many upstreams ended under the request
-	ReasonInternal         // a fault of this daemon
+	ReasonEndsUpstreams    // too many upstreams terminated while running the request
+	ReasonInternal         // an internal error of this daemon
 	reasonCount
 )
 
@@ -58,7 +59,7 @@
 	kind   string
 }
 
-// Kinds of the customary error object.
+// Values of the type field of the error object.
 const (
 	kindInvalid     = "invalid_request_error"
 	kindAuth        = "authentication_error"
@@ -112,10 +113,10 @@
 // Status returns the HTTP status of an answer with this reason.
 func (r Reason) Status() int { return reasons[r].status }
 
-// Kind returns the type field of the customary error object.
+// Kind returns the type field of the error object.
 func (r Reason) Kind() string { return reasons[r].kind }
 
-// Reasons returns every reason but ReasonNone.
+// Reasons returns all reasons except ReasonNone.
 func Reasons() []Reason {
 	all := make([]Reason, 0, reasonCount-1)
 	for r := ReasonNone + 1; r < reasonCount; r++ {
@@ -124,7 +125,7 @@
 	return all
 }
 
-// Refusal is the final answer to a request that spanrill gives up on.
+// Refusal is the error answer to a request that spanrill rejects or gives up on.
 type Refusal struct {
 	reason     Reason
 	outcome    Outcome
@@ -145,14 +146,14 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy that tells the caller when to retry.
 func (r *Refusal) WithRetryAfter(after Millis) *Refusal {
 	c := *r
 	c.retryAfter = after
 	return &c
 }
 
-// WithField returns a copy that names the field of the body at fault.
+// WithField returns a copy that names the invalid field of the body.
 func (r *Refusal) WithField(field string) *Refusal {
 	c := *r
 	c.field = field
@@ -165,13 +166,13 @@
 // Outcome returns whether the request ran.
 func (r *Refusal) Outcome() Outcome { return r.outcome }
 
-// RetryAfter returns when the caller should come back, or 0 for never.
+// RetryAfter returns after what time the caller should retry, or 0 if it should not.
 func (r *Refusal) RetryAfter() Millis { return r.retryAfter }
 
-// Detail returns the message for people.
+// Detail returns the human-readable message.
 func (r *Refusal) Detail() string { return r.detail }
 
-// Field returns the field of the body at fault, or "".
+// Field returns the invalid field of the body, or "".
 func (r *Refusal) Field() string { return r.field }
 
 // Error returns the code and the message.
@@ -179,7 +180,7 @@
 	return r.reason.Code() + ": " + r.detail
 }
 
-// errorObject is the customary error of inference interfaces.
+// errorObject is the error format that clients of inference APIs expect.
 type errorObject struct {
 	Message string  `json:"message"`
 	Type    string  `json:"type"`
@@ -188,8 +189,8 @@
 	Outcome string  `json:"outcome"`
 }
 
-// MarshalJSON returns the body of the final answer: an object error with the
-// message, its type, the field at fault or null, the code and the outcome.
+// MarshalJSON returns the body of the error answer: an object "error" with the message, its
+// type, the invalid field or null, the code and the outcome.
 func (r *Refusal) MarshalJSON() ([]byte, error) {
 	e := errorObject{Message: r.detail, Type: r.reason.Kind(), Code: r.reason.Code(), Outcome: r.outcome.String()}
 	if r.field != "" {
--- a/route.go
+++ b/route.go
@@ -1,16 +1,16 @@
 package spanrill
 
-// Repeat says how often a request of a route may run.
+// Repeat tells how often a request of a route may run.
 type Repeat uint8
 
-// The kinds of repetition. The zero value is the careful one.
+// The kinds of repetition. The zero value is the most restrictive.
 const (
 	// RepeatNever means that a request runs at most once.
 	RepeatNever Repeat = iota
 	// RepeatSafe means that a request may run any number of times.
 	RepeatSafe
-	// RepeatResume means that a stream may run again behind the last event
-	// that its caller has received.
+	// RepeatResume means that a stream may run again from after the last event that
+	// its caller has received.
 	RepeatResume
 )
 
@@ -24,69 +24,69 @@
 	return repeatNames[r]
 }
 
-// Share is one service of a route that is split, and its part of the requests.
+// Share is one service of a route that splits its requests, and its weight.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says how the requests of one host and path prefix are served.
+// Route describes how the requests of one host and path prefix are served.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // starts and ends with a slash
 	Shares      []Share
 	Repeat      Repeat
-	Stream      bool   // the answer is a series of events
-	Chained     bool   // the service's engines each hold a part of a model
-	Open        bool   // needs no key
-	Timeout     Millis // the longest a request may be held
-	Target      Millis // an answer, or a stream's first event, is in time until then
-	PauseTarget Millis // the longest pause between events that is in time
+	Stream      bool   // the answer is an event stream
+	Chained     bool   // each engine of the service holds a part of a model
+	Open        bool   // needs no API key
+	Timeout     Millis // maximum time from arrival to answer
+	Target      Millis // latency objective of an answer, or of a stream's first event
+	PauseTarget Millis // objective for the longest pause between events
 	Priority    int    // 0 is the most urgent
-	MaxAttempts int    // upstreams that one request may be sent to
+	MaxAttempts int    // maximum number of upstreams that one request is sent to
 }
 
-// ServiceInfo describes a service that routes name.
+// ServiceInfo describes a service that routes refer to.
 type ServiceInfo struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int          // that one upstream takes from all callers
+	MaxConnections int          // that one upstream accepts from all callers together
 	Model          *EngineModel // nil for a plain service
 }
 
 // KindModel describes one kind of accelerator.
 type KindModel struct {
 	Name       string
-	MemoryMB   float64 // for layers and prompts together
-	Pace       float64 // factor on the time of a step
-	ReadFactor float64 // factor on the time of reading a prompt
+	MemoryMB   float64 // shared by layers and KV cache
+	Pace       float64 // multiplies the time of a step
+	ReadFactor float64 // multiplies the time of a prefill
 }
 
-// EngineModel is what the operator says of the engines of one service: the
-// figures from which placement and routing work out times and memory.
+// EngineModel holds the operator's figures for the engines of one service, from which placement
+// and routing compute times and memory.
 type EngineModel struct {
 	Name         string // of the model served
 	Layers       int
 	LayerMB      float64
-	Slots        int     // requests in one batch
-	TokenBytes   float64 // memory of one token over all layers
-	ActBytes     float64 // handed on for each token between two engines
-	StepMillis   float64 // of one pass over all layers, at pace 1
+	Slots        int     // maximum number of requests in one batch
+	TokenBytes   float64 // KV cache of one token over all layers
+	ActBytes     float64 // activations sent between two engines for each token
+	StepMillis   float64 // of one pass over all layers, at a step factor of 1
 	PerSequence  float64 // milliseconds added for each request in the batch
 	ContextPerK  float64 // milliseconds added for 1,000 tokens of context
-	ReadPerMilli float64 // prompt tokens read in a millisecond, over all layers
-	PipeMbps     float64 // between two availability zones, shared
+	ReadPerMilli float64 // prompt tokens prefilled in a millisecond, over all layers
+	PipeMbps     float64 // bandwidth between two availability zones, shared by all requests
 	LoadSeconds  float64 // to load all layers
-	LoadsAtOnce  int     // loads that run at full speed together
+	LoadsAtOnce  int     // maximum number of concurrent loads at full speed
 	UsualPrompt  float64 // mean tokens
 	UsualAnswer  float64 // mean tokens
-	EventTokens  int     // that an event of a stream holds, 0 where it is not told
+	EventTokens  int     // in one event of a stream, 0 if unknown
 	Kinds        map[string]KindModel
 	Delays       map[ZonePair]float64 // one way, milliseconds
 }
 
-// ZonePair is two availability zones, in the order of their names.
+// ZonePair is an unordered pair of availability zones: A is not after B in the order of names.
 type ZonePair struct{ A, B string }
 
 // PairOf returns the pair of two availability zones.
@@ -101,13 +101,13 @@
 type Account struct {
 	Name     string
 	Keys     []string
-	Priority int // NoPriority: the route's holds
+	Priority int // NoPriority: that of the route applies
 }
 
 // NoPriority means that an account sets no priority of its own.
 const NoPriority = -1
 
-// CallerLimits bound what callers may send.
+// CallerLimits bounds the requests and connections of callers.
 type CallerLimits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -115,13 +115,13 @@
 	IdleTimeout   Millis
 }
 
-// RouteConfig is one version of the configuration of routes. It is not changed
-// after it was decoded.
+// RouteConfig is one version of the configuration of routes. It must not be modified after
+// decoding.
 type RouteConfig struct {
-	Version  int64 // rises, in uneven steps
+	Version  int64 // increases, not always by one
 	Routes   []Route
 	Services []ServiceInfo
 	Accounts []Account
 	Limits   CallerLimits
-	Odd      []string // values that cannot be true and were taken as not told, described
+	Odd      []string // descriptions of implausible values, which were ignored
 }
--- a/service.go
+++ b/service.go
@@ -14,10 +14,10 @@
 	Path       string // path and query
 	Headers    []Header
 	Body       []byte
-	Repeatable bool // whether the template says that it may run twice
+	Repeatable bool // the service's template allows that it runs more than once
 }
 
-// ServiceAnswer is the whole answer of a plain service.
+// ServiceAnswer is the complete answer of a plain service.
 type ServiceAnswer struct {
 	Status  int
 	Headers []Header
@@ -26,9 +26,9 @@
 
 // Services calls plain services.
 type Services interface {
-	// Call makes one attempt. The error is a *CallError that tells how far the
-	// attempt got.
+	// Call makes one attempt. The error is a *CallError, which tells how far the attempt
+	// got.
 	Call(ctx context.Context, addr string, req *ServiceRequest) (*ServiceAnswer, error)
-	// Status asks one upstream for its report.
+	// Status requests the status of one upstream.
 	Status(ctx context.Context, addr string) (UpstreamStatus, error)
 }
--- a/store.go
+++ b/store.go
@@ -23,15 +23,15 @@
 	ErrConflict = errors.New("object has another version")
 	// ErrNotFound means that there is no such object.
 	ErrNotFound = errors.New("object not found")
-	// ErrUnavailable means that the platform did not take the call. The write
+	// ErrUnavailable means that the platform did not accept the call. The write
 	// did not take effect.
 	ErrUnavailable = errors.New("platform unavailable")
 	// ErrUncertain means that a write may or may not have taken effect.
 	ErrUncertain = errors.New("write may or may not have taken effect")
 )
 
-// ObjectStore is the platform's object API. It counts every call, and a
-// waiting watch is a call.
+// ObjectStore is the platform's object API. The platform counts every call, and a waiting
+// watch counts as one.
 type ObjectStore interface {
 	// Get returns the object, or ErrNotFound.
 	Get(ctx context.Context, key string) (Object, error)
--- a/upstream.go
+++ b/upstream.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Role is what a box of the platform's box list does.
+// Role is the role of a box in the platform's box list.
 type Role string
 
 // The roles of boxes.
@@ -17,7 +17,7 @@
 	RoleService Role = "service"
 )
 
-// BoxState is what the box list says of a box.
+// BoxState is the state of a box in the box list.
 type BoxState string
 
 // The states of boxes.
@@ -26,7 +26,7 @@
 	BoxLeaving BoxState = "leaving"
 )
 
-// Box is one entry of the platform's box list. The list lags behind the truth.
+// Box is one entry of the platform's box list. The list may be outdated.
 type Box struct {
 	Name      string   `json:"name"`
 	Role      Role     `json:"role"`
@@ -40,7 +40,7 @@
 
 // BoxLister reads the platform's box list.
 type BoxLister interface {
-	// Boxes returns the list as the platform shows it now.
+	// Boxes returns the platform's current list.
 	Boxes(ctx context.Context) ([]Box, error)
 }
 
@@ -53,8 +53,8 @@
 // Len returns the number of layers.
 func (r LayerRange) Len() int { return r.To - r.From }
 
-// CoveredBy reports whether the ranges given hold every layer of r among them,
-// each as a series without overlaps, so that a path can run r on them.
+// CoveredBy reports whether those of the given ranges that lie within r together hold every
+// layer of r, so that a path can run r on them. Ranges may overlap.
 func (r LayerRange) CoveredBy(ranges []LayerRange) bool {
 	for at := r.From; at < r.To; {
 		next := at
@@ -71,7 +71,7 @@
 	return true
 }
 
-// UpstreamStatus is what an upstream reports of itself. Load lags.
+// UpstreamStatus is what an upstream reports about itself. Its load figures lag behind.
 type UpstreamStatus struct {
 	Name       string     `json:"name"`
 	Leaving    bool       `json:"leaving"`
@@ -79,19 +79,19 @@
 	Waiting    int        `json:"waiting"`
 	Slots      int        `json:"slots"`
 	Kind       string     `json:"kind,omitempty"`    // engines: accelerator
-	Model      string     `json:"model,omitempty"`   // engines: model held
+	Model      string     `json:"model,omitempty"`   // engines: model loaded
 	Version    string     `json:"version,omitempty"` // engines: model version
-	Layers     LayerRange `json:"layers"`            // engines: layers held
-	Generation uint64     `json:"generation"`        // rises with each start and load
+	Layers     LayerRange `json:"layers"`            // engines: layers loaded
+	Generation uint64     `json:"generation"`        // increases with each start and load
 	Loading    bool       `json:"loading,omitempty"`
 	StepMicros int        `json:"step_micros,omitempty"`   // base time of one batch step
-	TokenNanos int        `json:"token_nanos,omitempty"`   // added time of a position and layer
-	CacheSeq   uint64     `json:"cache_seq,omitempty"`     // newest cache event
+	TokenNanos int        `json:"token_nanos,omitempty"`   // time added for each position and layer
+	CacheSeq   uint64     `json:"cache_seq,omitempty"`     // sequence number of the newest cache event
 	AgeMillis  Millis     `json:"age_millis,omitempty"`    // age of the load figures
-	MemLayers  int        `json:"memory_layers,omitempty"` // layers that fit
+	MemLayers  int        `json:"memory_layers,omitempty"` // number of layers that fit in memory
 }
 
-// StageRef is one stage of a chain: an engine and the layers it is to run.
+// StageRef is one stage of a chain: an engine and the layers that it has to run.
 type StageRef struct {
 	Engine     string     `json:"engine"`
 	Addr       string     `json:"addr"`
@@ -101,38 +101,38 @@
 
 // RunRequest asks a chain to generate tokens.
 type RunRequest struct {
-	ID        string     `json:"id"`       // unique for each attempt
-	Path      string     `json:"path"`     // the caller's path, which decides the shape of Body
-	Body      []byte     `json:"body"`     // the caller's body, untouched
+	ID        string     `json:"id"`       // differs for each attempt
+	Path      string     `json:"path"`     // the caller's path, which determines the format of Body
+	Body      []byte     `json:"body"`     // the caller's body, unmodified
 	Model     string     `json:"model"`    //
 	Version   string     `json:"version"`  //
 	LayerNum  int        `json:"layers"`   // layers of the whole model
 	Seed      uint64     `json:"seed"`     // the same for each attempt
 	Priority  int        `json:"priority"` // 0 is lowest
 	MaxTokens int        `json:"max_tokens"`
-	Generated []uint32   `json:"generated"` // tokens already verified, to continue after
+	Generated []uint32   `json:"generated"` // verified tokens after which the chain continues
 	Chain     []StageRef `json:"chain"`
 }
 
-// RanRange is the proof that a stage ran its layers for one token.
+// RanRange is a stage's record of having run its layers for one token.
 type RanRange struct {
 	Engine string     `json:"engine"`
 	Layers LayerRange `json:"layers"`
-	Micros int64      `json:"micros"` // time inside the stage, queueing included
-	Link   int64      `json:"link"`   // time in microseconds on the link into the stage
+	Micros int64      `json:"micros"` // time in the stage, including queueing
+	Link   int64      `json:"link"`   // time on the link into the stage, in microseconds
 }
 
-// Finish says why a generation ended.
+// Finish tells why a generation ended.
 type Finish string
 
-// The ends of a generation.
+// The reasons for which a generation ends.
 const (
 	FinishNone   Finish = ""
 	FinishStop   Finish = "stop"
 	FinishLength Finish = "length"
 )
 
-// RunEvent is one message of a chain: a token, or the end.
+// RunEvent is one message of a chain: a token, or the end of the generation.
 type RunEvent struct {
 	Index        int        `json:"index"`
 	Token        uint32     `json:"token"`
@@ -147,14 +147,14 @@
 // RunError is an error that an engine reports about a chain.
 type RunError struct {
 	Code   string `json:"code"`
-	Engine string `json:"engine"` // the stage at fault
+	Engine string `json:"engine"` // the stage that failed
 	Detail string `json:"detail"`
 }
 
 // Codes of RunError.
 const (
 	CodeLeaving    = "leaving"
-	CodeMismatch   = "mismatch" // range, model, version or generation differ
+	CodeMismatch   = "mismatch" // layers, model, version or generation differ
 	CodeBusy       = "busy"
 	CodeBadRequest = "bad_request"
 	CodeStageLost  = "stage_lost"
@@ -166,16 +166,16 @@
 	return e.Code + " at " + e.Engine + ": " + e.Detail
 }
 
-// ErrStalled means that an upstream sent nothing for too long.
+// ErrStalled means that an upstream sent nothing within the allowed time.
 var ErrStalled = errors.New("upstream stalled")
 
-// RunStream is the answer of a chain while it arrives.
+// RunStream reads the answer of a chain as it arrives.
 type RunStream interface {
-	// Next returns the next event, or ErrStalled if none came within wait. The
-	// error io.EOF means that the stream was closed, which is whole only if an
-	// event with a Finish came before.
+	// Next returns the next event, or ErrStalled if none came within wait. The error
+	// io.EOF means that the stream was closed; the answer is complete only if an event
+	// with a Finish came before.
 	Next(wait Millis) (RunEvent, error)
-	// Close ends the stream. The engine cancels what still runs.
+	// Close ends the stream. The engine cancels a generation that still runs.
 	Close() error
 }
 
@@ -183,33 +183,33 @@
 type Engines interface {
 	// Run starts a generation on the first stage of the request's chain.
 	Run(ctx context.Context, req *RunRequest) (RunStream, error)
-	// Status asks one engine for its report.
+	// Status requests the status of one engine.
 	Status(ctx context.Context, addr string) (UpstreamStatus, error)
-	// Order gives an engine an order.
+	// Order sends an order to an engine.
 	Order(ctx context.Context, addr string, o Order) error
 }
 
-// OrderKind is what an order asks for.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 // The kinds of orders.
 const (
-	// OrderLoad asks an engine to hold a range of layers of a model.
+	// OrderLoad tells an engine to load a range of layers of a model.
 	OrderLoad OrderKind = "load"
 )
 
-// Order tells an engine which state to reach. Giving it twice is harmless.
+// Order tells an engine which state to reach. It is idempotent.
 type Order struct {
 	Kind     OrderKind  `json:"kind"`
-	Duty     string     `json:"duty"` // the lease under which it is given
-	Term     uint64     `json:"term"` // the fence: an engine refuses a lower one
+	Duty     string     `json:"duty"` // the lease that authorizes the order
+	Term     uint64     `json:"term"` // fencing token: an engine refuses one lower than it has seen
 	Model    string     `json:"model"`
 	Version  string     `json:"version"`
 	Layers   LayerRange `json:"layers"`
 	LayerNum int        `json:"layer_num"`
 }
 
-// CallError is the failure of one call to an upstream.
+// CallError is the error of one call to an upstream.
 type CallError struct {
 	Phase   Phase
 	Written int
@@ -224,12 +224,13 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// NothingListens reports whether an error says that the other end refused a connection: its
-// host is there, and no process listens at the address.
+// NothingListens reports whether an error means that the other end refused a connection: its
+// host is reachable, and no process listens at the address.
 func NothingListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// OwnLack reports whether an error says that this machine could not make a connection for
-// want of descriptors, ports or memory. It says nothing of the other end.
+// OwnLack reports whether an error means that this machine could not open a connection because
+// it lacks file descriptors, ports, buffers or memory. Such an error says nothing about the other
+// end.
 func OwnLack(err error) bool {
 	for _, lack := range [...]error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, lack) {
@@ -239,5 +240,5 @@
 	return false
 }
 
-// Outcome returns what the failure says about the request.
+// Outcome tells whether the request ran, as far as the failure shows.
 func (e *CallError) Outcome() Outcome { return OutcomeOf(e.Phase, e.Written) }
