--- a/layerengine.go
+++ b/layerengine.go
@@ -2,7 +2,8 @@
 
 import "context"
 
-// EngineEntry is the record that an upstream writes of itself in the platform's store.
+// EngineEntry is the record that an upstream writes of itself in the platform's store. Messages
+// between daemons and the JSON that the command line tool prints contain it under its field names.
 type EngineEntry struct {
 	ID       string // the name of the entry, which may stay the same after a restart
 	Service  string
@@ -13,8 +14,8 @@
 	Leaving  bool
 	Layers   LayerRange // empty while no layers are loaded
 	Revision uint64     // of the entry in the store
-	Born     int64      // Unix time of the start in milliseconds, 0 if unknown
-	Beats    uint64     // number of writes of the entry since the start, 0 if unknown
+	Born     int64      `json:"Born" msgpack:"Born"`   // Unix time of the start in milliseconds, 0 if unknown
+	Beats    uint64     `json:"Beats" msgpack:"Beats"` // number of writes of the entry since the start, 0 if unknown
 }
 
 // EngineReport is the state that an engine returns on request. Its load figures lag behind.
--- a/upstream.go
+++ b/upstream.go
@@ -232,8 +232,8 @@
 // it lacks file descriptors, ports, buffers or memory. Such an error says nothing about the other
 // end.
 func OwnLack(err error) bool {
-	for _, lack := range [...]error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, lack) {
+	for _, errno := range [...]error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
