--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -14,7 +14,7 @@
 	"spanrill/state/load"
 )
 
-// Status is what a daemon says of itself on its admin address.
+// Status is what a daemon reports about itself on its admin address.
 type Status struct {
 	Name      string           `json:"name"`
 	Zone      string           `json:"availability_zone"`
@@ -27,11 +27,11 @@
 	Placement uint64           `json:"placement_term,omitempty"` // term of the placement lease, if held
 	Running   int              `json:"running"`
 	Waiting   int              `json:"waiting"`
-	Peers     []string         `json:"peers"` // daemons alive, this one included
+	Peers     []string         `json:"peers"` // live daemons, including this one
 	Upstreams []UpstreamStatus `json:"upstreams"`
 }
 
-// UpstreamStatus is what a daemon knows of one upstream.
+// UpstreamStatus is what a daemon knows about one upstream.
 type UpstreamStatus struct {
 	Name     string              `json:"name"`
 	Addr     string              `json:"addr"`
@@ -46,16 +46,16 @@
 	Ejected  bool                `json:"ejected"`
 }
 
-// adminRoutes serves operators.
+// handleAdmin serves the requests of operators.
 //
-//	GET  /healthz   the process runs
-//	GET  /readyz    the daemon should get requests
+//	GET  /healthz   200 while the process runs
+//	GET  /readyz    200 if the daemon should get requests
 //	GET  /metrics   counters
 //	GET  /status    a Status
 //	GET  /requests  the generations that ended last
-//	GET  /explain   why a request of an account would go where
+//	GET  /explain   the routing decision for an account's request
 //	POST /drain     starts a planned stop
-func (d *Daemon) adminRoutes(ctx *fasthttp.RequestCtx) {
+func (d *Daemon) handleAdmin(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
 	case path == "/healthz":
@@ -82,7 +82,7 @@
 }
 
 func (d *Daemon) serveReady(ctx *fasthttp.RequestCtx) {
-	if err := d.ready(); err != nil {
+	if err := d.readyError(); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
 	}
@@ -97,14 +97,14 @@
 }
 
 func (d *Daemon) serveAdmin(context.Context) error {
-	server := &fasthttp.Server{Handler: d.adminRoutes, NoDefaultServerHeader: true}
+	server := &fasthttp.Server{Handler: d.handleAdmin, NoDefaultServerHeader: true}
 	if err := server.Serve(d.admin); err != nil {
-		return fmt.Errorf("serve operators: %w", err)
+		return fmt.Errorf("serve admin interface: %w", err)
 	}
 	return nil
 }
 
-// Stages returns the engines that the daemon knows, as stages of chains.
+// Stages returns the engines known to the daemon, as stages of chains.
 func (d *Daemon) Stages() []spanrill.StageRef {
 	var stages []spanrill.StageRef
 	for _, u := range d.table.Upstreams() {
@@ -118,7 +118,7 @@
 // Recent returns the generations that ended last, newest first.
 func (d *Daemon) Recent() []callerapi.Finished { return d.api.Recent() }
 
-// serveExplain answers for the query arguments account and model.
+// serveExplain explains the routing for the query arguments account and model.
 func (d *Daemon) serveExplain(ctx *fasthttp.RequestCtx) {
 	account, model := string(ctx.QueryArgs().Peek("account")), string(ctx.QueryArgs().Peek("model"))
 	snapshot := d.follower.Current()
@@ -131,13 +131,13 @@
 		ctx.Error("no client account "+account, fasthttp.StatusNotFound)
 		return
 	}
-	use := grant.Model(model)
-	if use == nil {
+	modelGrant := grant.Model(model)
+	if modelGrant == nil {
 		ctx.Error("client account "+account+" has no model "+model, fasthttp.StatusNotFound)
 		return
 	}
-	m := use.Model()
-	index := d.table.View().Model(load.ModelKey{Model: m.Name, Version: m.Version, Site: use.Site().Name})
+	m := modelGrant.Model()
+	index := d.table.View().Model(load.ModelKey{Model: m.Name, Version: m.Version, Site: modelGrant.Site().Name})
 	if index == nil {
 		ctx.Error("no engine holds model "+model, fasthttp.StatusNotFound)
 		return
@@ -145,7 +145,7 @@
 	serveJSON(ctx, d.router.Explain(index, &routing.Query{Layers: m.Layers}))
 }
 
-// Status returns what the daemon says of itself.
+// Status returns the daemon's status.
 func (d *Daemon) Status() Status {
 	s := Status{
 		Name: d.settings.Name, Zone: d.settings.Zone, Revision: d.follower.Revision(),
@@ -154,7 +154,7 @@
 	if head := d.follower.Head(); head != nil {
 		s.EditID = head.EditID
 	}
-	if err := d.ready(); err != nil {
+	if err := d.readyError(); err != nil {
 		s.Why = err.Error()
 	}
 	s.Ready = s.Why == ""
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon puts the parts of a spanrill router together.
+// Package daemon assembles a spanrill router that runs on the project's own interface: its store,
+// its box list, and its own protocols of engines and services.
 //
 // # Usage
 //
@@ -88,7 +89,7 @@
 	return func(d *Daemon) { d.clock = c }
 }
 
-// New returns a daemon that listens on its addresses but serves nothing yet.
+// New returns a daemon that listens on its addresses but does not serve yet.
 func New(s settings.Settings, opts ...Option) (*Daemon, error) {
 	d := &Daemon{
 		settings: s, clock: clock.NewSystem(), log: logrus.NewEntry(logrus.StandardLogger()),
@@ -129,7 +130,7 @@
 		return fmt.Errorf("build peers: %w", err)
 	}
 	d.follower = config.NewFollower(d.platform, config.WithClock(d.clock), config.WithLogger(d.log),
-		config.WithJitter(d.jitter), config.WithOnChange(d.configChanged), config.WithWatches(d.peers.watches))
+		config.WithJitter(d.jitter), config.WithOnChange(d.configChanged), config.WithWatches(d.peers.watchesStore))
 	engines, services := engineapi.New(d.http), serviceapi.New(d.http)
 	d.engines = engines
 	d.observer = observe.New(d.platform, engines, services, d.table, d.clock, observe.WithLogger(d.log),
@@ -161,9 +162,9 @@
 	}, bounds)
 }
 
-// jitter spreads a pause over half of its length to one and a half.
-func (d *Daemon) jitter(m spanrill.Millis) spanrill.Millis {
-	return m/2 + spanrill.Millis(d.random.Float64()*float64(m))
+// jitter returns a random duration between 0.5 and 1.5 times the pause.
+func (d *Daemon) jitter(pause spanrill.Millis) spanrill.Millis {
+	return pause/2 + spanrill.Millis(d.random.Float64()*float64(pause))
 }
 
 func (d *Daemon) configChanged(s *config.Snapshot) {
@@ -197,13 +198,14 @@
 // Meters returns the daemon's counters.
 func (d *Daemon) Meters() *meter.Meters { return d.meters }
 
-// Stop asks for a planned stop.
+// Stop starts a planned stop.
 func (d *Daemon) Stop() { d.stopOnce.Do(func() { close(d.stop) }) }
 
 // Done returns a channel that is closed when the daemon has stopped.
 func (d *Daemon) Done() <-chan struct{} { return d.done }
 
-// Run serves until the context ends, then drains and stops.
+// Run serves until the context ends, Stop is called or a component fails. In the first two cases
+// it drains before it stops.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer close(d.done)
 	events.DaemonStarted.Log(d.log, logrus.Fields{"listen": d.Addr(), "admin": d.AdminAddr()})
@@ -234,16 +236,16 @@
 	return err
 }
 
-// parts are the long-running parts by name.
+// parts returns the long-running components by name.
 func (d *Daemon) parts() map[string]func(context.Context) error {
 	return map[string]func(context.Context) error{
 		"configuration": d.follower.Run,
 		"observer":      d.observer.Run,
 		"callers":       func(ctx context.Context) error { return d.api.Serve(ctx, d.callers) },
 		"admin":         d.serveAdmin,
-		"readiness":     d.awaitReady,
+		"readiness":     d.logReady,
 		"peers":         d.peers.run,
-		"placement":     d.place,
+		"placement":     d.runPlacement,
 	}
 }
 
@@ -260,7 +262,7 @@
 	return err
 }
 
-func (d *Daemon) awaitReady(ctx context.Context) error {
+func (d *Daemon) logReady(ctx context.Context) error {
 	for _, ready := range []<-chan struct{}{d.follower.Ready(), d.observer.Seen()} {
 		select {
 		case <-ready:
@@ -272,8 +274,8 @@
 	return nil
 }
 
-// ready returns why the daemon should get no requests, or nil.
-func (d *Daemon) ready() error {
+// readyError returns why the daemon should get no requests, or nil.
+func (d *Daemon) readyError() error {
 	if d.draining.Load() {
 		return errors.New("draining")
 	}
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -10,11 +10,11 @@
 	"spanrill/events"
 )
 
-// drainPoll is how often a draining daemon looks whether requests still run.
+// drainPoll is how often a draining daemon checks whether requests still run.
 const drainPoll = 20 * spanrill.Millis(1)
 
-// drain fails readiness, takes requests until the balancer has noticed,
-// refuses new ones from then on, and returns when those that run have ended.
+// drain fails readiness, accepts requests until the load balancer has noticed, and then refuses
+// new ones. It returns when the running requests have ended, or at the end of the drain time.
 func (d *Daemon) drain() {
 	if d.draining.Swap(true) {
 		return
@@ -33,11 +33,11 @@
 	}
 }
 
-// closeWait bounds how long open connections are waited for at the end.
-const closeWait = time.Second
+// closeTimeout bounds the wait for open connections at the end.
+const closeTimeout = time.Second
 
 func (d *Daemon) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = d.api.Shutdown(ctx)
 	_ = d.callers.Close()
--- a/daemon/peerhandler.go
+++ b/daemon/peerhandler.go
@@ -11,8 +11,8 @@
 	"spanrill/transport/peernet"
 )
 
-// handle takes a message of a peer. A message that cannot be decoded is
-// refused; its sender goes on.
+// handle processes a message of a peer and returns the reply, or nil. A message that cannot be
+// decoded is dropped and counted, without effect on its sender.
 func (p *peers) handle(from string, kind peernet.Kind, payload []byte) []byte {
 	reply, err := p.dispatch(from, kind, payload)
 	if err != nil {
@@ -40,12 +40,12 @@
 	case peermsg.KindReports:
 		var m peermsg.Reports
 		if err = peermsg.Decode(payload, &m); err == nil {
-			p.takeReports(&m)
+			p.applyReports(&m)
 		}
 	case peermsg.KindDemand:
 		var m peermsg.Demand
 		if err = peermsg.Decode(payload, &m); err == nil {
-			p.takeDemand(from, &m)
+			p.applyDemand(from, &m)
 		}
 	case peermsg.KindSettle:
 		var m peermsg.Settle
@@ -58,7 +58,7 @@
 	return nil, err
 }
 
-// answer answers a request.
+// answer returns the reply to a request of a peer.
 func (p *peers) answer(kind peernet.Kind, payload []byte) (any, error) {
 	switch kind {
 	case peermsg.KindHead:
@@ -99,7 +99,7 @@
 	return reply
 }
 
-func (p *peers) takeReports(m *peermsg.Reports) {
+func (p *peers) applyReports(m *peermsg.Reports) {
 	reports := make([]load.Report, len(m.Reports))
 	for i, r := range m.Reports {
 		reports[i] = load.Report{Name: r.Name, Status: r.Status(), Age: r.Age}
@@ -107,7 +107,7 @@
 	p.daemon.table.ReportAll(reports)
 }
 
-func (p *peers) takeDemand(from string, m *peermsg.Demand) {
+func (p *peers) applyDemand(from string, m *peermsg.Demand) {
 	accounts := make(map[string]float64, len(m.Accounts))
 	for _, a := range m.Accounts {
 		accounts[a.Account] = float64(a.PerMille) / 1000
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -21,21 +21,21 @@
 	"spanrill/transport/peernet"
 )
 
-// peers connects the daemon's parts with those of the other daemons.
+// peers connects the daemon with the other daemons.
 type peers struct {
 	daemon *Daemon
 	net    *peernet.Net
 	list   *membership.List
 	claims *claim.Claims
 
-	boxes    atomic.Pointer[[]byte] // the last box list, as JSON
-	fetching sync.Mutex             // held while a configuration is fetched
-	fetches  task.Group
-	told     map[string]toldReport // by upstream
+	boxes       atomic.Pointer[[]byte] // the last box list as JSON
+	fetching    sync.Mutex             // held while a configuration is fetched
+	fetches     task.Group
+	lastReports map[string]sentReport // by name of the upstream
 }
 
 func newPeers(d *Daemon) (*peers, error) {
-	p := &peers{daemon: d, told: map[string]toldReport{}}
+	p := &peers{daemon: d, lastReports: map[string]sentReport{}}
 	var err error
 	p.net, err = peernet.New(d.settings.PeerListen, d.settings.Name, d.settings.FleetSecret, p.handle,
 		peernet.WithLogger(d.log), peernet.WithMeters(d.meters))
@@ -47,14 +47,14 @@
 		PeerAddr: d.settings.PeerAddr(), AdminAddr: d.settings.AdminListen,
 	}
 	p.list = membership.New(self, d.clock, p.gossip, membership.WithLogger(d.log),
-		membership.WithRandom(d.random), membership.WithRevision(d.revision, p.newer))
+		membership.WithRandom(d.random), membership.WithRevision(d.revision, p.fetchNewer))
 	p.setBoxes(nil)
 	return p, nil
 }
 
 func (d *Daemon) revision() uint64 { return d.follower.Revision() }
 
-// run carries messages and exchanges news until the context ends.
+// run transports messages, gossips and sends demand until the context ends.
 func (p *peers) run(ctx context.Context) error {
 	var tasks task.Group
 	tasks.Start(ctx, "peer transport", p.net.Run)
@@ -65,33 +65,33 @@
 	return err
 }
 
-// demandGap is the pause between two messages about demand.
-const demandGap = spanrill.Second
+// demandInterval is the pause between two demand messages.
+const demandInterval = spanrill.Second
 
 func (p *peers) exchangeDemand(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.daemon.gate.SetDaemons(len(p.list.Live()))
 		p.daemon.gate.Tend()
-		p.tellDemand()
+		p.broadcastDemand()
 		select {
 		case <-ctx.Done():
-		case <-p.daemon.clock.After(demandGap):
+		case <-p.daemon.clock.After(demandInterval):
 		}
 	}
 	return ctx.Err()
 }
 
-func (p *peers) tellDemand() {
-	all := p.daemon.gate.Demand()
-	m := &peermsg.Demand{Accounts: make([]peermsg.AccountDemand, 0, len(all))}
-	for account, perSecond := range all {
+func (p *peers) broadcastDemand() {
+	demand := p.daemon.gate.Demand()
+	m := &peermsg.Demand{Accounts: make([]peermsg.AccountDemand, 0, len(demand))}
+	for account, perSecond := range demand {
 		m.Accounts = append(m.Accounts, peermsg.AccountDemand{Account: account, PerMille: uint32(perSecond * 1000)})
 	}
 	p.broadcast(peermsg.KindDemand, m)
 }
 
-// broadcast sends a message to all other daemons. One that cannot be reached
-// misses it; the next message takes its place.
+// broadcast sends a message to all other daemons. A daemon that cannot be reached misses it; the
+// next message replaces it.
 func (p *peers) broadcast(kind peernet.Kind, msg any) {
 	payload, err := peermsg.Encode(msg)
 	if err != nil {
@@ -120,7 +120,7 @@
 	return peermsg.Ask(ctx, p.net, addr, peernet.Kind(kind), req, reply)
 }
 
-// Owner returns the peer address of the daemon that gathers a slot's claims.
+// Owner returns the peer address of the daemon that writes a slot's claims, or "" for this one.
 func (p *peers) Owner(slot int) string {
 	owner := p.list.Owners(record.ObjectKey(slot), 1)[0]
 	if owner.Name == p.daemon.settings.Name {
@@ -134,14 +134,14 @@
 	return p.list.Owns("observe/"+upstream, p.daemon.settings.Observe.Observers)
 }
 
-// TellReports passes reports of upstreams on to the other daemons: one that
-// changes what an upstream can be used for at once, and one that changes its
-// load alone every loadGap, by the first of its observers.
+// TellReports forwards reports of upstreams to the other daemons. A report that differs in more
+// than load is sent at once. One that differs only in load is sent every loadReportInterval, by
+// the first of the upstream's observers.
 func (p *peers) TellReports(reports []spanrill.UpstreamStatus) {
 	m := &peermsg.Reports{}
 	now := p.daemon.clock.Now()
 	for _, r := range reports {
-		if report := peermsg.NewReport(r); p.worthTelling(report, now) {
+		if report := peermsg.NewReport(r); p.shouldForward(report, now) {
 			m.Reports = append(m.Reports, report)
 		}
 	}
@@ -150,48 +150,49 @@
 	}
 }
 
-// loadGap is the pause between two reports that differ in load alone. It is
-// shorter than the age at which a daemon asks an upstream itself.
-const loadGap = 2 * spanrill.Second
+// loadReportInterval is the pause between two reports that differ only in load. It is shorter than
+// the age at which a daemon asks an upstream itself.
+const loadReportInterval = 2 * spanrill.Second
 
-// toldReport is what was told of an upstream last.
-type toldReport struct {
-	use peermsg.Report // without its load
-	at  spanrill.Millis
+// sentReport is the last report of an upstream that was sent.
+type sentReport struct {
+	withoutLoad peermsg.Report // with the load and its age set to zero
+	sentAt      spanrill.Millis
 }
 
-// worthTelling reports whether a report has to be passed on now. It is called
-// by the observer alone.
-func (p *peers) worthTelling(r peermsg.Report, now spanrill.Millis) bool {
-	use := r
-	use.Running, use.Waiting, use.Age = 0, 0, 0
-	last, known := p.told[r.Name]
-	if known && last.use == use && (now-last.at < loadGap || !p.list.Owns("observe/"+r.Name, 1)) {
+// shouldForward reports whether a report has to be forwarded now. Only the observer calls it, so
+// it needs no lock.
+func (p *peers) shouldForward(r peermsg.Report, now spanrill.Millis) bool {
+	withoutLoad := r
+	withoutLoad.Running, withoutLoad.Waiting, withoutLoad.Age = 0, 0, 0
+	last, known := p.lastReports[r.Name]
+	if known && last.withoutLoad == withoutLoad && (now-last.sentAt < loadReportInterval || !p.list.Owns("observe/"+r.Name, 1)) {
 		return false
 	}
-	p.told[r.Name] = toldReport{use: use, at: now}
+	p.lastReports[r.Name] = sentReport{withoutLoad: withoutLoad, sentAt: now}
 	return true
 }
 
-// The platform's head is watched by all daemons of a small fleet, and by a few
-// in each availability zone of a large one.
+// The head of the configuration in the platform's store is watched by all daemons of a fleet of up
+// to maxWatchingFleet, and by watchersPerZone in each availability zone of a larger one.
 const (
-	smallFleet   = 16
-	zoneWatchers = 2
+	maxWatchingFleet = 16
+	watchersPerZone  = 2
 )
 
-func (p *peers) watches() bool {
+func (p *peers) watchesStore() bool {
 	live := p.list.Live()
-	if len(live) <= smallFleet {
+	if len(live) <= maxWatchingFleet {
 		return true
 	}
-	return p.list.OwnsAmong("config-watch", zoneWatchers, func(m peermsg.Member) bool {
+	return p.list.OwnsAmong("config-watch", watchersPerZone, func(m peermsg.Member) bool {
 		return m.Zone == p.daemon.settings.Zone
 	})
 }
 
-// newer fetches the configuration of a member that has a newer one.
-func (p *peers) newer(m peermsg.Member) {
+// fetchNewer fetches the configuration of a member whose revision is newer than this daemon's. It
+// does nothing while another fetch runs.
+func (p *peers) fetchNewer(m peermsg.Member) {
 	if !p.fetching.TryLock() {
 		return
 	}
@@ -201,10 +202,10 @@
 	})
 }
 
-const fetchLimit = 3 * spanrill.Second
+const fetchTimeout = 3 * spanrill.Second
 
 func (p *peers) fetch(ctx context.Context, m peermsg.Member) error {
-	ctx, cancel := context.WithTimeout(ctx, fetchLimit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
 	var reply peermsg.Head
 	if err := p.Ask(ctx, m.PeerAddr, uint8(peermsg.KindHead), &peermsg.Head{}, &reply); err != nil {
@@ -214,21 +215,21 @@
 	if err := json.Unmarshal(reply.Value, &head); err != nil {
 		return fmt.Errorf("decode head of %s: %w", m.Name, err)
 	}
-	if err := p.daemon.follower.Offer(ctx, &head, peerParts{peers: p, addr: m.PeerAddr}); err != nil {
-		return fmt.Errorf("take configuration of %s: %w", m.Name, err)
+	if err := p.daemon.follower.Offer(ctx, &head, configSource{peers: p, addr: m.PeerAddr}); err != nil {
+		return fmt.Errorf("apply configuration of %s: %w", m.Name, err)
 	}
 	events.ConfigFromPeer.Log(p.daemon.log, logrus.Fields{"peer": m.Name, "revision": head.Revision})
 	return nil
 }
 
-// peerParts reads parts of the configuration from one peer.
-type peerParts struct {
+// configSource reads parts of the configuration from one peer.
+type configSource struct {
 	peers *peers
 	addr  string
 }
 
-// Part returns the value whose hash is given.
-func (s peerParts) Part(ctx context.Context, hash string) ([]byte, error) {
+// Part returns the value with the given hash.
+func (s configSource) Part(ctx context.Context, hash string) ([]byte, error) {
 	var reply peermsg.Part
 	err := s.peers.Ask(ctx, s.addr, uint8(peermsg.KindPart), &peermsg.Part{Hash: hash}, &reply)
 	if err == nil && reply.Value == nil {
@@ -237,8 +238,8 @@
 	return reply.Value, err
 }
 
-// setBoxes takes a box list for the list of members, and keeps it for daemons
-// that start while the platform is out.
+// setBoxes updates the seeds of the member list from a box list, and keeps the box list for
+// daemons that start while the platform is unavailable.
 func (p *peers) setBoxes(boxes []spanrill.Box) {
 	seeds := append([]spanrill.Box(nil), boxes...)
 	for i, addr := range p.daemon.settings.Peers {
@@ -256,10 +257,10 @@
 // Errors of peers.
 var (
 	errNoBoxes     = errors.New("no peer has a box list")
-	errUnknownKind = errors.New("unknown kind of message")
+	errUnknownKind = errors.New("unknown message kind")
 )
 
-// Boxes returns the box list of any peer.
+// Boxes returns the box list of the first peer that has one.
 func (p *peers) Boxes(ctx context.Context) ([]spanrill.Box, error) {
 	for _, m := range p.list.Others() {
 		var reply peermsg.Boxes
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -10,11 +10,11 @@
 	"spanrill/task"
 )
 
-// placementContenders is how many daemons of a site try to take its lease.
-const placementContenders = 3
+// maxContenders is the number of daemons of a site that try to take its placement lease.
+const maxContenders = 3
 
-// place takes part in the placement of this daemon's site.
-func (d *Daemon) place(ctx context.Context) error {
+// runPlacement contends for the placement lease of this daemon's site, and runs the placer.
+func (d *Daemon) runPlacement(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -25,9 +25,9 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	duty := "placement/" + site.Name
-	l := lease.New(d.platform, d.clock, duty, d.settings.Name, lease.WithLogger(d.log),
-		lease.WithContends(func() bool { return d.contends(duty, site) }))
+	leaseName := "placement/" + site.Name
+	l := lease.New(d.platform, d.clock, leaseName, d.settings.Name, lease.WithLogger(d.log),
+		lease.WithContends(func() bool { return d.contends(leaseName, site) }))
 	d.lease.Store(l)
 	p := placement.New(l, d.engines, d.table, d.clock, d.placementSite, placement.WithLogger(d.log))
 	var tasks task.Group
@@ -36,13 +36,14 @@
 	return tasks.Wait()
 }
 
-func (d *Daemon) contends(duty string, site *config.Site) bool {
-	return !d.draining.Load() && d.peers.list.OwnsAmong(duty, placementContenders, func(m peermsg.Member) bool {
+func (d *Daemon) contends(leaseName string, site *config.Site) bool {
+	return !d.draining.Load() && d.peers.list.OwnsAmong(leaseName, maxContenders, func(m peermsg.Member) bool {
 		return site.HasZone(m.Zone)
 	})
 }
 
-// placementSite returns this daemon's site as its placer sees it.
+// placementSite returns this daemon's site in the form that the placer uses, or nil if its zone
+// belongs to none.
 func (d *Daemon) placementSite() *placement.Site {
 	snapshot := d.follower.Current()
 	site := snapshot.SiteOf(d.settings.Zone)
