--- a/gateway/due.go
+++ b/gateway/due.go
@@ -31,8 +31,8 @@
 }
 
 const (
-	// outageAge is the age of the newest entries in the fleet after which the store is taken
-	// to be unreachable for all daemons: several have asked by then.
+	// outageAge is the age of the newest entries in the fleet after which the store is
+	// considered unreachable for all daemons: several have asked by then.
 	outageAge spanrill.Millis = 1200
 	// takeoverAge is the same for a daemon that did not hold the lease: longer than the
 	// lease is valid.
@@ -272,7 +272,7 @@
 }
 
 // isStarting reports whether this daemon has just started and does not know the fleet yet. Its
-// rank among the few peers that it has heard of is too high then. A daemon that has run for a
+// rank among the few peers that it knows is too high then. A daemon that has run for a
 // while uses its rank even while others join, because the seeds may be gone.
 func (g *Gateway) isStarting() bool {
 	return len(g.settings.Peers) > 0 && !g.exchange.Settled() && g.clock.Now()-g.startedAt < maxStartTime
