--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -169,7 +169,7 @@
 	for _, u := range d.table.Upstreams() {
 		us := UpstreamStatus{
 			Name: u.Name(), Addr: u.Addr(), Zone: u.Zone(), Service: u.Service(),
-			InFlight: u.InFlight(), Load: u.Load(now), Slow: u.Slow(now),
+			InFlight: u.InFlight(), Load: u.Load(now), Slow: u.Slowdown(now),
 			Leaving: d.table.Leaving(u), Ejected: u.Ejected(now),
 		}
 		if r := u.Report(); r != nil {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -135,7 +135,7 @@
 	d.engines = engines
 	d.observer = observe.New(d.platform, engines, services, d.table, d.clock, observe.WithLogger(d.log),
 		observe.WithShare(d.peers), observe.WithOnBoxes(d.peers.setBoxes), observe.WithFallback(d.peers),
-		observe.WithGaps(d.settings.Observe.Boxes, d.settings.Observe.Status))
+		observe.WithIntervals(d.settings.Observe.Boxes, d.settings.Observe.Status))
 	d.gate = admission.New(d.clock, d.table, admission.WithMeters(d.meters),
 		admission.WithQueue(d.settings.Limits.Queue, d.settings.Limits.QueueWait),
 		admission.WithPerSlot(d.settings.Limits.PerSlot))
@@ -149,8 +149,8 @@
 	waits, limits := d.settings.Waits, d.settings.Limits
 	runner := pipeline.New(engines, d.table, d.router, d.clock,
 		pipeline.WithLogger(d.log), pipeline.WithMeters(d.meters),
-		pipeline.WithOnFailure(func(u *load.Upstream) { d.observer.Suspect(u.Zone()) }),
-		pipeline.WithWaits(waits.FirstToken, waits.Token))
+		pipeline.WithOnEjection(func(u *load.Upstream) { d.observer.RecheckZone(u.Zone()) }),
+		pipeline.WithTokenTimeouts(waits.FirstToken, waits.Token))
 	dispatcher := dispatch.New(services, d.table, d.router, d.clock,
 		dispatch.WithLogger(d.log), dispatch.WithMeters(d.meters), dispatch.WithTimeout(waits.Service))
 	bounds := callerapi.DefaultLimits
@@ -174,7 +174,7 @@
 		}
 		return ""
 	})
-	d.peers.list.Nudge()
+	d.peers.list.TriggerRound()
 }
 
 func (d *Daemon) listen() error {
@@ -263,7 +263,7 @@
 }
 
 func (d *Daemon) logReady(ctx context.Context) error {
-	for _, ready := range []<-chan struct{}{d.follower.Ready(), d.observer.Seen()} {
+	for _, ready := range []<-chan struct{}{d.follower.Ready(), d.observer.Ready()} {
 		select {
 		case <-ready:
 		case <-ctx.Done():
@@ -283,7 +283,7 @@
 		return errors.New("no configuration yet")
 	}
 	select {
-	case <-d.observer.Seen():
+	case <-d.observer.Ready():
 		return nil
 	default:
 		return errors.New("no upstreams seen yet")
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -71,7 +71,7 @@
 func (p *peers) exchangeDemand(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.daemon.gate.SetDaemons(len(p.list.Live()))
-		p.daemon.gate.Tend()
+		p.daemon.gate.Maintain()
 		p.broadcastDemand()
 		select {
 		case <-ctx.Done():
@@ -129,15 +129,15 @@
 	return owner.PeerAddr
 }
 
-// Mine reports whether this daemon observes the upstream.
-func (p *peers) Mine(upstream string) bool {
+// Includes reports whether this daemon observes the upstream.
+func (p *peers) Includes(upstream string) bool {
 	return p.list.Owns("observe/"+upstream, p.daemon.settings.Observe.Observers)
 }
 
-// TellReports forwards reports of upstreams to the other daemons. A report that differs in more
+// BroadcastReports forwards reports of upstreams to the other daemons. A report that differs in more
 // than load is sent at once. One that differs only in load is sent every loadReportInterval, by
 // the first of the upstream's observers.
-func (p *peers) TellReports(reports []spanrill.UpstreamStatus) {
+func (p *peers) BroadcastReports(reports []spanrill.UpstreamStatus) {
 	m := &peermsg.Reports{}
 	now := p.daemon.clock.Now()
 	for _, r := range reports {
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -27,7 +27,7 @@
 	}
 	leaseName := "placement/" + site.Name
 	l := lease.New(d.platform, d.clock, leaseName, d.settings.Name, lease.WithLogger(d.log),
-		lease.WithContends(func() bool { return d.contends(leaseName, site) }))
+		lease.WithCandidate(func() bool { return d.contends(leaseName, site) }))
 	d.lease.Store(l)
 	p := placement.New(l, d.engines, d.table, d.clock, d.placementSite, placement.WithLogger(d.log))
 	var tasks task.Group
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -106,6 +106,6 @@
 	}
 	g.storeEra = era
 	if previous > 0 {
-		events.StoreRestored.Log(g.log, logrus.Fields{"era": era - 1, "before": previous - 1, "config_revision": g.config.Revision(), "upstreams_revision": g.fleet.At()})
+		events.StoreRestored.Log(g.log, logrus.Fields{"era": era - 1, "before": previous - 1, "config_revision": g.config.Revision(), "upstreams_revision": g.fleet.Revision()})
 	}
 }
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -193,7 +193,7 @@
 		f.byName[m.Name] = f.add(m, i, log)
 	}
 	for _, d := range f.byName {
-		d.peers.list.Take(all)
+		d.peers.list.Merge(all)
 	}
 	for rank, m := range f.byName["daemon-000"].Ranked() {
 		f.daemons = append(f.daemons, f.byName[m.Name])
@@ -217,7 +217,7 @@
 		Suspects: suspect.New(d),
 	}, d, log, rng.New(seed+1000))
 	g.configs = follow.New(d, d, g.fleet)
-	g.upstreams = follow.New(d, d, g.fleet, follow.WithDue(func() spanrill.Millis { return 0 }), follow.WithAt(g.fleet.At),
+	g.upstreams = follow.New(d, d, g.fleet, follow.WithDue(func() spanrill.Millis { return 0 }), follow.WithAt(g.fleet.Revision),
 		follow.WithJitter(g.random.Float64), follow.WithLongestPause(g.maxRetryPause), follow.WithLogger(log, "upstreams"))
 	d.Gateway = g
 	return d
@@ -230,11 +230,11 @@
 	for now := simStart; now < f.end; now += simStep {
 		f.advance(now)
 		for _, d := range f.daemons {
-			if u := d.Gateway.fleet.View().ByID(simLeaving); u != nil && u.Takes() && d.confirmedAt() >= simLeaveTime {
+			if u := d.Gateway.fleet.View().ByID(simLeaving); u != nil && u.AcceptsRequests() && d.confirmedAt() >= simLeaveTime {
 				t.Fatalf("rank %d has entries that were read at %d, but does not know that the engine left at %d", d.rank, d.confirmedAt(), simLeaveTime)
 			}
 			if !f.scenario.excluded(d.rank) && now > simLeaveTime && d.sends(simStaying) {
-				_, _, age := d.Gateway.fleet.Proof()
+				_, _, age := d.Gateway.fleet.Freshness()
 				f.maxSendAge = max(f.maxSendAge, age)
 			}
 			if !f.scenario.excluded(d.rank) && (d.sends(simRemoved) || d.sends(simLeaving)) {
@@ -259,19 +259,19 @@
 // package relay.
 func (d *drainDaemon) sends(engine string) bool {
 	u := d.Gateway.fleet.View().ByID(engine)
-	_, behind := d.Gateway.fleet.Behind()
-	return u != nil && u.TakesAt(d.Now()) && !behind
+	_, behind := d.Gateway.fleet.Stale()
+	return u != nil && u.AcceptsRequestsAt(d.Now()) && !behind
 }
 
 // confirmedAt returns when this daemon's entries were last confirmed.
 func (d *drainDaemon) confirmedAt() spanrill.Millis {
-	_, _, age := d.Gateway.fleet.Proof()
+	_, _, age := d.Gateway.fleet.Freshness()
 	return spanrill.Millis(d.fleet.now.Load()) - age
 }
 
 // advance does what is due at the given time.
 func (d *drainDaemon) advance(now spanrill.Millis) {
-	if _, _, age := d.Gateway.fleet.Proof(); now > simStart+2*spanrill.Second {
+	if _, _, age := d.Gateway.fleet.Freshness(); now > simStart+2*spanrill.Second {
 		d.maxProofAge = max(d.maxProofAge, age)
 	}
 	d.callStore(now)
@@ -282,7 +282,7 @@
 		d.nextRound = now + exchange.RoundInterval*9/10 + spanrill.Millis(d.random.Float64()*float64(exchange.RoundInterval)/5)
 	}
 	if now >= d.nextTend {
-		d.Gateway.fleet.Tend()
+		d.Gateway.fleet.Maintain()
 		d.nextTend = now + upkeepInterval
 	}
 }
@@ -291,7 +291,7 @@
 func (d *drainDaemon) callStore(now spanrill.Millis) {
 	if d.callEnd == 0 && now >= d.nextLook {
 		select {
-		case <-d.Gateway.fleet.Seen():
+		case <-d.Gateway.fleet.Ready():
 			if pause := d.upstreamsDue(); pause > 0 {
 				d.nextLook = now + pause
 				return
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -25,7 +25,7 @@
 	if g.draining.Load() || g.exchange.PlacementHeld() {
 		return 0, false
 	}
-	_, _, age := g.fleet.Proof()
+	_, _, age := g.fleet.Freshness()
 	wasLastHolder := now-spanrill.Millis(g.leaseHeldAt.Load()) < holderGrace
 	return 0, age > outageAge && wasLastHolder || age > takeoverAge && g.peers.rank("placement") == 0
 }
@@ -79,7 +79,7 @@
 		return false // those first in rank did not take the lease when it was free
 	}
 	first := g.peers.list.Ranked("placement")[0]
-	return membership.Class(first) > membership.Class(peermsg.Member{Power: g.settings.Power()})
+	return membership.PowerClass(first) > membership.PowerClass(peermsg.Member{Power: g.settings.Power()})
 }
 
 // unrankedContendDelay is how long the lease is free before daemons without a rank try to take
@@ -164,7 +164,7 @@
 
 // upstreamsDue is the same for the entries of upstreams.
 func (g *Gateway) upstreamsDue() spanrill.Millis {
-	_, _, age := g.fleet.Proof()
+	_, _, age := g.fleet.Freshness()
 	refreshAge := g.entriesRefreshAge()
 	late := age - refreshAge - newsRound
 	if late < 0 || !g.exchange.AnyPeerStoreSilent() {
@@ -185,7 +185,7 @@
 // entriesLate returns by how many exchange rounds the entries that the first in rank has read are
 // late.
 func (g *Gateway) entriesLate() int {
-	_, _, age := g.fleet.Proof()
+	_, _, age := g.fleet.Freshness()
 	due := g.entriesRefreshAge() + g.exchange.BroadcastTime()
 	return int(max(0, age-due) / newsRound)
 }
@@ -230,7 +230,7 @@
 // upstreamsCallTimeout returns how long a first call for the entries may take, so that a second
 // one, after a pause, and a request on a new connection are still in time.
 func (g *Gateway) upstreamsCallTimeout() spanrill.Millis {
-	_, _, age := g.fleet.Proof()
+	_, _, age := g.fleet.Freshness()
 	return callTimeout(age, g.settings.Bounds.Drain)
 }
 
@@ -356,7 +356,7 @@
 // recordStoreCall records failed store calls.
 func (g *Gateway) recordStoreCall(_ string, err error) {
 	if err != nil {
-		g.fleet.NoteOutage()
+		g.fleet.RecordStoreFailure()
 	}
 }
 
--- a/gateway/fleetsize_test.go
+++ b/gateway/fleetsize_test.go
@@ -150,7 +150,7 @@
 		f.run(simStep)
 		incomplete = false
 		for _, d := range f.daemons {
-			incomplete = incomplete || d.Gateway.fleet.At() < e.revision(e.until)
+			incomplete = incomplete || d.Gateway.fleet.Revision() < e.revision(e.until)
 		}
 	}
 	return c
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -87,7 +87,7 @@
 	relay     *relay.Relay
 	router    *chainrouting.Router
 	prober    *probe.Prober
-	resolver  *probe.Names
+	resolver  *probe.AddressResolver
 	budgets   *retry.Budgets
 	suspects  *suspect.Ledger
 	keeper    *suspect.Keeper
@@ -198,14 +198,14 @@
 func (g *Gateway) build(connect Connect) error {
 	g.http = httpcall.New(httpcall.WithDialTimeout(dialTimeout), httpcall.WithLogger(g.log), httpcall.WithMeters(g.meters),
 		httpcall.WithOnHead(g.handleHeaders), httpcall.WithMaxIdle(g.maxIdle),
-		httpcall.WithMaxTotal(conncap.IdleOfAll(g.settings.Descriptors)))
+		httpcall.WithMaxTotal(conncap.IdleTotal(g.settings.Descriptors)))
 	g.config = routes.NewCurrent(g.clock)
 	g.adapter = connect(g.settings.Platform, g.http, g.recordStoreCall)
 	g.fleet = fleet.New(g.clock, g.adapter.DecodeEntry, fleet.WithLogger(g.log), fleet.WithDrain(g.settings.Bounds.Drain),
 		fleet.WithOnRestart(g.upstreamRestarted))
 	engines := g.fleet.Observe(g.adapter.Engines)
-	g.prober = probe.New(engines, g.clock, g.log, probe.WithHeard(g.fleet.LastHeard))
-	g.resolver = probe.NewNames(g.adapter.Names, g.clock, g.log, g.healthPath)
+	g.prober = probe.New(engines, g.clock, g.log, probe.WithLastHeard(g.fleet.LastHeard))
+	g.resolver = probe.NewAddressResolver(g.adapter.Names, g.clock, g.log, g.healthPath)
 	b := g.settings.Bounds
 	g.budgets = retry.NewBudgets(g.clock, retry.Limits{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow}, assumedDaemons,
 		retry.WithBorrow(func(ctx context.Context, service string, want float64) float64 {
@@ -217,8 +217,8 @@
 		return fmt.Errorf("build peers: %w", err)
 	}
 	g.limiter = ratelimit.New(g.fleet, g.clock, g.peers)
-	g.lease = lease.New(g.adapter.Store, g.clock, "placement", g.peers.name, lease.WithTime(leaseTime),
-		lease.WithLogger(g.log), lease.WithContends(g.contends), lease.WithYields(g.yields), lease.WithEra(g.adapter.Era))
+	g.lease = lease.New(g.adapter.Store, g.clock, "placement", g.peers.name, lease.WithDuration(leaseTime),
+		lease.WithLogger(g.log), lease.WithCandidate(g.contends), lease.WithYield(g.yields), lease.WithEra(g.adapter.Era))
 	g.keeper = suspect.NewKeeper(g.suspects, g.adapter.Store, g.clock, g.log, func() bool { _, ok := g.lease.Held(); return ok },
 		suspect.WithEra(g.adapter.Era))
 	g.exchange = exchange.New(g.peers, exchange.State{
@@ -226,7 +226,7 @@
 		HoldsPlacement: g.holdsPlacement, Leaving: g.draining.Load, StoreSilent: g.storeSilent, LateRounds: g.entriesLate, Targets: g.targets, Budgets: g.budgets, Lease: g.lease,
 		Suspects: g.suspects,
 	}, g.clock, g.log, g.random)
-	g.placer = layoutrun.New(g.mayPlace, engines, g.fleet, g.models, g.clock, g.log, layoutrun.WithSpread(g.exchange.BroadcastTime))
+	g.placer = layoutrun.New(g.mayPlace, engines, g.fleet, g.models, g.clock, g.log, layoutrun.WithPropagationTime(g.exchange.BroadcastTime))
 	g.router = chainrouting.New(g.fleet, g.clock, g.log, g.random)
 	g.relay = relay.New(relay.Dependencies{
 		Config: g.config, Fleet: g.fleet, Router: g.router, Prober: g.prober,
@@ -237,11 +237,11 @@
 	g.callersWaitingSince = g.relay.FirstHeldAt
 	g.meters.Gauge("spanrill_log_lines_dropped", func() float64 { return float64(g.droppedLines()) })
 	g.meters.Gauge("spanrill_upstream_restarts", func() float64 { return float64(g.fleet.Restarts()) })
-	g.meters.Gauge("spanrill_upstream_rests", func() float64 { return float64(g.fleet.Notices().Rests) })
-	g.meters.Gauge("spanrill_upstream_rests_unreadable", func() float64 { return float64(g.fleet.Notices().Unreadable) })
-	g.meters.Gauge("spanrill_upstreams_said_leaving", func() float64 { return float64(g.fleet.Notices().Leaving) })
-	g.meters.Gauge("spanrill_upstream_limits", func() float64 { return float64(g.fleet.Notices().Limits) })
-	g.meters.Gauge("spanrill_upstream_limits_unreadable", func() float64 { return float64(g.fleet.Notices().UnreadableLimits) })
+	g.meters.Gauge("spanrill_upstream_rests", func() float64 { return float64(g.fleet.NoticeCounts().Rests) })
+	g.meters.Gauge("spanrill_upstream_rests_unreadable", func() float64 { return float64(g.fleet.NoticeCounts().UnreadableRests) })
+	g.meters.Gauge("spanrill_upstreams_said_leaving", func() float64 { return float64(g.fleet.NoticeCounts().Leaving) })
+	g.meters.Gauge("spanrill_upstream_limits", func() float64 { return float64(g.fleet.NoticeCounts().Limits) })
+	g.meters.Gauge("spanrill_upstream_limits_unreadable", func() float64 { return float64(g.fleet.NoticeCounts().UnreadableLimits) })
 	g.meters.Gauge("spanrill_upstreams_limited", func() float64 { return float64(g.fleet.LimitedUpstreams()) })
 	g.meters.Gauge("spanrill_limit_permits_granted", func() float64 { return float64(g.limiter.Granted()) })
 	g.meters.Gauge("spanrill_limit_permits_denied", func() float64 { return float64(g.limiter.Denied()) })
@@ -264,7 +264,7 @@
 	first := follow.WithFirst(g.firstListDue)
 	g.configs = follow.New(config, g.clock, configSink{g}, follow.WithDue(g.configDue), follow.WithAt(g.config.Revision), first, jitter, patience,
 		follow.WithLogger(g.log, "configuration"))
-	g.upstreams = follow.New(upstreams, g.clock, g.fleet, follow.WithDue(g.upstreamsDue), follow.WithAt(g.fleet.At), first, jitter, patience,
+	g.upstreams = follow.New(upstreams, g.clock, g.fleet, follow.WithDue(g.upstreamsDue), follow.WithAt(g.fleet.Revision), first, jitter, patience,
 		follow.WithLimit(g.upstreamsCallTimeout), follow.WithBehind(g.configs), follow.WithLogger(g.log, "upstreams"))
 }
 
@@ -314,12 +314,12 @@
 			limit = service.MaxConnections
 		}
 	}
-	return conncap.Idle(limit, int(g.liveDaemons.Load()))
+	return conncap.IdlePerUpstream(limit, int(g.liveDaemons.Load()))
 }
 
 // handleHeaders records what an upstream reports about itself in the headers of any answer.
 func (g *Gateway) handleHeaders(addr string, h *fasthttp.ResponseHeader, elapsed spanrill.Millis) {
-	g.fleet.Notice(addr, g.adapter.Codec.ReadNotice(h), g.clock.Now()-elapsed)
+	g.fleet.HandleNotice(addr, g.adapter.Codec.ReadNotice(h), g.clock.Now()-elapsed)
 }
 
 // targets returns the layers that this daemon is ordering engines to load.
--- a/gateway/ready.go
+++ b/gateway/ready.go
@@ -30,7 +30,7 @@
 		return fmt.Errorf("configuration was last confirmed %d ms ago", g.config.Age())
 	}
 	select {
-	case <-g.fleet.Seen():
+	case <-g.fleet.Ready():
 		return nil
 	default:
 		return errors.New("no upstreams seen yet")
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -90,9 +90,9 @@
 // upkeep runs the periodic maintenance.
 func (g *Gateway) upkeep(ctx context.Context) error {
 	for ctx.Err() == nil {
-		g.fleet.Tend()
+		g.fleet.Maintain()
 		g.prober.Recheck(ctx, g.fleet)
-		g.resolver.Ask(ctx, g.fleet)
+		g.resolver.Resolve(ctx, g.fleet)
 		g.logFreshness()
 		g.logIgnoredValues()
 		g.logEraChange()
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -187,9 +187,9 @@
 	}, d, log, g.random)
 	config := startStore{fleet: f, items: []spanrill.Item{{Name: "main", Revision: 7, Value: []byte(`{"version":1}`)}}}
 	g.buildFollowers(config, startStore{fleet: f, items: []spanrill.Item{simItem(simStaying, 1, false)}, engines: f.engines})
-	g.placer = layoutrun.New(func() (uint64, bool) { return 0, false }, nil, g.fleet, d.models, d, log, layoutrun.WithSpread(g.exchange.BroadcastTime))
+	g.placer = layoutrun.New(func() (uint64, bool) { return 0, false }, nil, g.fleet, d.models, d, log, layoutrun.WithPropagationTime(g.exchange.BroadcastTime))
 	g.prober = probe.New(nil, d, log)
-	g.resolver = probe.NewNames(nil, d, log, func(string) string { return "" })
+	g.resolver = probe.NewAddressResolver(nil, d, log, func(string) string { return "" })
 	g.askStoreAt += d.startAt - startBegin
 	g.startedAt = d.startAt
 	g.callersWaitingSince = func() (spanrill.Millis, bool) {
@@ -225,7 +225,7 @@
 		return err
 	}
 	d.fleet.sent.add(peermsg.KindGossip, len(data))
-	other.peers.list.Take(g)
+	other.peers.list.Merge(g)
 	return nil
 }
 
@@ -268,13 +268,13 @@
 			return sizePlacerRound
 		})
 		d.every("upkeep", func() spanrill.Millis {
-			d.Gateway.fleet.Tend()
+			d.Gateway.fleet.Maintain()
 			d.prober.Recheck(context.Background(), d.Gateway.fleet)
-			d.resolver.Ask(context.Background(), d.Gateway.fleet)
+			d.resolver.Resolve(context.Background(), d.Gateway.fleet)
 			return upkeepInterval
 		})
 	}
-	if d.readyAfter < 0 && d.config.Table() != nil && d.isFresh() && isClosed(d.Gateway.fleet.Seen()) {
+	if d.readyAfter < 0 && d.config.Table() != nil && d.isFresh() && isClosed(d.Gateway.fleet.Ready()) {
 		d.readyAfter = d.Now() - d.startAt
 	}
 }
