--- a/coordination/membership/gossip.go
+++ b/coordination/membership/gossip.go
@@ -9,40 +9,40 @@
 	"spanrill/task"
 )
 
-// tell sends gossip to some members at the same time.
-func (l *List) tell(ctx context.Context, tasks *task.Group, g *peermsg.Gossip, targets ...peermsg.Member) {
+// sendTo sends gossip to members concurrently.
+func (l *List) sendTo(ctx context.Context, tasks *task.Group, g *peermsg.Gossip, targets ...peermsg.Member) {
 	for _, m := range targets {
 		tasks.Start(ctx, "gossip", func(context.Context) error { return l.send(m.PeerAddr, g) })
 	}
 }
 
-// targets returns a few random live members, and those suspected, which are asked
-// to answer. All but one of the random members are of this daemon's availability
-// zone in a large fleet, because bytes between zones are paid for.
+// targets returns a few random live members, and all suspected ones, which answer if they are
+// alive. In a large fleet all but one of the random members are in this daemon's availability
+// zone, because traffic between zones is billed.
 func (l *List) targets() []peermsg.Member {
 	r := l.live.Load()
-	picked := l.pick(nil, r.others, 1)
-	if len(r.others) > largeFleet {
-		picked = l.pick(picked, r.near, l.fanout)
+	picked := l.sample(nil, r.others, 1)
+	if len(r.others) > zoneGossipThreshold {
+		picked = l.sample(picked, r.sameZone, l.fanout)
 	}
-	picked = l.pick(picked, r.others, l.fanout)
+	picked = l.sample(picked, r.others, l.fanout)
 	members := make([]peermsg.Member, len(picked))
-	for i, at := range picked {
-		members[i] = r.members[at]
+	for i, index := range picked {
+		members[i] = r.members[index]
 	}
 	return append(members, l.suspects()...)
 }
 
-// pick adds places of a pool at random until there are n, as far as the pool goes. The
-// pool is not copied: n is small, and the fleet may be large.
-func (l *List) pick(picked, pool []int, n int) []int {
-	left := 0
+// sample adds random indices from the pool until there are n, or the pool is exhausted. It does
+// not copy the pool, because n is small and the fleet may be large.
+func (l *List) sample(picked, pool []int, n int) []int {
+	remaining := 0
 	for _, at := range pool {
 		if !slices.Contains(picked, at) {
-			left++
+			remaining++
 		}
 	}
-	for ; left > 0 && len(picked) < n; left-- {
+	for ; remaining > 0 && len(picked) < n; remaining-- {
 		at := pool[l.random.IntN(len(pool))]
 		for slices.Contains(picked, at) {
 			at = pool[l.random.IntN(len(pool))]
@@ -52,20 +52,20 @@
 	return picked
 }
 
-// largeFleet is the number of other members from which gossip stays near: fewer
-// are all reached within a few rounds.
-const largeFleet = 16
+// zoneGossipThreshold is the number of other members above which gossip mostly stays in the
+// availability zone. Fewer members are all reached within a few rounds.
+const zoneGossipThreshold = 16
 
-// suspects returns suspected members. Each of them is tried in every round
-// until it is heard of or dead.
+// suspects returns the suspected members. Gossip is sent to them in every round until their
+// heartbeat increases or they are considered dead.
 func (l *List) suspects() []peermsg.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return appendMembers(nil, l.inState(suspected))
 }
 
-// inState returns the entries in some states in the order of their names. The caller
-// holds the lock.
+// inState returns the entries in any of the given states, sorted by name. The caller holds the
+// lock.
 func (l *List) inState(states ...state) []*entry {
 	var found []*entry
 	for _, e := range l.sorted {
@@ -83,16 +83,16 @@
 	return members
 }
 
-// unknown returns a random box that is not known to be alive, with the last count
-// that is known of it, and whether there is one.
-func (l *List) unknown() (peermsg.Member, bool) {
+// randomUnknownBox returns a random box that is not known to be alive, with its last known
+// heartbeat. It returns false if there is none.
+func (l *List) randomUnknownBox() (peermsg.Member, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var unknown []peermsg.Member
-	for name, addr := range l.seeds {
+	for name, addr := range l.boxAddrs {
 		m := peermsg.Member{Name: name, PeerAddr: addr}
 		e := l.entries[name]
-		if e != nil && e.state.lives() {
+		if e != nil && e.state.isLive() {
 			continue
 		}
 		if e != nil {
@@ -107,15 +107,15 @@
 	return unknown[l.random.IntN(len(unknown))], true
 }
 
-// asking returns gossip that holds also the entry of its receiver, which answers when
-// it sees that its count is old or not known. Without it a daemon that none of the
-// messages happens to name would stay unknown: see docs/FINDINGS.md, 30.
-func asking(g *peermsg.Gossip, receiver peermsg.Member) *peermsg.Gossip {
+// withReceiver adds the receiver's entry to gossip. The receiver answers when it sees that its
+// heartbeat is outdated or unknown to the sender. Without this entry, a daemon that no message
+// happens to name would stay unknown: see docs/FINDINGS.md, 30.
+func withReceiver(g *peermsg.Gossip, receiver peermsg.Member) *peermsg.Gossip {
 	return &peermsg.Gossip{Members: append(slices.Clone(g.Members), receiver)}
 }
 
-// gossip returns this daemon's own entry, those of suspected members, which
-// answer when they see how old their count is, and those of random members.
+// gossip increments this daemon's heartbeat and returns its entry, the entries of all suspected
+// members, which answer when they see their outdated heartbeat, and those of random members.
 func (l *List) gossip() *peermsg.Gossip {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,12 +123,12 @@
 	l.self.Revision = l.revision()
 	members := append(make([]peermsg.Member, 0, maxMembers), l.self)
 	members = appendMembers(members, l.inState(suspected))
-	members = l.appendSome(members, l.inState(alive, left))
+	members = l.appendRandom(members, l.inState(alive, left))
 	return &peermsg.Gossip{Members: members}
 }
 
-// appendSome adds random entries until the members fill a message.
-func (l *List) appendSome(members []peermsg.Member, entries []*entry) []peermsg.Member {
+// appendRandom adds random entries until the message is full.
+func (l *List) appendRandom(members []peermsg.Member, entries []*entry) []peermsg.Member {
 	for i := 0; i < len(entries) && len(members) < maxMembers; i++ {
 		k := i + l.random.IntN(len(entries)-i)
 		entries[i], entries[k] = entries[k], entries[i]
@@ -137,31 +137,31 @@
 	return members
 }
 
-// Take learns from the gossip of a peer.
+// Merge updates the list from the gossip of a peer.
 func (l *List) Take(g *peermsg.Gossip) {
 	var newer *peermsg.Member
 	own := l.revision()
-	stranger := len(g.Members) > 0 && !g.Answer && !l.knows(g.Members[0])
+	isNew := len(g.Members) > 0 && !g.Answer && !l.knows(g.Members[0])
 	for i := range g.Members {
 		m := &g.Members[i]
 		if m.Name == l.self.Name {
 			l.refute(g.Members[0], *m)
 			continue
 		}
-		if l.learn(*m) && m.Revision > own && (newer == nil || m.Revision > newer.Revision) {
+		if l.updateMember(*m) && m.Revision > own && (newer == nil || m.Revision > newer.Revision) {
 			newer = m
 		}
 	}
-	l.publishNews()
-	if stranger {
-		l.welcome(g.Members[0])
+	l.publishThrottled()
+	if isNew {
+		l.sendIntroduction(g.Members[0])
 	}
 	if newer != nil {
 		l.onNewer(*newer)
 	}
 }
 
-// knows reports whether a start of a daemon has been heard of.
+// knows reports whether this incarnation of a daemon, or a later one, is known.
 func (l *List) knows(m peermsg.Member) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,34 +169,35 @@
 	return m.Name == l.self.Name || e != nil && e.member.Incarnation >= m.Incarnation
 }
 
-// welcome tells a daemon that has sent its first message what is known of the others. It
-// may know nobody, and the name under which it asks is not the one that this daemon has
-// now, which is new with each start: without an answer 300 daemons that start together
-// and are told of three heard of nobody for 1.5 to 5 s.
-func (l *List) welcome(m peermsg.Member) {
+// sendIntroduction answers the first message of a daemon with some live members. A new daemon
+// may know only box names, while daemon names change with each start, so that refute does not
+// answer it. Without this answer, 300 daemons that started together with three known addresses
+// discovered no other daemon for 1.5 to 5 s.
+func (l *List) sendIntroduction(m peermsg.Member) {
 	if m.Leaving {
 		return
 	}
 	if err := l.send(m.PeerAddr, l.introduction(m.Name)); err != nil {
-		l.log.WithError(err).WithField("peer", m.Name).Debug("no answer to a new daemon") // it asks again
+		l.log.WithError(err).WithField("peer", m.Name).Debug("introduction not sent to new daemon") // the daemon asks again
 	}
 }
 
-// introduction returns this daemon's own entry and those of some living members, drawn
-// anew for each receiver.
+// introduction returns this daemon's entry and those of random live members without the
+// receiver. The selection is made anew for each receiver.
 func (l *List) introduction(to string) *peermsg.Gossip {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	others := slices.DeleteFunc(l.inState(alive), func(e *entry) bool { return e.member.Name == to })
-	members := l.appendSome([]peermsg.Member{l.self}, others)
+	members := l.appendRandom([]peermsg.Member{l.self}, others)
 	return &peermsg.Gossip{Members: members, Answer: true}
 }
 
-// refute answers a peer that has not heard of this daemon, or not for long.
-func (l *List) refute(from, seen peermsg.Member) {
+// refute sends this daemon's entry to a peer that has an old incarnation or an outdated heartbeat
+// of it.
+func (l *List) refute(from, known peermsg.Member) {
 	l.mu.Lock()
-	stale := seen.Incarnation < l.self.Incarnation ||
-		seen.Incarnation == l.self.Incarnation && seen.Beat+suspectRounds <= l.self.Beat
+	stale := known.Incarnation < l.self.Incarnation ||
+		known.Incarnation == l.self.Incarnation && known.Beat+suspectRounds <= l.self.Beat
 	answer := &peermsg.Gossip{Members: []peermsg.Member{l.self}, Answer: true}
 	l.mu.Unlock()
 	if stale {
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,20 +1,20 @@
 // Package membership keeps the list of daemons that are alive.
 //
-// Each daemon counts a heartbeat. In every round it tells a few others its own
-// count and what it knows of some members. A member whose count has not risen
-// for a while is suspected, then taken as dead; a count that rises again brings
-// it back, so that a daemon that was frozen or parted needs no special case.
-// A daemon that was started again has a higher incarnation.
+// The list is kept by gossip. Each daemon increments its heartbeat in every round and sends it
+// to a few other daemons, with the heartbeats of some members that it knows. A member whose
+// heartbeat has not increased for some rounds is suspected, and later considered dead. When the
+// heartbeat increases again, the member is alive again, so that a daemon that was frozen or
+// partitioned needs no special handling. A daemon that restarts has a higher incarnation.
 //
-// The box list gives the first members to talk to. It lags, so that a daemon
-// not on it that is heard of from others counts as well.
+// The box list provides the first addresses to contact. It is updated late, so daemons that are
+// known only from gossip are members as well.
 //
-// Nothing that must hold rests on this list: it spreads work and news. What
-// must hold rests on conditional updates of the platform's objects.
+// The list may be wrong or differ between daemons. Use it to distribute work and information
+// only; guarantees need conditional updates of the platform's objects.
 //
 // # Usage
 //
-//	m := membership.New(self, clock, sender, membership.WithSeed(random))
+//	m := membership.New(self, clock, sender, membership.WithRandom(random))
 //	err := m.Run(ctx)
 //	for _, peer := range m.Live() { ... }
 package membership
@@ -33,10 +33,10 @@
 	"spanrill/task"
 )
 
-// Sender sends gossip to one peer. It may wait until a connection is made.
+// Sender sends gossip to one peer. It may block until a connection is established.
 type Sender func(addr string, g *peermsg.Gossip) error
 
-// List is the list of daemons.
+// List is the list of live daemons, as this daemon knows them.
 type List struct {
 	clock    spanrill.Clock
 	send     Sender
@@ -51,29 +51,29 @@
 	mu          sync.Mutex
 	self        peermsg.Member
 	entries     map[string]*entry
-	sorted      []*entry          // the same in the order of their names
-	seeds       map[string]string // box name to peer address
-	changed     bool              // whether the live members differ from live
-	publishedAt spanrill.Millis   // when live was made
-	nudge       chan struct{}
+	sorted      []*entry          // the same entries, sorted by name
+	boxAddrs    map[string]string // box name to peer address
+	changed     bool              // whether live is out of date
+	publishedAt spanrill.Millis   // when live was last replaced
+	roundNow    chan struct{}
 
-	lines map[events.Event]*events.Limiter
+	eventLimiters map[events.Event]*events.Limiter
 
-	ordersMu sync.Mutex
-	orders   map[string]order // by key
+	rankingsMu sync.Mutex
+	rankings   map[string]ranking // by key
 }
 
-// roster is the live members at one moment. It is not changed after it was made.
+// roster is an immutable snapshot of the live members.
 type roster struct {
-	members []peermsg.Member // in the order of their names
-	others  []int            // places of all but this daemon
-	near    []int            // of these, places of those in its availability zone
+	members  []peermsg.Member // sorted by name
+	others   []int            // indices of all members but this daemon
+	sameZone []int            // indices of the others in this daemon's availability zone
 }
 
 // Option changes a default of New.
 type Option func(*List)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(l *List) { l.log = log }
 }
@@ -83,13 +83,13 @@
 	return func(l *List) { l.random = r }
 }
 
-// WithRevision sets where the configuration in force is read, and what is
-// called when a member has a newer one.
+// WithRevision sets the function that returns the revision of the configuration in force, and
+// the function that is called when a member has a newer one.
 func WithRevision(revision func() uint64, onNewer func(peermsg.Member)) Option {
 	return func(l *List) { l.revision, l.onNewer = revision, onNewer }
 }
 
-// WithRound sets the pause between two rounds.
+// WithRound sets the interval between rounds.
 func WithRound(d spanrill.Millis) Option {
 	return func(l *List) { l.round = d }
 }
@@ -97,23 +97,23 @@
 const (
 	defaultRound  = spanrill.Second
 	defaultFanout = 3
-	// maxMembers bounds the members in one message.
+	// maxMembers is the maximum number of members in one message.
 	maxMembers = 40
-	// suspectRounds and deadRounds are the rounds without a rise of the count
-	// after which a member is suspected, and taken as dead.
+	// suspectRounds and deadRounds are the numbers of rounds without a new heartbeat after which
+	// a member is suspected, and considered dead.
 	suspectRounds = 4
 	deadRounds    = 8
-	// forgetRounds is when a dead member is forgotten.
+	// forgetRounds is the number of rounds without a new heartbeat after which a member is removed.
 	forgetRounds = 600
 )
 
-// New returns a list that holds this daemon alone.
+// New returns a list that contains only this daemon.
 func New(self peermsg.Member, clock spanrill.Clock, send Sender, opts ...Option) *List {
 	l := &List{
 		clock: clock, send: send, log: logrus.StandardLogger(), random: rng.New(1),
 		onNewer: func(peermsg.Member) {}, revision: func() uint64 { return 0 },
 		round: defaultRound, fanout: defaultFanout, self: self,
-		entries: map[string]*entry{}, seeds: map[string]string{}, nudge: make(chan struct{}, 1), orders: map[string]order{},
+		entries: map[string]*entry{}, boxAddrs: map[string]string{}, roundNow: make(chan struct{}, 1), rankings: map[string]ranking{},
 	}
 	for _, o := range opts {
 		o(l)
@@ -121,54 +121,54 @@
 	if l.self.Incarnation == 0 {
 		l.self.Incarnation = uint64(clock.Unix())
 	}
-	l.lines = newLines(clock)
+	l.eventLimiters = newEventLimiters(clock)
 	l.publish()
-	l.publishedAt -= l.round // the first news is taken at once
+	l.publishedAt -= l.round // do not throttle the first update
 	return l
 }
 
-// Live returns the members that are alive or merely suspected, this daemon
-// included, in the order of their names. The slice must not be changed.
+// Live returns the members that are alive or suspected, including this daemon, sorted by name.
+// The slice must not be modified.
 func (l *List) Live() []peermsg.Member { return l.live.Load().members }
 
 // Others returns the live members without this daemon.
 func (l *List) Others() []peermsg.Member {
 	r := l.live.Load()
 	others := make([]peermsg.Member, len(r.others))
-	for i, at := range r.others {
-		others[i] = r.members[at]
+	for i, index := range r.others {
+		others[i] = r.members[index]
 	}
 	return others
 }
 
-// SetBoxes takes the entry boxes of a box list as members to talk to.
+// SetBoxes sets the addresses to contact from the entry boxes of a box list.
 func (l *List) SetBoxes(boxes []spanrill.Box) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	seeds := map[string]string{}
+	boxAddrs := map[string]string{}
 	for _, b := range boxes {
 		if b.Role == spanrill.RoleEntry && b.Name != l.self.Name && b.PeerAddr != "" {
-			seeds[b.Name] = b.PeerAddr
+			boxAddrs[b.Name] = b.PeerAddr
 		}
 	}
-	l.seeds = seeds
+	l.boxAddrs = boxAddrs
 }
 
-// Nudge makes the next round come at once, so that news spreads faster.
+// TriggerRound starts the next round at once, so that new information spreads faster.
 func (l *List) Nudge() {
 	select {
-	case l.nudge <- struct{}{}:
+	case l.roundNow <- struct{}{}:
 	default:
 	}
 }
 
-// Leave tells the others that this daemon is stopping.
+// Leave notifies the other daemons that this daemon is stopping.
 func (l *List) Leave(ctx context.Context) {
 	l.mu.Lock()
 	l.self.Leaving = true
 	l.mu.Unlock()
 	var tasks task.Group
-	l.tell(ctx, &tasks, l.gossip(), l.Others()...)
+	l.sendTo(ctx, &tasks, l.gossip(), l.Others()...)
 	_ = tasks.Wait()
 }
 
@@ -178,28 +178,28 @@
 		l.Round(ctx)
 		select {
 		case <-ctx.Done():
-		case <-l.clock.After(l.spread(l.round)):
-		case <-l.nudge:
+		case <-l.clock.After(l.jitter(l.round)):
+		case <-l.roundNow:
 		}
 	}
 	return ctx.Err()
 }
 
-// spread varies a pause by a tenth to either side.
-func (l *List) spread(d spanrill.Millis) spanrill.Millis {
+// jitter varies an interval randomly by up to a tenth.
+func (l *List) jitter(d spanrill.Millis) spanrill.Millis {
 	return d*9/10 + spanrill.Millis(l.random.Float64()*float64(d)/5)
 }
 
-// Round judges the members and gossips once.
+// Round updates the states of the members and sends gossip once.
 func (l *List) Round(ctx context.Context) {
-	l.judge()
+	l.updateStates()
 	targets := l.targets()
 	g := l.gossip()
-	m, ok := l.unknown() // before answers come
+	m, ok := l.randomUnknownBox() // before the answers to this round arrive
 	var tasks task.Group
-	l.tell(ctx, &tasks, g, targets...)
+	l.sendTo(ctx, &tasks, g, targets...)
 	if ok {
-		l.tell(ctx, &tasks, asking(g, m), m)
+		l.sendTo(ctx, &tasks, withReceiver(g, m), m)
 	}
 	_ = tasks.Wait()
 }
--- a/coordination/membership/owners.go
+++ b/coordination/membership/owners.go
@@ -10,52 +10,52 @@
 	"spanrill/protocol/peermsg"
 )
 
-// Owners returns the n live members that own a key, by rendezvous hashing:
-// when a member comes or goes, only its own keys move.
+// Owners returns the n live members that own a key, by rendezvous hashing. When a member joins
+// or leaves, only its own keys move.
 func (l *List) Owners(key string, n int) []peermsg.Member {
 	return OwnersAmong(key, l.Live(), n)
 }
 
 // OwnersAmong returns the n of the given members that own a key, by rendezvous hashing.
 func OwnersAmong(key string, members []peermsg.Member, n int) []peermsg.Member {
-	ranked := ranked(key, members)
-	return ranked[:min(n, len(ranked))]
+	owners := rankMembers(key, members)
+	return owners[:min(n, len(owners))]
 }
 
-// Ranked returns all live members in the order in which a duty falls to them: those with
-// more processor first, and among alike ones as they own the key. The order is kept until a
-// member comes or goes. The slice must not be changed.
+// Ranked returns all live members in order of preference for a task: by descending processor
+// class, and within a class by rendezvous hashing of the key. The order is cached until a member
+// joins or leaves. The slice must not be modified.
 func (l *List) Ranked(key string) []peermsg.Member {
-	of := l.live.Load()
-	l.ordersMu.Lock()
-	defer l.ordersMu.Unlock()
-	o := l.orders[key]
-	if o.of != of {
-		o = order{of: of, ranked: ranked(key, of.members)}
+	live := l.live.Load()
+	l.rankingsMu.Lock()
+	defer l.rankingsMu.Unlock()
+	o := l.rankings[key]
+	if o.roster != live {
+		o = ranking{roster: live, ranked: rankMembers(key, live.members)}
 		slices.SortStableFunc(o.ranked, func(a, b peermsg.Member) int { return cmp.Compare(Class(b), Class(a)) })
-		l.orders[key] = o
+		l.rankings[key] = o
 	}
 	return o.ranked
 }
 
-// Class returns the class of processor of a member: one class has from half to all of what
-// the next one begins at. Members that do not tell are of class 0.
+// PowerClass returns the processor class of a member. Each class begins at twice the processor
+// power of the class below. Members that report no power are of class 0.
 func Class(m peermsg.Member) int { return bits.Len(uint(max(0, m.Power))) }
 
-// order is the members of a roster in the order in which they own a key.
-type order struct {
-	of     *roster
+// ranking is the cached result of Ranked for the members of a roster.
+type ranking struct {
+	roster *roster
 	ranked []peermsg.Member
 }
 
-func ranked(key string, members []peermsg.Member) []peermsg.Member {
+func rankMembers(key string, members []peermsg.Member) []peermsg.Member {
 	type scored struct {
 		score uint64
 		at    int
 	}
 	scores := make([]scored, len(members))
 	for i, m := range members {
-		scores[i] = scored{rank(key, m.Name), i}
+		scores[i] = scored{ownershipScore(key, m.Name), i}
 	}
 	slices.SortFunc(scores, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 	out := make([]peermsg.Member, len(members))
@@ -70,24 +70,24 @@
 	return l.OwnsAmong(key, n, func(peermsg.Member) bool { return true })
 }
 
-// OwnsAmong reports whether this daemon is among the n owners of a key, when
-// only the members that match count.
+// OwnsAmong reports whether this daemon is among the n owners of a key, when only it and the
+// matching members are considered.
 func (l *List) OwnsAmong(key string, n int, match func(peermsg.Member) bool) bool {
 	return l.Rank(key, match) < n
 }
 
-// Rank returns this daemon's place among the owners of a key, from 0, when only
-// it and the members that match count.
+// Rank returns this daemon's index among the owners of a key, from 0, when only it and the
+// matching members are considered.
 func (l *List) Rank(key string, match func(peermsg.Member) bool) int {
-	mine, better := rank(key, l.self.Name), 0
+	mine, higher := ownershipScore(key, l.self.Name), 0
 	for _, m := range l.Live() {
-		if m.Name != l.self.Name && match(m) && rank(key, m.Name) > mine {
-			better++
+		if m.Name != l.self.Name && match(m) && ownershipScore(key, m.Name) > mine {
+			higher++
 		}
 	}
-	return better
+	return higher
 }
 
-func rank(key, name string) uint64 {
+func ownershipScore(key, name string) uint64 {
 	return xxhash.Sum64String(key + "\x00" + name)
 }
--- a/coordination/membership/owners_test.go
+++ b/coordination/membership/owners_test.go
@@ -8,8 +8,8 @@
 	"spanrill/protocol/peermsg"
 )
 
-// listOf returns a list that knows of that many other members.
-func listOf(others int) (*List, *clock.Manual) {
+// newListWithOthers returns a list that knows the given number of other members.
+func newListWithOthers(others int) (*List, *clock.Manual) {
 	now := clock.NewManual()
 	l := New(peermsg.Member{Name: "self"}, now, func(string, *peermsg.Gossip) error { return nil })
 	g := &peermsg.Gossip{Answer: true}
@@ -20,20 +20,20 @@
 	return l, now
 }
 
-// Parents in the trees of news and turns to ask the store go by the order of all members.
-// When the order was sorted anew for each question, with the hash of a name worked out in
-// each comparison, it took 0.32 of the processor of 600 daemons that start together.
-func TestRankedIsKeptUntilAMemberComesOrGoes(t *testing.T) {
-	l, now := listOf(100)
+// Guards against sorting the members for each call. Tree parents and the order in which daemons
+// ask the store follow from this order. Sorting it for each call, and hashing a name in each
+// comparison, took 0.32 of the processor time of 600 daemons that start together.
+func TestRankedIsCachedUntilMembersChange(t *testing.T) {
+	l, now := newListWithOthers(100)
 	first := l.Ranked("store")
 	for i, m := range l.Owners("store", 101) {
 		if first[i].Name != m.Name {
-			t.Fatalf("place %d is of %s, want %s", i, first[i].Name, m.Name)
+			t.Fatalf("index %d is %s, want %s", i, first[i].Name, m.Name)
 		}
 	}
 	l.Take(&peermsg.Gossip{Members: []peermsg.Member{{Name: "entry-0001", Zone: "1", Beat: 2}}, Answer: true})
 	if again := l.Ranked("store"); &again[0] != &first[0] {
-		t.Error("the order was made anew although nobody came or went")
+		t.Error("the order was sorted again although no member joined or left")
 	}
 	if other := l.Ranked("lease"); &other[0] == &first[0] {
 		t.Error("two keys have the same order")
@@ -45,44 +45,43 @@
 	}
 }
 
-// The order of 985 members, with nobody who comes or goes: before, sorted anew for each that
-// asks; now, kept.
+// Compares sorting 985 members for each call with the cached order.
 func BenchmarkRanked(b *testing.B) {
-	l, _ := listOf(984)
+	l, _ := newListWithOthers(984)
 	b.Run("sorted", func(b *testing.B) {
 		for b.Loop() {
 			l.Owners("store", 985)
 		}
 	})
-	b.Run("kept", func(b *testing.B) {
+	b.Run("cached", func(b *testing.B) {
 		for b.Loop() {
 			l.Ranked("store")
 		}
 	})
 }
 
-// While hundreds of daemons start together each message brings new ones, and a list of all
-// and two orders of it were made for each.
-func TestListsOfALargeFleetAreMadeOnceInARound(t *testing.T) {
-	l, now := listOf(300)
-	made, last := 0, l.live.Load()
+// Guards against a new list and new rankings for each message while hundreds of daemons start
+// together and each message adds members.
+func TestLargeFleetPublishesOncePerRound(t *testing.T) {
+	l, now := newListWithOthers(300)
+	published, last := 0, l.live.Load()
 	for i := range 100 {
 		now.Advance(defaultRound / 10)
 		l.Take(&peermsg.Gossip{Members: []peermsg.Member{{Name: fmt.Sprintf("late-%03d", i), Beat: 1}}, Answer: true})
 		if r := l.live.Load(); r != last {
-			made, last = made+1, r
+			published, last = published+1, r
 		}
 	}
-	if made < 9 || made > 11 {
-		t.Errorf("%d lists in ten rounds", made)
+	if published < 9 || published > 11 {
+		t.Errorf("%d lists published in ten rounds, want 9 to 11", published)
 	}
-	l.judge()
+	l.updateStates()
 	if got := len(l.Live()); got != 401 {
 		t.Errorf("%d members, want 401", got)
 	}
-	small, _ := listOf(5)
+	small, _ := newListWithOthers(5)
 	small.Take(&peermsg.Gossip{Members: []peermsg.Member{{Name: "late", Beat: 1}}, Answer: true})
 	if got := len(small.Live()); got != 7 {
-		t.Errorf("%d members of a small fleet, want 7 at once", got)
+		t.Errorf("%d members in a small fleet, want 7 without waiting for a round", got)
 	}
 }
--- a/coordination/membership/state.go
+++ b/coordination/membership/state.go
@@ -12,7 +12,7 @@
 	"spanrill/protocol/peermsg"
 )
 
-// state is what the list takes a member for.
+// state is the state of a member.
 type state uint8
 
 const (
@@ -22,18 +22,18 @@
 	left
 )
 
-// lives reports whether a member in that state counts as living.
-func (s state) lives() bool { return s == alive || s == suspected }
+// isLive reports whether members in this state are live.
+func (s state) isLive() bool { return s == alive || s == suspected }
 
 // entry is one member as this daemon knows it.
 type entry struct {
-	member peermsg.Member
-	risen  spanrill.Millis // when its count rose last
-	state  state
+	member      peermsg.Member
+	heartbeatAt spanrill.Millis // when its heartbeat last increased
+	state       state
 }
 
-// learn takes news of one member and reports whether it was news.
-func (l *List) learn(m peermsg.Member) bool {
+// updateMember stores an entry if it is newer than the known one, and reports whether it was.
+func (l *List) updateMember(m peermsg.Member) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[m.Name]
@@ -48,12 +48,12 @@
 	if l.entries[m.Name] == nil {
 		l.insert(m.Name, e)
 	}
-	e.member, e.risen = m, l.clock.Now()
-	l.change(e, stateOf(m))
+	e.member, e.heartbeatAt = m, l.clock.Now()
+	l.setState(e, stateOf(m))
 	return true
 }
 
-// insert adds the entry of a member that is not known. The caller holds the lock.
+// insert adds the entry of an unknown member. The caller holds the lock.
 func (l *List) insert(name string, e *entry) {
 	at, _ := slices.BinarySearchFunc(l.sorted, name, func(e *entry, name string) int { return strings.Compare(e.member.Name, name) })
 	l.sorted = slices.Insert(l.sorted, at, e)
@@ -67,16 +67,16 @@
 	return alive
 }
 
-// change moves a member to another state. The caller holds the lock.
-func (l *List) change(e *entry, to state) {
+// setState changes the state of a member and logs the change. The caller holds the lock.
+func (l *List) setState(e *entry, to state) {
 	from := e.state
 	e.state = to
 	if from == to {
 		return
 	}
-	l.changed = l.changed || from.lives() != to.lives()
+	l.changed = l.changed || from.isLive() != to.isLive()
 	event := eventOf(from, to)
-	l.lines[event].Log(event, l.log, func() logrus.Fields { return logrus.Fields{"peer": e.member.Name} })
+	l.eventLimiters[event].Log(event, l.log, func() logrus.Fields { return logrus.Fields{"peer": e.member.Name} })
 }
 
 func eventOf(from, to state) events.Event {
@@ -93,43 +93,42 @@
 	return events.PeerJoined
 }
 
-// linesASecond bounds the lines of each event: all daemons of a fleet come and go together
-// when it starts or loses power, and each sees all others. A line says how many were left
-// out before it.
-const linesASecond = 50
+// maxEventsPerSecond bounds the log lines of each event. When a fleet starts or loses power,
+// each daemon sees all others join or leave at once. A line tells how many were omitted before.
+const maxEventsPerSecond = 50
 
-func newLines(clock spanrill.Clock) map[events.Event]*events.Limiter {
-	lines := map[events.Event]*events.Limiter{}
+func newEventLimiters(clock spanrill.Clock) map[events.Event]*events.Limiter {
+	limiters := map[events.Event]*events.Limiter{}
 	for _, e := range []events.Event{events.PeerLeft, events.PeerSuspect, events.PeerLost, events.PeerReturned, events.PeerJoined} {
-		lines[e] = events.NewLimiter(clock, linesASecond)
+		limiters[e] = events.NewLimiter(clock, maxEventsPerSecond)
 	}
-	return lines
+	return limiters
 }
 
-// judge suspects and forgets members whose count does not rise.
-func (l *List) judge() {
+// updateStates suspects, declares dead or removes members without a new heartbeat.
+func (l *List) updateStates() {
 	l.mu.Lock()
 	now := l.clock.Now()
-	scale := l.patience()
-	l.sorted = slices.DeleteFunc(l.sorted, func(e *entry) bool { return l.forgets(e, now, scale) })
+	round := l.scaledRound()
+	l.sorted = slices.DeleteFunc(l.sorted, func(e *entry) bool { return l.forgetIfExpired(e, now, round) })
 	for _, e := range l.sorted {
-		silent := now - e.risen
+		silent := now - e.heartbeatAt
 		switch {
 		case e.state == left:
-		case silent > scale*deadRounds:
-			l.change(e, dead)
-		case silent > scale*suspectRounds:
-			l.change(e, suspected)
+		case silent > round*deadRounds:
+			l.setState(e, dead)
+		case silent > round*suspectRounds:
+			l.setState(e, suspected)
 		}
 	}
 	l.mu.Unlock()
 	l.publish()
 }
 
-// forgets forgets a member whose count has not risen for very long, and reports whether
+// forgetIfExpired removes a member without a new heartbeat for forgetRounds, and reports whether
 // it did. The caller holds the lock.
-func (l *List) forgets(e *entry, now, scale spanrill.Millis) bool {
-	if now-e.risen <= scale*forgetRounds {
+func (l *List) forgetIfExpired(e *entry, now, round spanrill.Millis) bool {
+	if now-e.heartbeatAt <= round*forgetRounds {
 		return false
 	}
 	delete(l.entries, e.member.Name)
@@ -137,29 +136,30 @@
 	return true
 }
 
-// patience is the length of a round for judging: it grows once the members no
-// longer fit into one message, since then not every count comes with each
+// scaledRound returns the round length for the timeouts of members. It is longer when the members
+// do not fit into the messages of one round, because then not every heartbeat arrives in each
 // round. The caller holds the lock.
-func (l *List) patience() spanrill.Millis {
-	full := 1 + len(l.entries)/(maxMembers*l.fanout)
-	return l.round * spanrill.Millis(full)
+func (l *List) scaledRound() spanrill.Millis {
+	rounds := 1 + len(l.entries)/(maxMembers*l.fanout)
+	return l.round * spanrill.Millis(rounds)
 }
 
-// publishNews makes the list of live members after a message, in a large fleet once in a
-// round at the most: while daemons start together each message brings new ones.
-func (l *List) publishNews() {
+// publishThrottled replaces the list of live members after a message, but at most once per round
+// in a large fleet: while many daemons start together, each message adds members.
+func (l *List) publishThrottled() {
 	l.mu.Lock()
-	waits := len(l.sorted) > promptMembers && l.clock.Now()-l.publishedAt < l.round
+	throttled := len(l.sorted) > maxUnthrottledMembers && l.clock.Now()-l.publishedAt < l.round
 	l.mu.Unlock()
-	if !waits {
+	if !throttled {
 		l.publish()
 	}
 }
 
-// promptMembers is up to how many other members each message is taken at once.
-const promptMembers = 64
+// maxUnthrottledMembers is the number of other members up to which each message takes effect at
+// once.
+const maxUnthrottledMembers = 64
 
-// publish makes the list of live members that readers see.
+// publish replaces the list of live members that readers see, if it has changed.
 func (l *List) publish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,13 +175,13 @@
 
 func newRoster(members []peermsg.Member, self int) *roster {
 	r := &roster{members: members, others: make([]int, 0, len(members)-1)}
-	for at, m := range members {
-		if at == self {
+	for i, m := range members {
+		if i == self {
 			continue
 		}
-		r.others = append(r.others, at)
+		r.others = append(r.others, i)
 		if m.Zone == members[self].Zone {
-			r.near = append(r.near, at)
+			r.sameZone = append(r.sameZone, i)
 		}
 	}
 	return r
