--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,16 +1,16 @@
-// Package lease gives a duty to one daemon at a time, without a service of our
-// own: a lease is an object of the platform.
+// Package lease assigns a duty to at most one daemon at a time. A lease is an object in the
+// platform's store, so that no separate lock service is needed.
 //
-// The object names the holder and a term that only rises. A daemon takes a
-// lease by a conditional update, and counts its time from before that write was
-// sent, by its own monotonic clock. Another daemon may take it over once it has
-// seen the object unchanged for the whole time of the lease and some more, by
-// its own clock, so that no two clocks are ever compared.
+// The object contains the holder and a term that only increases. A daemon acquires or renews
+// a lease by a conditional update, and counts its duration from before that write was sent, by
+// its own monotonic clock. Another daemon may acquire it once it has seen the object unchanged
+// for the duration of the lease plus a margin, by its own clock. Clocks of different daemons are
+// never compared.
 //
-// A holder that is frozen finds its lease lapsed when it is thawed, if it looks
-// before it acts. It can be frozen between the look and the act; therefore each
-// order carries the term, and an upstream that checks fences refuses a lower
-// one. For an upstream that does not, see Settled.
+// A holder must call Held before each action: a holder that was frozen then finds that its lease
+// has expired. It can also be frozen between that call and the action. Therefore each order
+// carries the term, and an upstream that checks fencing tokens refuses a lower one. For an
+// upstream that does not check them, see HeldFor.
 //
 // # Usage
 //
@@ -32,62 +32,63 @@
 	"spanrill/events"
 )
 
-// record is a lease as the platform stores it.
+// record is a lease as stored in the platform.
 type record struct {
-	Holder string          `json:"holder"` // empty: handed back
-	Term   uint64          `json:"term"`
-	Time   spanrill.Millis `json:"time"`  // how long it holds from each write
-	Beat   uint64          `json:"beat"`  // rises with each renewal
-	Write  string          `json:"write"` // id of the last write
+	Holder   string          `json:"holder"` // empty if handed back
+	Term     uint64          `json:"term"`
+	Duration spanrill.Millis `json:"time"`  // validity from each write
+	Beat     uint64          `json:"beat"`  // increases with each write
+	Write    string          `json:"write"` // id of the last write
 }
 
-// Lease is one daemon's view of one lease.
+// Lease is a daemon's view of a lease.
 type Lease struct {
-	store    spanrill.ObjectStore
-	clock    spanrill.Clock
-	log      logrus.FieldLogger
-	duty     string
-	holder   string
-	time     spanrill.Millis
-	contends func() bool
-	yields   func() bool
-	era      func() uint64
-
-	mu      sync.Mutex
-	term    uint64          // the term held, or 0
-	since   spanrill.Millis // when the term began
-	until   spanrill.Millis // when the lease lapses
-	seen    spanrill.Version
-	seenAt  spanrill.Millis // when the object was first seen at that version
-	current record
-	writes  uint64
-	heard   spanrill.Version // what the holder has said of its lease
-	lapses  spanrill.Millis  // when that lease lapses at the latest
-	restore restoreState
+	store       spanrill.ObjectStore
+	clock       spanrill.Clock
+	log         logrus.FieldLogger
+	duty        string
+	holder      string
+	duration    spanrill.Millis
+	isCandidate func() bool
+	shouldYield func() bool
+	era         func() uint64
+
+	mu              sync.Mutex
+	term            uint64          // term held, or 0
+	acquiredAt      spanrill.Millis // when the term began
+	expiresAt       spanrill.Millis // when the held lease expires
+	seenVersion     spanrill.Version
+	seenAt          spanrill.Millis // when that version was first seen
+	current         record
+	writes          uint64
+	reportedVersion spanrill.Version // version that RecordExpiry was called with
+	reportedExpiry  spanrill.Millis  // latest expiry of that version, with the margin
+	restore         restoreState
 }
 
 // Option changes a default of New.
 type Option func(*Lease)
 
-// WithTime sets how long the lease holds from each write.
+// WithDuration sets how long the lease is valid from each write.
 func WithTime(d spanrill.Millis) Option {
-	return func(l *Lease) { l.time = d }
+	return func(l *Lease) { l.duration = d }
 }
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(l *Lease) { l.log = log }
 }
 
-// WithContends sets whether this daemon tries to take the lease. In a large
-// fleet only a few do, to spare the platform's reads.
-func WithContends(contends func() bool) Option {
-	return func(l *Lease) { l.contends = contends }
+// WithCandidate sets the function that reports whether this daemon tries to acquire the lease. In
+// a large fleet only a few daemons do, to limit reads of the platform's store.
+func WithContends(isCandidate func() bool) Option {
+	return func(l *Lease) { l.isCandidate = isCandidate }
 }
 
-// WithYields sets whether this daemon hands the lease back to others that are fitter.
-func WithYields(yields func() bool) Option {
-	return func(l *Lease) { l.yields = yields }
+// WithYield sets the function that reports whether this daemon hands the lease back because other
+// daemons are better suited.
+func WithYields(shouldYield func() bool) Option {
+	return func(l *Lease) { l.shouldYield = shouldYield }
 }
 
 // WithEra sets the source of the store's era, which increases each time the store is restored
@@ -97,22 +98,22 @@
 }
 
 const (
-	defaultTime = 15 * spanrill.Second
-	// renewals is how often a lease is renewed within its time.
-	renewals = 3
-	// margin is the part of the time by which a contender waits longer than
-	// the holder counts.
-	margin = 4
-	// handBackLimit bounds the write that hands a lease back.
-	handBackLimit = 2 * spanrill.Second
+	defaultDuration = 15 * spanrill.Second
+	// renewalsPerDuration is how often a lease is renewed within its duration.
+	renewalsPerDuration = 3
+	// marginDivisor sets the margin: other daemons wait longer than the holder by the duration
+	// divided by marginDivisor.
+	marginDivisor = 4
+	// handBackTimeout is the timeout of the write that hands a lease back.
+	handBackTimeout = 2 * spanrill.Second
 )
 
 // New returns a lease that is not held.
 func New(store spanrill.ObjectStore, clock spanrill.Clock, duty, holder string, opts ...Option) *Lease {
 	l := &Lease{
 		store: store, clock: clock, log: logrus.StandardLogger(), duty: duty, holder: holder,
-		time: defaultTime, contends: func() bool { return true },
-		yields: func() bool { return false }, era: func() uint64 { return 0 },
+		duration: defaultDuration, isCandidate: func() bool { return true },
+		shouldYield: func() bool { return false }, era: func() uint64 { return 0 },
 	}
 	for _, o := range opts {
 		o(l)
@@ -120,65 +121,65 @@
 	return l
 }
 
-// Duty returns the lease's name.
+// Duty returns the name of the lease.
 func (l *Lease) Duty() string { return l.duty }
 
 func (l *Lease) key() string { return "leases/" + l.duty }
 
-// Held returns the term if the lease is held now. Its caller looks before each
-// act.
+// Held returns the term if this daemon holds the lease now. Callers must check it before each
+// action.
 func (l *Lease) Held() (term uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.term == 0 || l.clock.Now() >= l.until {
+	if l.term == 0 || l.clock.Now() >= l.expiresAt {
 		return 0, false
 	}
 	return l.term, true
 }
 
-// Left returns the version of a lease that is held, and how long it holds from
-// now, for other daemons.
+// Remaining returns the version of a lease that this daemon holds, and how long it remains valid,
+// to be sent to other daemons. If the lease is not held, it returns an empty version.
 func (l *Lease) Left() (v spanrill.Version, left spanrill.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	left = l.until - l.clock.Now()
+	left = l.expiresAt - l.clock.Now()
 	if l.term == 0 || left <= 0 {
 		return "", 0
 	}
-	return l.seen, left
+	return l.seenVersion, left
 }
 
-// Heard takes a holder's own word for how long its lease holds. When it has
-// lapsed and was not renewed since, this daemon need not watch it for its whole
-// time first.
+// RecordExpiry records how long a lease remains valid according to its holder. Once that time and
+// the margin have passed without a new version, this daemon may acquire the lease without seeing
+// it unchanged for its whole duration first.
 func (l *Lease) Heard(v spanrill.Version, left spanrill.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard, l.lapses = v, l.clock.Now()+left+left/margin
+	l.reportedVersion, l.reportedExpiry = v, l.clock.Now()+left+left/marginDivisor
 }
 
-// Settled reports whether the lease has been held for longer than an order of
-// the holder before can take. Orders to an upstream that does not check fences
-// wait for it.
-func (l *Lease) Settled(longest spanrill.Millis) bool {
+// HeldFor reports whether this daemon holds the lease and acquired it at least d ago. Before it
+// sends orders to an upstream that does not check fencing tokens, a holder waits for the longest
+// time that an order of the previous holder can take.
+func (l *Lease) Settled(d spanrill.Millis) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	return l.term != 0 && now < l.until && now >= l.since+longest
+	return l.term != 0 && now < l.expiresAt && now >= l.acquiredAt+d
 }
 
-// Run takes and renews the lease until the context ends, then hands it back.
+// Run acquires and renews the lease until the context ends, then hands it back.
 func (l *Lease) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		switch {
-		case l.holds() && l.yields():
+		case l.holds() && l.shouldYield():
 			l.handBack()
-		case l.contends() || l.holds():
+		case l.isCandidate() || l.holds():
 			l.Step(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.clock.After(l.time / renewals):
+		case <-l.clock.After(l.duration / renewalsPerDuration):
 		}
 	}
 	l.handBack()
@@ -190,8 +191,8 @@
 	return ok
 }
 
-// Step renews the lease, or takes it if it is free. An error of the platform
-// changes nothing: a lease that cannot be renewed lapses.
+// RenewOrAcquire renews the lease, or acquires it if it is free. After an error of the platform
+// the lease remains as it is, and expires unless a later call succeeds.
 func (l *Lease) Step(ctx context.Context) {
 	if l.renew(ctx) {
 		return
@@ -201,89 +202,88 @@
 		obj, err = spanrill.Object{}, nil
 	}
 	if err != nil {
-		l.noteLapse()
+		l.dropIfExpired()
 		return
 	}
 	var r record
 	if obj.Version != "" && json.Unmarshal(obj.Value, &r) != nil {
 		return
 	}
-	l.noteLapse()
+	l.dropIfExpired()
 	if !l.mayWrite(r, obj.Version) {
 		return
 	}
 	l.write(ctx, r, obj.Version)
 }
 
-// renew writes a lease that is held without reading it first, and reports
-// whether that has worked.
+// renew renews a lease that is held, without reading it first, and reports whether it succeeded.
 func (l *Lease) renew(ctx context.Context) bool {
 	l.mu.Lock()
-	held := l.term != 0 && l.clock.Now() < l.until && l.current.Holder == l.holder && l.current.Term == l.term
-	r, v := l.current, l.seen
+	held := l.term != 0 && l.clock.Now() < l.expiresAt && l.current.Holder == l.holder && l.current.Term == l.term
+	r, v := l.current, l.seenVersion
 	l.mu.Unlock()
 	if !held {
 		return false
 	}
-	until := l.untilNow()
+	until := l.expiry()
 	l.write(ctx, r, v)
-	return l.untilNow() > until
+	return l.expiry() > until
 }
 
-func (l *Lease) untilNow() spanrill.Millis {
+func (l *Lease) expiry() spanrill.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.until
+	return l.expiresAt
 }
 
-// mayWrite reports whether the lease is this daemon's to renew or to take.
+// mayWrite reports whether this daemon may renew or acquire the lease.
 func (l *Lease) mayWrite(r record, v spanrill.Version) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	l.noteRestore(r, v, now)
-	if v != l.seen {
-		l.seen, l.seenAt = v, now
+	if v != l.seenVersion {
+		l.seenVersion, l.seenAt = v, now
 	}
 	l.current = r
 	if l.term != 0 && l.term == r.Term && r.Holder == l.holder {
 		return true
 	}
-	if l.restore.noticedAt > 0 && now-l.restore.noticedAt <= l.time+l.time/margin {
-		return l.term != 0 && now < l.until // another daemon may hold a lease that the store has lost
+	if l.restore.noticedAt > 0 && now-l.restore.noticedAt <= l.duration+l.duration/marginDivisor {
+		return l.term != 0 && now < l.expiresAt // another daemon may hold a lease that the restored store lacks
 	}
 	if v == "" || r.Holder == "" {
 		return true
 	}
-	if v == l.heard && now > l.lapses {
+	if v == l.reportedVersion && now > l.reportedExpiry {
 		return true
 	}
-	return now-l.seenAt > r.Time+r.Time/margin
+	return now-l.seenAt > r.Duration+r.Duration/marginDivisor
 }
 
 func (l *Lease) write(ctx context.Context, r record, v spanrill.Version) {
 	sent := l.clock.Now()
-	next := l.next(r)
+	next := l.nextRecord(r)
 	value, err := json.Marshal(next)
 	if err != nil {
 		return
 	}
 	version, err := l.store.Put(ctx, l.key(), value, v)
 	if errors.Is(err, spanrill.ErrUncertain) {
-		version, err = l.settle(ctx, next)
+		version, err = l.resolveUncertainWrite(ctx, next)
 	}
 	if err != nil {
 		return
 	}
-	l.take(next, version, sent)
+	l.recordWrite(next, version, sent)
 }
 
-// next returns the record of a renewal, or of a new term.
-func (l *Lease) next(r record) record {
+// nextRecord returns the record for a renewal, or for a new term.
+func (l *Lease) nextRecord(r record) record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.writes++
-	n := record{Holder: l.holder, Term: r.Term, Time: l.time, Beat: r.Beat + 1}
+	n := record{Holder: l.holder, Term: r.Term, Duration: l.duration, Beat: r.Beat + 1}
 	n.Write = fmt.Sprintf("%s/%d/%d", l.holder, l.clock.Unix(), l.writes)
 	if l.term == 0 || l.term != r.Term || r.Holder != l.holder {
 		n.Term = l.nextTerm(r.Term)
@@ -291,68 +291,69 @@
 	return n
 }
 
-// settle finds out whether a write whose answer was lost took effect.
-func (l *Lease) settle(ctx context.Context, wrote record) (spanrill.Version, error) {
+// resolveUncertainWrite reads the lease to determine whether a write without an answer took
+// effect.
+func (l *Lease) resolveUncertainWrite(ctx context.Context, written record) (spanrill.Version, error) {
 	obj, err := l.store.Get(ctx, l.key())
 	if err != nil {
-		return "", fmt.Errorf("settle lease: %w", err)
+		return "", fmt.Errorf("read lease after uncertain write: %w", err)
 	}
 	var r record
 	if err := json.Unmarshal(obj.Value, &r); err != nil {
-		return "", fmt.Errorf("settle lease: %w", err)
+		return "", fmt.Errorf("decode lease after uncertain write: %w", err)
 	}
-	if r.Write != wrote.Write {
+	if r.Write != written.Write {
 		return "", spanrill.ErrConflict
 	}
 	return obj.Version, nil
 }
 
-// take notes a write that took effect. The lease holds from before it was sent.
-func (l *Lease) take(r record, v spanrill.Version, sent spanrill.Millis) {
+// recordWrite records a write that took effect. The lease is valid from when the write was sent.
+func (l *Lease) recordWrite(r record, v spanrill.Version, sent spanrill.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.term != r.Term {
-		l.since = l.clock.Now()
+		l.acquiredAt = l.clock.Now()
 		events.LeaseTaken.Log(l.log, logrus.Fields{"duty": l.duty, "term": r.Term})
 	}
-	l.term, l.until = r.Term, sent+r.Time
+	l.term, l.expiresAt = r.Term, sent+r.Duration
 	l.restore.highestTerm = max(l.restore.highestTerm, r.Term)
-	l.seen, l.seenAt, l.current = v, sent, r
+	l.seenVersion, l.seenAt, l.current = v, sent, r
 }
 
-// noteLapse gives up a term whose time is over.
-func (l *Lease) noteLapse() {
+// dropIfExpired drops the term of an expired lease.
+func (l *Lease) dropIfExpired() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.term != 0 && l.clock.Now() >= l.until {
+	if l.term != 0 && l.clock.Now() >= l.expiresAt {
 		events.LeaseLost.Log(l.log, logrus.Fields{"duty": l.duty, "term": l.term})
 		l.term = 0
 	}
 }
 
-// GiveUp drops the lease after an upstream has shown that a newer term exists.
+// Invalidate makes the lease expire now. It is called when an upstream reports a newer term.
 func (l *Lease) GiveUp() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until = l.clock.Now()
+	l.expiresAt = l.clock.Now()
 }
 
-// handBack lets another daemon take the lease at once.
+// handBack clears the holder in the store, so that another daemon can acquire the lease at once.
 func (l *Lease) handBack() {
 	term, ok := l.Held()
 	if !ok {
 		return
 	}
 	l.mu.Lock()
-	free, v := l.current, l.seen
+	handedBack, v := l.current, l.seenVersion
 	l.term = 0
 	l.mu.Unlock()
-	free.Holder = ""
-	value, err := json.Marshal(free)
+	handedBack.Holder = ""
+	value, err := json.Marshal(handedBack)
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), handBackLimit.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), handBackTimeout.Duration())
 	defer cancel()
 	if _, err := l.store.Put(ctx, l.key(), value, v); err == nil {
 		events.LeaseHanded.Log(l.log, logrus.Fields{"duty": l.duty, "term": term})
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -17,29 +17,29 @@
 	"spanrill/transport/httpcall"
 )
 
-const testTime = 15 * spanrill.Second
+const testDuration = 15 * spanrill.Second
 
-// daemons are leases on one platform, each with a clock of its own.
-type world struct {
+// testPlatform is a platform on which several daemons contend for one lease.
+type testPlatform struct {
 	t        *testing.T
 	platform *platform.Platform
 	addr     string
 }
 
-func newWorld(t *testing.T) *world {
+func newTestPlatform(t *testing.T) *testPlatform {
 	t.Helper()
 	p, addr := platformtest.Start(t)
-	return &world{t: t, platform: p, addr: addr}
+	return &testPlatform{t: t, platform: p, addr: addr}
 }
 
-func (w *world) lease(name string, c spanrill.Clock) *Lease {
+func (w *testPlatform) lease(name string, c spanrill.Clock) *Lease {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	store := objectapi.New(w.addr, httpcall.New())
-	return New(store, c, "placement/quebec", name, WithTime(testTime), WithLogger(log))
+	return New(store, c, "placement/quebec", name, WithTime(testDuration), WithLogger(log))
 }
 
-func held(t *testing.T, l *Lease, want bool) uint64 {
+func checkHeld(t *testing.T, l *Lease, want bool) uint64 {
 	t.Helper()
 	term, ok := l.Held()
 	if ok != want {
@@ -49,114 +49,114 @@
 }
 
 func TestOneHolderAtATime(t *testing.T) {
-	w, c, ctx := newWorld(t), clock.NewManual(), context.Background()
+	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
 	a.Step(ctx)
 	b.Step(ctx)
-	held(t, a, true)
-	held(t, b, false)
+	checkHeld(t, a, true)
+	checkHeld(t, b, false)
 	for range 10 {
-		c.Advance(testTime / renewals)
+		c.Advance(testDuration / renewalsPerDuration)
 		a.Step(ctx)
 		b.Step(ctx)
-		held(t, a, true)
-		held(t, b, false)
+		checkHeld(t, a, true)
+		checkHeld(t, b, false)
 	}
 }
 
-// A holder that is frozen past the end of its lease holds nothing when it is
-// thawed, and the term of the next holder is higher.
-func TestFrozenHolderHoldsNothing(t *testing.T) {
-	w, c, ctx := newWorld(t), clock.NewManual(), context.Background()
+// Guards against a holder that still holds its lease after it was frozen beyond its expiry, and
+// against a next holder with the same or a lower term.
+func TestFrozenHolderLosesLease(t *testing.T) {
+	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
 	a.Step(ctx)
-	old := held(t, a, true)
+	old := checkHeld(t, a, true)
 	b.Step(ctx)
 	for range 6 { // a is frozen
-		c.Advance(testTime / renewals)
+		c.Advance(testDuration / renewalsPerDuration)
 		b.Step(ctx)
 		if _, both := b.Held(); both {
-			held(t, a, false)
+			checkHeld(t, a, false)
 		}
 	}
-	if term := held(t, b, true); term <= old {
-		t.Fatalf("the term went from %d to %d", old, term)
+	if term := checkHeld(t, b, true); term <= old {
+		t.Fatalf("term changed from %d to %d, want a higher one", old, term)
 	}
-	held(t, a, false)
+	checkHeld(t, a, false)
 	a.Step(ctx)
-	held(t, a, false)
+	checkHeld(t, a, false)
 }
 
-// The holder counts from before its write was sent: a slow platform shortens
-// the lease and never makes two holders.
-func TestSlowWriteDoesNotLengthenTheLease(t *testing.T) {
-	w, c, ctx := newWorld(t), clock.NewManual(), context.Background()
+// Guards against two holders because of a slow platform: the duration counts from before the write
+// is sent, so that a slow write shortens the lease.
+func TestSlowWriteDoesNotExtendTheLease(t *testing.T) {
+	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a := w.lease("a", c)
-	slow := &slowStore{ObjectStore: a.store, clock: c, delay: testTime}
+	slow := &slowStore{ObjectStore: a.store, clock: c, delay: testDuration}
 	a.store = slow
 	a.Step(ctx)
-	held(t, a, false)
+	checkHeld(t, a, false)
 }
 
-// slowStore answers a write only after some time.
+// slowStore advances the clock before it answers a write.
 type slowStore struct {
 	spanrill.ObjectStore
 	clock *clock.Manual
 	delay spanrill.Millis
 }
 
-// Put writes and then lets time pass.
+// Put writes and then advances the clock.
 func (s *slowStore) Put(ctx context.Context, key string, value []byte, expect spanrill.Version) (spanrill.Version, error) {
 	v, err := s.ObjectStore.Put(ctx, key, value, expect)
 	s.clock.Advance(s.delay)
 	return v, err
 }
 
-func TestLostAnswerIsSettledByReading(t *testing.T) {
-	w, c, ctx := newWorld(t), clock.NewManual(), context.Background()
+func TestLostAnswerIsResolvedByReading(t *testing.T) {
+	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
 	w.platform.SetFaults(platform.Faults{LoseAnswers: 1})
 	a.Step(ctx)
-	held(t, a, true)
+	checkHeld(t, a, true)
 	w.platform.SetFaults(platform.Faults{LoseRequests: 1})
-	c.Advance(testTime / renewals)
+	c.Advance(testDuration / renewalsPerDuration)
 	a.Step(ctx)
 	b.Step(ctx)
-	held(t, a, true) // by its first write
-	held(t, b, false)
+	checkHeld(t, a, true) // because of its first write
+	checkHeld(t, b, false)
 }
 
-func TestLeaseLapsesDuringAnOutage(t *testing.T) {
-	w, c, ctx := newWorld(t), clock.NewManual(), context.Background()
+func TestLeaseExpiresDuringAnOutage(t *testing.T) {
+	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a := w.lease("a", c)
 	a.Step(ctx)
 	w.platform.SetFaults(platform.Faults{Down: true})
-	for range renewals + 1 {
-		c.Advance(testTime / renewals)
+	for range renewalsPerDuration + 1 {
+		c.Advance(testDuration / renewalsPerDuration)
 		a.Step(ctx)
 	}
-	held(t, a, false)
+	checkHeld(t, a, false)
 	w.platform.SetFaults(platform.Faults{})
-	for range renewals + 2 {
-		c.Advance(testTime / renewals)
+	for range renewalsPerDuration + 2 {
+		c.Advance(testDuration / renewalsPerDuration)
 		a.Step(ctx)
 	}
-	held(t, a, true)
+	checkHeld(t, a, true)
 }
 
-func TestHandedBackLeaseIsTakenAtOnce(t *testing.T) {
-	w, c, ctx := newWorld(t), clock.NewManual(), context.Background()
+func TestHandedBackLeaseIsAvailableAtOnce(t *testing.T) {
+	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
 	a.Step(ctx)
 	a.handBack()
-	held(t, a, false)
+	checkHeld(t, a, false)
 	b.Step(ctx)
-	held(t, b, true)
+	checkHeld(t, b, true)
 }
 
-// A daemon that was frozen between its look and its act sends an order of an
-// old term. An engine that checks fences refuses it; one that does not takes
-// it, which is why a new holder waits and reads back.
+// A daemon that was frozen after it checked its lease sends an order with an old term. Guards
+// against an engine that checks fencing tokens and accepts it. An engine that does not check them
+// accepts it, which is why a new holder waits and reads back.
 func TestFenceRefusesTheOrderOfAFrozenHolder(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		e := engine.New("e1")
@@ -177,56 +177,55 @@
 			t.Fatal(err)
 		}
 		if err := order(1, 4); (err == nil) != ignores {
-			t.Errorf("ignores fences %v: the old order got %v", ignores, err)
+			t.Errorf("ignores fences: %v, error of the order with the old term: %v", ignores, err)
 		}
 	}
 }
 
-func TestSettledWaitsOutEarlierOrders(t *testing.T) {
-	w, c := newWorld(t), clock.NewManual()
+func TestNewHolderWaitsForEarlierOrders(t *testing.T) {
+	w, c := newTestPlatform(t), clock.NewManual()
 	a := w.lease("a", c)
 	a.Step(context.Background())
 	if a.Settled(3 * spanrill.Second) {
-		t.Fatal("settled at once")
+		t.Fatal("HeldFor is true at once")
 	}
 	c.Advance(3 * spanrill.Second)
 	if !a.Settled(3 * spanrill.Second) {
-		t.Fatal("not settled after the longest order")
+		t.Fatal("HeldFor is false after the longest order")
 	}
 }
 
-// A daemon that has heard from the holder for how long its lease holds takes it
-// when that time is over, without watching it for the whole time first, and not
-// before.
-func TestHeardLeaseIsTakenWhenItLapses(t *testing.T) {
-	w, c, ctx := newWorld(t), clock.NewManual(), context.Background()
+// Guards against acquiring a lease before the expiry that its holder reported, and against waiting
+// for the whole duration after that expiry.
+func TestReportedLeaseIsAcquiredWhenItExpires(t *testing.T) {
+	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
 	a.Step(ctx)
-	c.Advance(testTime / 2)
+	c.Advance(testDuration / 2)
 	v, left := a.Left()
 	b.Heard(v, left)
 	b.Step(ctx)
-	held(t, b, false)
+	checkHeld(t, b, false)
 	c.Advance(left)
-	held(t, a, false)
+	checkHeld(t, a, false)
 	b.Step(ctx)
-	held(t, b, false) // the margin is not over
-	c.Advance(left/margin + 1)
+	checkHeld(t, b, false) // the margin has not passed
+	c.Advance(left/marginDivisor + 1)
 	b.Step(ctx)
-	held(t, b, true)
+	checkHeld(t, b, true)
 }
 
-// A lease that was renewed since it was heard of is not taken.
-func TestRenewedLeaseIsNotTaken(t *testing.T) {
-	w, c, ctx := newWorld(t), clock.NewManual(), context.Background()
+// Guards against acquiring a lease that was renewed after its holder reported the expiry.
+func TestRenewedReportedLeaseIsNotAcquired(t *testing.T) {
+	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
 	a.Step(ctx)
 	v, left := a.Left()
 	b.Heard(v, left)
-	c.Advance(testTime - 1)
+	c.Advance(testDuration - 1)
 	a.Step(ctx)
-	c.Advance(testTime/margin + 2)
+	c.Advance(testDuration/marginDivisor + 2)
 	b.Step(ctx)
-	held(t, b, false)
-	held(t, a, true)
+	checkHeld(t, b, false)
+	checkHeld(t, a, true)
 }
--- a/coordination/lease/restore.go
+++ b/coordination/lease/restore.go
@@ -16,7 +16,7 @@
 func (l *Lease) noteRestore(r record, v spanrill.Version, now spanrill.Millis) {
 	era := l.era()
 	wentBack := v == "" || r.Term < l.restore.highestTerm || r.Term == l.current.Term && r.Beat < l.current.Beat
-	if l.restore.era > 0 && era > l.restore.era || l.seen != "" && v != l.seen && wentBack {
+	if l.restore.era > 0 && era > l.restore.era || l.seenVersion != "" && v != l.seenVersion && wentBack {
 		l.restore.noticedAt = now
 	}
 	l.restore.era = era
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -46,7 +46,7 @@
 func TestTakeoverAfterRestore(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		older      func(first, handedBack spanrill.Object) spanrill.Object
+		restored   func(first, handedBack spanrill.Object) spanrill.Object
 		reportsEra bool
 	}{
 		{"the lease is missing", func(_, _ spanrill.Object) spanrill.Object { return spanrill.Object{} }, true},
@@ -63,7 +63,7 @@
 				if !test.reportsEra {
 					era = func() uint64 { return 0 }
 				}
-				return New(store, c, "placement", name, WithTime(testTime), WithEra(era))
+				return New(store, c, "placement", name, WithTime(testDuration), WithEra(era))
 			}
 			first, a, b := lease("first"), lease("a"), lease("b")
 			first.Step(ctx)
@@ -72,17 +72,17 @@
 			free := store.object
 			a.Step(ctx)
 			b.Step(ctx)
-			before := held(t, a, true)
-			store.restore(test.older(firstRecord, free))
-			for range 3 * renewals {
+			before := checkHeld(t, a, true)
+			store.restore(test.restored(firstRecord, free))
+			for range 3 * renewalsPerDuration {
 				b.Step(ctx) // a has no connection to the store
 				_, other := b.Held()
 				if _, both := a.Held(); both && other {
 					t.Fatal("two daemons hold the lease")
 				}
-				c.Advance(testTime / renewals)
+				c.Advance(testDuration / renewalsPerDuration)
 			}
-			if term := held(t, b, true); term <= before {
+			if term := checkHeld(t, b, true); term <= before {
 				t.Errorf("term changed from %d to %d, want a higher one", before, term)
 			}
 		})
@@ -93,14 +93,14 @@
 func TestHolderKeepsLeaseAfterRestore(t *testing.T) {
 	store, c, ctx := &fakeStore{era: 1}, clock.NewManual(), context.Background()
 	c.Advance(1000)
-	a := New(store, c, "placement", "a", WithTime(testTime), WithEra(func() uint64 { return store.era }))
+	a := New(store, c, "placement", "a", WithTime(testDuration), WithEra(func() uint64 { return store.era }))
 	a.Step(ctx)
-	before := held(t, a, true)
+	before := checkHeld(t, a, true)
 	store.restore(spanrill.Object{})
-	for range 2 * renewals {
-		c.Advance(testTime / renewals)
+	for range 2 * renewalsPerDuration {
+		c.Advance(testDuration / renewalsPerDuration)
 		a.Step(ctx)
-		if term := held(t, a, true); term < before {
+		if term := checkHeld(t, a, true); term < before {
 			t.Errorf("term decreased from %d to %d", before, term)
 		}
 	}
