--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -1,18 +1,17 @@
-// Package claim makes a call with an idempotency key run at most once.
+// Package claim ensures that a call with an idempotency key runs at most once.
 //
-// Before the call is handed to an upstream, its key is claimed: a record in a
-// slot of the platform names the one attempt that may run it. Claims of a slot
-// are gathered by one daemon and written together, since the platform takes
-// about a hundred writes a second from the whole fleet. If that daemon cannot
-// be reached, the claim is written directly, which is safe because each write
-// is conditional.
+// Before a call is sent to an upstream, its key is claimed: a record in one of the platform's
+// objects, the slots, names the only attempt that may run the call. One daemon collects the claims
+// of a slot and writes them in batches, because the platform accepts about a hundred writes
+// a second from the whole fleet. If that daemon is unreachable, the claim is written directly.
+// This is safe because each write is conditional.
 //
-// A call whose claim cannot be written is refused as not run. A caller that
-// repeats a key gets the recorded outcome, or is told that it is unknown.
+// A call whose claim cannot be written is refused with the outcome not-run. A caller that repeats
+// a key gets the recorded outcome, or the outcome unknown if none is recorded yet.
 //
 // # Usage
 //
-//	claims := claim.New(keeper, owners, clock)
+//	claims := claim.New(keeper, owners, messenger, clock, random)
 //	answer, refusal := claims.Do(ctx, scope, key, req, run)
 package claim
 
@@ -32,63 +31,62 @@
 	"spanrill/state/record"
 )
 
-// Owners finds the daemon that gathers the claims of a slot.
+// Owners finds the daemon that writes the claims of a slot.
 type Owners interface {
-	// Owner returns the peer address of the slot's daemon, or "" for this one.
+	// Owner returns the peer address of the daemon that owns a slot, or "" for this daemon.
 	Owner(slot int) string
 }
 
-// Asker sends messages to peers.
-type Asker interface {
+// Messenger sends messages to peers.
+type Messenger interface {
 	// Ask sends a request and decodes its reply.
 	Ask(ctx context.Context, addr string, kind uint8, req, reply any) error
-	// Tell sends a message that gets no reply.
+	// Tell sends a message without a reply.
 	Tell(addr string, kind uint8, msg any) error
 }
 
-// Claims makes calls run at most once.
+// Claims claims the keys of calls, so that each call runs at most once.
 type Claims struct {
-	keeper *Keeper
-	owners Owners
-	asker  Asker
-	clock  spanrill.Clock
-	random *rng.Source
-	log    logrus.FieldLogger
+	keeper    *Keeper
+	owners    Owners
+	messenger Messenger
+	clock     spanrill.Clock
+	random    *rng.Source
+	log       logrus.FieldLogger
 }
 
 // Option changes a default of New.
 type Option func(*Claims)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(c *Claims) { c.log = log }
 }
 
 const (
-	askLimit   = 1500 * spanrill.Millis(1) // for the slot's daemon to answer
-	claimLimit = 3 * spanrill.Second       // for a claim altogether
-	// grantLimit is how old a grant may be when the call is handed on. It is
-	// far below record.Lifetime, so that a daemon that was frozen does not act
-	// on a grant that has expired.
-	grantLimit    = 10 * spanrill.Second
-	retryPlatform = 2 * spanrill.Second
-	retryPending  = spanrill.Second
+	askTimeout   = 1500 * spanrill.Millis(1) // for the answer of the slot's owner
+	claimTimeout = 3 * spanrill.Second       // for the whole claim
+	// maxGrantAge is the maximum age of a grant when the call is sent to an upstream. It is far
+	// below record.Lifetime, so that a daemon that was frozen does not use an expired grant.
+	maxGrantAge        = 10 * spanrill.Second
+	platformRetryAfter = 2 * spanrill.Second
+	pendingRetryAfter  = spanrill.Second
 )
 
-// New returns claims that are kept by keeper or by the owners of their slots.
-func New(keeper *Keeper, owners Owners, asker Asker, clock spanrill.Clock, random *rng.Source, opts ...Option) *Claims {
-	c := &Claims{keeper: keeper, owners: owners, asker: asker, clock: clock, random: random, log: logrus.StandardLogger()}
+// New returns claims that are written by the owners of their slots, or by keeper.
+func New(keeper *Keeper, owners Owners, asker Messenger, clock spanrill.Clock, random *rng.Source, opts ...Option) *Claims {
+	c := &Claims{keeper: keeper, owners: owners, messenger: asker, clock: clock, random: random, log: logrus.StandardLogger()}
 	for _, o := range opts {
 		o(c)
 	}
 	return c
 }
 
-// Run makes the call.
+// Run is a function that makes the call.
 type Run func() (*spanrill.ServiceAnswer, *spanrill.Refusal)
 
-// Do makes the call if its key is free, or returns the outcome of the call
-// that had the key first.
+// Do claims the key and makes the call. If the key is already claimed, it returns the outcome of
+// the call that claimed it first.
 func (c *Claims) Do(ctx context.Context, scope, key string, req *spanrill.ServiceRequest, run func() (*spanrill.ServiceAnswer, *spanrill.Refusal)) (*spanrill.ServiceAnswer, *spanrill.Refusal) {
 	r := record.Record{
 		Key: scope + "/" + key, Digest: digest(req), At: c.clock.Unix(),
@@ -98,14 +96,14 @@
 	granted, first, err := c.claim(ctx, r)
 	if err != nil {
 		c.release(r)
-		return nil, c.unclaimed(err)
+		return nil, c.refuseUnclaimed(err)
 	}
 	if !granted {
-		return c.repeat(r, first)
+		return c.answerRepeat(r, first)
 	}
-	if c.clock.Now()-started > grantLimit {
+	if c.clock.Now()-started > maxGrantAge {
 		c.release(r)
-		return nil, spanrill.NewRefusal(spanrill.ReasonPlatformDown, "the claim of the key came too late").WithRetryAfter(retryPlatform)
+		return nil, spanrill.NewRefusal(spanrill.ReasonPlatformDown, "claiming the idempotency key took too long").WithRetryAfter(platformRetryAfter)
 	}
 	answer, refusal := run()
 	c.settle(r, answer, refusal)
@@ -119,14 +117,14 @@
 	return d.Sum64()
 }
 
-// claim asks the slot's daemon, and writes directly if that one fails. Both
-// claim for the same attempt, so that it does not matter if both succeed.
+// claim asks the slot's owner, and writes the claim directly if the owner does not answer. Both
+// claim the key for the same attempt, so that both may succeed.
 func (c *Claims) claim(ctx context.Context, r record.Record) (bool, record.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, claimLimit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout.Duration())
 	defer cancel()
 	slot := record.SlotOf(r.Key)
 	if addr := c.owners.Owner(slot); addr != "" {
-		granted, first, err := c.ask(ctx, addr, slot, r)
+		granted, first, err := c.claimAtOwner(ctx, addr, slot, r)
 		if err == nil || errors.Is(err, spanrill.ErrUnavailable) {
 			return granted, first, err
 		}
@@ -134,8 +132,8 @@
 	return c.keeper.Claim(ctx, slot, r)
 }
 
-func (c *Claims) ask(ctx context.Context, addr string, slot int, r record.Record) (bool, record.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit.Duration())
+func (c *Claims) claimAtOwner(ctx context.Context, addr string, slot int, r record.Record) (bool, record.Record, error) {
+	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -143,7 +141,7 @@
 	}
 	var reply peermsg.Claimed
 	msg := &peermsg.Claim{Slot: slot, Record: value}
-	if err := c.asker.Ask(ctx, addr, uint8(peermsg.KindClaim), msg, &reply); err != nil {
+	if err := c.messenger.Ask(ctx, addr, uint8(peermsg.KindClaim), msg, &reply); err != nil {
 		return false, record.Record{}, fmt.Errorf("ask owner of slot: %w", err)
 	}
 	if reply.Failed != "" {
@@ -156,19 +154,19 @@
 	return reply.Granted, first, nil
 }
 
-// unclaimed refuses a call whose key could not be claimed. It was not handed
-// to any upstream.
-func (c *Claims) unclaimed(err error) *spanrill.Refusal {
+// refuseUnclaimed returns the refusal of a call whose key could not be claimed. The call was not
+// sent to any upstream.
+func (c *Claims) refuseUnclaimed(err error) *spanrill.Refusal {
 	reason := spanrill.ReasonPlatformDown
 	if errors.Is(err, ErrFull) || errors.Is(err, ErrBusy) {
 		reason = spanrill.ReasonClaimsFull
 	}
-	return spanrill.NewRefusal(reason, "the idempotency key cannot be claimed: %v", err).WithRetryAfter(retryPlatform)
+	return spanrill.NewRefusal(reason, "the idempotency key cannot be claimed: %v", err).WithRetryAfter(platformRetryAfter)
 }
 
-// repeat answers a caller whose key was claimed before.
-func (c *Claims) repeat(mine, first record.Record) (*spanrill.ServiceAnswer, *spanrill.Refusal) {
-	if first.Digest != mine.Digest {
+// answerRepeat returns the recorded outcome of a key that was claimed before.
+func (c *Claims) answerRepeat(requested, first record.Record) (*spanrill.ServiceAnswer, *spanrill.Refusal) {
+	if first.Digest != requested.Digest {
 		return nil, spanrill.NewRefusal(spanrill.ReasonKeyReused, "the idempotency key belongs to another request")
 	}
 	if answer := first.Answer(); answer != nil {
@@ -180,19 +178,18 @@
 			WithOutcome(first.Outcome)
 	}
 	return nil, spanrill.NewRefusal(spanrill.ReasonClaimOutstanding, "an earlier call with this key has no outcome yet").
-		WithOutcome(spanrill.OutcomeUnknown).WithRetryAfter(retryPending)
+		WithOutcome(spanrill.OutcomeUnknown).WithRetryAfter(pendingRetryAfter)
 }
 
-// HeaderReplayed marks an answer that was recorded for an earlier call.
+// HeaderReplayed marks an answer recorded from an earlier call.
 const HeaderReplayed = "Idempotent-Replayed"
 
-// release gives a key back that may have been claimed for a call that was not
-// made.
+// release frees a key that may have been claimed for a call that was not made.
 func (c *Claims) release(r record.Record) {
 	c.settle(r, nil, spanrill.NewRefusal(spanrill.ReasonPlatformDown, "not claimed"))
 }
 
-// settle records how the call ended.
+// settle records the outcome of a call, at the slot's owner or directly.
 func (c *Claims) settle(r record.Record, answer *spanrill.ServiceAnswer, refusal *spanrill.Refusal) {
 	outcome := spanrill.OutcomeRan
 	if refusal != nil {
@@ -200,7 +197,7 @@
 	}
 	r.End(answer, outcome)
 	slot := record.SlotOf(r.Key)
-	if addr := c.owners.Owner(slot); addr != "" && c.tell(addr, slot, r) == nil {
+	if addr := c.owners.Owner(slot); addr != "" && c.settleAtOwner(addr, slot, r) == nil {
 		return
 	}
 	if !c.keeper.Settle(slot, r) {
@@ -208,21 +205,21 @@
 	}
 }
 
-func (c *Claims) tell(addr string, slot int, r record.Record) error {
+func (c *Claims) settleAtOwner(addr string, slot int, r record.Record) error {
 	value, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("encode record: %w", err)
 	}
-	return c.asker.Tell(addr, uint8(peermsg.KindSettle), &peermsg.Settle{Slot: slot, Record: value})
+	return c.messenger.Tell(addr, uint8(peermsg.KindSettle), &peermsg.Settle{Slot: slot, Record: value})
 }
 
-// Serve answers the claim of another daemon.
+// HandleClaim answers the claim of another daemon.
 func (c *Claims) Serve(ctx context.Context, m *peermsg.Claim) *peermsg.Claimed {
 	var r record.Record
 	if err := json.Unmarshal(m.Record, &r); err != nil {
 		return &peermsg.Claimed{Failed: err.Error()}
 	}
-	ctx, cancel := context.WithTimeout(ctx, askLimit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
 	granted, first, err := c.keeper.Claim(ctx, m.Slot, r)
 	if err != nil {
@@ -235,7 +232,7 @@
 	return &peermsg.Claimed{Granted: granted, Record: value}
 }
 
-// ServeSettle takes the settlement of another daemon.
+// HandleSettle records the outcome that another daemon sent.
 func (c *Claims) ServeSettle(m *peermsg.Settle) {
 	var r record.Record
 	if json.Unmarshal(m.Record, &r) == nil {
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -19,14 +19,14 @@
 	"spanrill/transport/httpcall"
 )
 
-// alone is a daemon that owns all slots and has no peers.
-type alone struct{}
+// noPeers implements Owners and Messenger for a daemon that owns all slots and has no peers.
+type noPeers struct{}
 
-func (alone) Owner(int) string { return "" }
+func (noPeers) Owner(int) string { return "" }
 
-func (alone) Ask(context.Context, string, uint8, any, any) error { return errors.New("no peers") }
+func (noPeers) Ask(context.Context, string, uint8, any, any) error { return errors.New("no peers") }
 
-func (alone) Tell(string, uint8, any) error { return errors.New("no peers") }
+func (noPeers) Tell(string, uint8, any) error { return errors.New("no peers") }
 
 func startPlatform(t *testing.T) (*platform.Platform, spanrill.ObjectStore) {
 	t.Helper()
@@ -34,17 +34,16 @@
 	return p, objectapi.New(addr, httpcall.New(), objectapi.WithTimeout(300))
 }
 
-// newClaims returns the claims of a daemon that believes that it owns all
-// slots.
+// newClaims returns the claims of a daemon that considers itself the owner of all slots.
 func newClaims(t *testing.T, store spanrill.ObjectStore, seed uint64) *Claims {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	k := NewKeeper(ctx, store, clock.NewSystem(), WithGap(5))
+	k := NewKeeper(ctx, store, clock.NewSystem(), WithWriteInterval(5))
 	t.Cleanup(func() { cancel(); _ = k.Wait() })
-	return New(k, alone{}, alone{}, clock.NewSystem(), rng.New(seed))
+	return New(k, noPeers{}, noPeers{}, clock.NewSystem(), rng.New(seed))
 }
 
-// counter counts how often each key ran.
+// counter counts the runs of each key.
 type counter struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -64,9 +63,9 @@
 	return c.Do(context.Background(), "account", key, req, run)
 }
 
-// Daemons that are parted each believe that they own a slot. The conditional
-// update alone decides.
-func TestPartedOwnersGrantAKeyOnce(t *testing.T) {
+// Guards against granting a key twice when several daemons consider themselves the owner of a slot,
+// as after a network partition.
+func TestConcurrentOwnersGrantAKeyOnce(t *testing.T) {
 	_, store := startPlatform(t)
 	var parted []*Claims
 	for i := range 4 {
@@ -99,9 +98,9 @@
 	}
 }
 
-// Writes whose answers are lost, writes that are lost, and a platform that
-// fails every third call.
-func TestKeysRunAtMostOnceOnABadPlatform(t *testing.T) {
+// Guards against a second run of a key, and a wrong outcome not-run, when answers and requests of
+// writes are lost and the platform fails every third call.
+func TestKeysRunAtMostOnceOnAFailingPlatform(t *testing.T) {
 	p, store := startPlatform(t)
 	daemons := []*Claims{newClaims(t, store, 1), newClaims(t, store, 2)}
 	count := &counter{runs: map[string]int{}}
@@ -112,7 +111,7 @@
 			before := count.runs[key]
 			_, refusal := do(c, key, count.run(key))
 			if refusal != nil && refusal.Outcome() == spanrill.OutcomeNotRun && count.runs[key] != before {
-				t.Errorf("%s was told not-run and ran", key)
+				t.Errorf("%s ran, but its outcome is not-run", key)
 			}
 		}
 	}
@@ -123,8 +122,8 @@
 	}
 }
 
-// A key whose call did not run can be used again.
-func TestKeyOfACallThatDidNotRunIsFree(t *testing.T) {
+// Guards against keeping the claim of a call that did not run.
+func TestKeyOfACallThatDidNotRunIsReleased(t *testing.T) {
 	_, store := startPlatform(t)
 	c := newClaims(t, store, 1)
 	refused := func() (*spanrill.ServiceAnswer, *spanrill.Refusal) {
@@ -139,15 +138,15 @@
 		_, _ = do(c, "k", count.run("k"))
 	}
 	if count.runs["k"] != 1 {
-		t.Fatalf("ran %d times", count.runs["k"])
+		t.Fatalf("the key ran %d times, want 1", count.runs["k"])
 	}
 }
 
-// Claims that come together cost one write.
-func TestClaimsAreWrittenTogether(t *testing.T) {
+// Guards against a write for each of many concurrent claims.
+func TestConcurrentClaimsAreBatched(t *testing.T) {
 	p, store := startPlatform(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	k := NewKeeper(ctx, store, clock.NewSystem(), WithGap(200))
+	k := NewKeeper(ctx, store, clock.NewSystem(), WithWriteInterval(200))
 	t.Cleanup(func() { cancel(); _ = k.Wait() })
 	var wg sync.WaitGroup
 	for i := range 500 {
@@ -160,7 +159,7 @@
 	}
 	wg.Wait()
 	if w := p.Calls().Writes; w > 10 {
-		t.Fatalf("500 claims cost %d writes", w)
+		t.Fatalf("%d writes for 500 claims, want at most 10", w)
 	}
 }
 
@@ -170,7 +169,7 @@
 	s.Put(record.Record{Key: "new", At: record.Lifetime})
 	s.Expire(record.Lifetime + 1)
 	if _, ok := s.Find("old"); ok || s.Len() != 1 {
-		t.Fatalf("%d records are left", s.Len())
+		t.Fatalf("%d records remain, want only the new one", s.Len())
 	}
 }
 
@@ -184,7 +183,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p, store := startPlatform(t)
 			ctx, cancel := context.WithCancel(context.Background())
-			k := NewKeeper(ctx, store, clock.NewSystem(), WithGap(5))
+			k := NewKeeper(ctx, store, clock.NewSystem(), WithWriteInterval(5))
 			t.Cleanup(func() { cancel(); _ = k.Wait() })
 			claim := func(key, attempt string) bool {
 				granted, _, err := k.Claim(ctx, 0, record.Record{Key: key, Attempt: attempt, At: clock.NewSystem().Unix()})
--- a/coordination/claim/keeper.go
+++ b/coordination/claim/keeper.go
@@ -11,22 +11,22 @@
 	"spanrill/task"
 )
 
-// Errors of a claim. None of them means that the call ran.
+// Errors of a claim. With each of them the call has not run.
 var (
-	// ErrBusy means that too many claims wait.
-	ErrBusy = errors.New("too many claims wait")
-	// ErrFull means that the slot holds as many records as fit.
+	// ErrBusy means that the queue of claims for the slot is full.
+	ErrBusy = errors.New("too many claims are waiting")
+	// ErrFull means that the records of the slot have reached the maximum size.
 	ErrFull = errors.New("slot is full")
 )
 
-// Keeper writes the records of slots, many at a time. Every daemon has one.
-// Which daemon's keeper is asked is a matter of cost alone: each write is
-// conditional on the object's version, so that two keepers of one slot, or one
-// that was frozen, cannot grant a key twice.
+// Keeper writes the records of slots in batches. Every daemon has one. It is safe to use the
+// keeper of any daemon, and only cheaper to use the same one: each write is conditional on the
+// object's version, so that neither two keepers of a slot nor one that was frozen can grant a key
+// twice.
 type Keeper struct {
-	store spanrill.ObjectStore
-	clock spanrill.Clock
-	gap   spanrill.Millis
+	store         spanrill.ObjectStore
+	clock         spanrill.Clock
+	writeInterval spanrill.Millis
 
 	mu    sync.Mutex
 	slots map[int]*slotKeeper
@@ -37,54 +37,55 @@
 // KeeperOption changes a default of NewKeeper.
 type KeeperOption func(*Keeper)
 
-// WithGap sets the pause between two writes of one slot.
-func WithGap(d spanrill.Millis) KeeperOption {
-	return func(k *Keeper) { k.gap = d }
+// WithWriteInterval sets the minimum interval between writes of a slot.
+func WithWriteInterval(d spanrill.Millis) KeeperOption {
+	return func(k *Keeper) { k.writeInterval = d }
 }
 
 const (
-	// defaultGap times record.Slots keeps the fleet at 40 writes a second.
-	defaultGap = 400 * spanrill.Millis(1)
-	maxWaiting = 4096 // claims that wait for one slot
-	maxBatch   = 1024 // claims in one write
-	// maxSlot leaves room below the platform's largest value.
-	maxSlot = 1<<20 - 1<<12
-	// failFast is how long claims fail at once after the platform failed.
-	failFast  = 300 * spanrill.Millis(1)
-	settleGap = 100 * spanrill.Millis(1)
-	maxTries  = 3 // of one write whose effect is unknown
+	// defaultWriteInterval limits the fleet to 40 writes a second over all record.Slots slots.
+	defaultWriteInterval = 400 * spanrill.Millis(1)
+	maxWaiting           = 4096 // claims and settlements queued for a slot
+	maxBatch             = 1024 // claims and settlements in one write
+	// maxSlotBytes is below the maximum size of a value in the platform.
+	maxSlotBytes = 1<<20 - 1<<12
+	// failFastDuration is how long claims fail without a write after a write has failed.
+	failFastDuration = 300 * spanrill.Millis(1)
+	writeRetryDelay  = 100 * spanrill.Millis(1)
+	maxWriteAttempts = 3 // of a write whose effect is unknown
 )
 
-// NewKeeper returns a keeper that works until ctx ends.
+// NewKeeper returns a keeper that writes until ctx ends.
 func NewKeeper(ctx context.Context, store spanrill.ObjectStore, clock spanrill.Clock, opts ...KeeperOption) *Keeper {
-	k := &Keeper{store: store, clock: clock, gap: defaultGap, slots: map[int]*slotKeeper{}, ctx: ctx}
+	k := &Keeper{store: store, clock: clock, writeInterval: defaultWriteInterval, slots: map[int]*slotKeeper{}, ctx: ctx}
 	for _, o := range opts {
 		o(k)
 	}
 	return k
 }
 
-// Wait returns when the keeper's goroutines have ended.
+// Wait waits for the keeper's goroutines to end.
 func (k *Keeper) Wait() error { return k.tasks.Wait() }
 
-// request is a claim or a settlement that waits for a write.
+// request is a claim or a settlement to be written.
 type request struct {
-	record record.Record
-	settle bool
-	answer chan result
+	record       record.Record
+	isSettlement bool
+	answer       chan result
 }
 
-// result answers a claim.
+// result is the result of a claim.
 type result struct {
 	granted bool
 	record  record.Record
 	err     error
 }
 
-// Claim grants the record's attempt, or returns the record that was first.
+// Claim claims the record's key for its attempt. It reports whether the key was granted, and
+// returns the record that holds the key.
 func (k *Keeper) Claim(ctx context.Context, slot int, r record.Record) (bool, record.Record, error) {
 	req := request{record: r, answer: make(chan result, 1)}
-	if !k.slot(slot).put(req) {
+	if !k.slot(slot).enqueue(req) {
 		return false, record.Record{}, ErrBusy
 	}
 	select {
@@ -95,19 +96,19 @@
 	}
 }
 
-// Settle writes down how a claimed call ended. A record of a call that did not
-// run is removed, so that the key can be claimed again.
+// Settle queues the outcome of a claimed call to be written, and reports whether the queue had
+// room. The record of a call that did not run is removed, so that its key can be claimed again.
 func (k *Keeper) Settle(slot int, r record.Record) bool {
-	return k.slot(slot).put(request{record: r, settle: true, answer: make(chan result, 1)})
+	return k.slot(slot).enqueue(request{record: r, isSettlement: true, answer: make(chan result, 1)})
 }
 
-func (k *Keeper) slot(n int) *slotKeeper {
+func (k *Keeper) slot(number int) *slotKeeper {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := k.slots[n]
+	s := k.slots[number]
 	if s == nil {
-		s = &slotKeeper{keeper: k, key: record.ObjectKey(n), queue: make(chan request, maxWaiting)}
-		k.slots[n] = s
+		s = &slotKeeper{keeper: k, key: record.ObjectKey(number), queue: make(chan request, maxWaiting)}
+		k.slots[number] = s
 		k.tasks.Start(k.ctx, "slot keeper", s.run)
 	}
 	return s
--- a/coordination/claim/slot.go
+++ b/coordination/claim/slot.go
@@ -10,23 +10,23 @@
 	"spanrill/state/record"
 )
 
-// slotKeeper writes one slot. Its goroutine owns all fields but the queue.
+// slotKeeper writes a slot. Its goroutine owns all fields except queue.
 type slotKeeper struct {
-	keeper  *Keeper
-	key     string
-	queue   chan request
-	slot    *record.Slot // as last read or written, or nil
-	version spanrill.Version
-	written spanrill.Millis // when the slot was written last
-	failed  spanrill.Millis // until when claims fail at once
-	settled []request       // settlements that still have to be written
-
-	lastWritten *record.Slot // as last written or found up to date, kept across reloads, or nil
-	recovered   bool         // slot holds recovered records that are not written yet
+	keeper        *Keeper
+	key           string
+	queue         chan request
+	slot          *record.Slot // as last read or written, or nil if unknown
+	version       spanrill.Version
+	writtenAt     spanrill.Millis // when the slot was last written
+	failFastUntil spanrill.Millis // until when claims fail without a write
+	settlements   []request       // settlements not written yet
+
+	lastWritten *record.Slot // as last written or found up to date, also after a reload, or nil
+	recovered   bool         // whether slot contains recovered records not written yet
 }
 
-// put queues a request and reports whether there was room.
-func (s *slotKeeper) put(r request) bool {
+// enqueue queues a request and reports whether the queue had room.
+func (s *slotKeeper) enqueue(r request) bool {
 	select {
 	case s.queue <- r:
 		return true
@@ -41,26 +41,26 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case r := <-s.queue:
-			s.serve(ctx, s.gather(ctx, r))
-		case <-s.retry():
-			s.serve(ctx, nil)
+			s.processBatch(ctx, s.collectBatch(ctx, r))
+		case <-s.retryTimer():
+			s.processBatch(ctx, nil)
 		}
 	}
 }
 
-// retry fires when settlements wait that could not be written before.
-func (s *slotKeeper) retry() <-chan spanrill.Millis {
-	if len(s.settled) == 0 {
+// retryTimer fires when settlements are to be written again after a failure.
+func (s *slotKeeper) retryTimer() <-chan spanrill.Millis {
+	if len(s.settlements) == 0 {
 		return nil
 	}
-	return s.keeper.clock.After(s.keeper.gap)
+	return s.keeper.clock.After(s.keeper.writeInterval)
 }
 
-// gather waits until the slot may be written again and takes what has come by
-// then. A claim on a quiet slot is written at once.
-func (s *slotKeeper) gather(ctx context.Context, first request) []request {
+// collectBatch waits until the slot may be written again, and returns the first request together
+// with those queued by then. If the slot was not written recently, it does not wait.
+func (s *slotKeeper) collectBatch(ctx context.Context, first request) []request {
 	batch := []request{first}
-	if wait := s.written + s.keeper.gap - s.keeper.clock.Now(); s.written > 0 && wait > 0 {
+	if wait := s.writtenAt + s.keeper.writeInterval - s.keeper.clock.Now(); s.writtenAt > 0 && wait > 0 {
 		select {
 		case <-ctx.Done():
 		case <-s.keeper.clock.After(wait):
@@ -77,24 +77,24 @@
 	return batch
 }
 
-// serve writes a batch and answers it.
-func (s *slotKeeper) serve(ctx context.Context, batch []request) {
+// processBatch writes a batch and answers its claims.
+func (s *slotKeeper) processBatch(ctx context.Context, batch []request) {
 	claims := batch[:0:0]
 	for _, r := range batch {
-		if r.settle {
-			s.settled = append(s.settled, r)
+		if r.isSettlement {
+			s.settlements = append(s.settlements, r)
 			continue
 		}
 		claims = append(claims, r)
 	}
 	now := s.keeper.clock.Now()
-	if now < s.failed {
+	if now < s.failFastUntil {
 		answerAll(claims, result{err: spanrill.ErrUnavailable})
 		return
 	}
 	if err := s.write(ctx, claims); err != nil {
 		s.slot = nil
-		s.failed = s.keeper.clock.Now() + failFast
+		s.failFastUntil = s.keeper.clock.Now() + failFastDuration
 		answerAll(claims, result{err: err})
 	}
 }
@@ -105,23 +105,23 @@
 	}
 }
 
-// write makes the slot hold the claims and settlements, and answers the claims
-// when it does. On an error nothing was answered.
+// write adds the claims and settlements to the slot and then answers the claims. If it returns an
+// error, no claim was answered.
 func (s *slotKeeper) write(ctx context.Context, claims []request) error {
 	for ctx.Err() == nil {
 		if err := s.load(ctx); err != nil {
 			return err
 		}
-		next, changed := s.next(claims)
+		next, changed := s.applyRequests(claims)
 		value, err := next.Encode()
 		if err != nil {
 			return err
 		}
-		if len(value) > maxSlot {
+		if len(value) > maxSlotBytes {
 			return ErrFull
 		}
 		if changed {
-			err = s.store(ctx, value)
+			err = s.putValue(ctx, value)
 		}
 		if errors.Is(err, spanrill.ErrConflict) {
 			s.slot = nil
@@ -130,16 +130,16 @@
 		if err != nil {
 			return fmt.Errorf("write slot: %w", err)
 		}
-		s.done(next, claims, changed)
+		s.commit(next, claims, changed)
 		return nil
 	}
 	return ctx.Err()
 }
 
-func (s *slotKeeper) done(next *record.Slot, claims []request, changed bool) {
-	s.slot, s.lastWritten, s.settled, s.recovered = next, next, nil, false
+func (s *slotKeeper) commit(next *record.Slot, claims []request, changed bool) {
+	s.slot, s.lastWritten, s.settlements, s.recovered = next, next, nil, false
 	if changed {
-		s.written = s.keeper.clock.Now()
+		s.writtenAt = s.keeper.clock.Now()
 	}
 	for _, c := range claims {
 		first, _ := next.Find(c.record.Key)
@@ -147,7 +147,7 @@
 	}
 }
 
-// load reads the slot unless it is known.
+// load reads the slot unless its content is known.
 func (s *slotKeeper) load(ctx context.Context) error {
 	if s.slot != nil {
 		return nil
@@ -168,12 +168,12 @@
 	return nil
 }
 
-// next returns the slot as it is to be. A key that is taken stays with the
-// attempt that was first.
-func (s *slotKeeper) next(claims []request) (next *record.Slot, changed bool) {
+// applyRequests returns the slot with the settlements and claims applied, and whether it has
+// changed. A claimed key stays with the attempt that claimed it first.
+func (s *slotKeeper) applyRequests(claims []request) (next *record.Slot, changed bool) {
 	next, changed = s.slot.Clone(), s.recovered
 	next.Expire(s.keeper.clock.Unix())
-	for _, r := range s.settled {
+	for _, r := range s.settlements {
 		old, ok := next.Find(r.record.Key)
 		if !ok && r.record.Outcome != spanrill.OutcomeNotRun {
 			// The claim may be missing because an older copy of the slot was
@@ -200,23 +200,23 @@
 	return next, changed
 }
 
-// store writes the slot's value. While the effect of a write is unknown the
-// same write is repeated: its condition lets it take effect once. A conflict
-// is settled by the caller, who reads the slot and looks for its attempts.
-func (s *slotKeeper) store(ctx context.Context, value []byte) error {
+// putValue writes the slot's value. A write whose effect is unknown is repeated; because it is
+// conditional, it takes effect at most once. After a conflict the caller reads the slot again and
+// looks for its attempts.
+func (s *slotKeeper) putValue(ctx context.Context, value []byte) error {
 	for try := 1; ; try++ {
 		version, err := s.keeper.store.Put(ctx, s.key, value, s.version)
 		if err == nil {
 			s.version = version
 			return nil
 		}
-		if !errors.Is(err, spanrill.ErrUncertain) || try == maxTries {
+		if !errors.Is(err, spanrill.ErrUncertain) || try == maxWriteAttempts {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-s.keeper.clock.After(settleGap):
+		case <-s.keeper.clock.After(writeRetryDelay):
 		}
 	}
 }
