--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -12,8 +12,7 @@
 	"spanrill/state/load"
 )
 
-// snapshot returns a configuration with one model and some accounts, each with
-// the limits given.
+// snapshot returns a configuration with a model and accounts with the given limits.
 func snapshot(t *testing.T, limits string, accounts ...string) *config.Snapshot {
 	t.Helper()
 	docs := config.Documents{
@@ -32,7 +31,7 @@
 	return s
 }
 
-// newGate returns a gate before one engine with one place in its batch.
+// newGate returns a gate for one engine with one slot.
 func newGate(c spanrill.Clock, opts ...Option) *Gate {
 	table := load.NewTable(c)
 	table.SetSites(func(string) string { return "s" })
@@ -48,7 +47,7 @@
 	return g.Admit(context.Background(), grant, grant.Model("advice"), 10)
 }
 
-func TestAccountRateTellsWhenToComeBack(t *testing.T) {
+func TestAccountRateRefusalHasRetryAfter(t *testing.T) {
 	c := clock.NewManual()
 	g, s := newGate(c), snapshot(t, `{"requests_per_second":4}`, "a")
 	for i := range int(4 * burstSeconds) {
@@ -64,11 +63,11 @@
 	}
 	c.Advance(refusal.RetryAfter())
 	if _, refusal := admit(g, s, "a"); refusal != nil {
-		t.Fatalf("after the time told: %v", refusal)
+		t.Fatalf("after the Retry-After time: %v", refusal)
 	}
 }
 
-func TestTokensAreChargedWhenTheyAreKnown(t *testing.T) {
+func TestTokensAreChargedOnRelease(t *testing.T) {
 	c := clock.NewManual()
 	g, s := newGate(c), snapshot(t, `{"tokens_per_second":10}`, "a")
 	release, refusal := admit(g, s, "a")
@@ -81,7 +80,7 @@
 		t.Fatalf("got %v", refusal)
 	}
 	if want := 3 * spanrill.Second; refusal.RetryAfter() != want {
-		t.Fatalf("come back after %d, want %d", refusal.RetryAfter(), want)
+		t.Fatalf("retry after %d ms, want %d", refusal.RetryAfter(), want)
 	}
 }
 
@@ -97,38 +96,38 @@
 	}
 }
 
-// A limit holds over all daemons: what others are asked leaves less here, and
-// the parts of two daemons make the whole.
-func TestLimitIsDividedByDemand(t *testing.T) {
+// Guards against shares of two daemons that do not add up to the limit, against shares that ignore
+// demand, and against reserving a share for a daemon that sends no demand any more.
+func TestLimitIsDividedInProportionToDemand(t *testing.T) {
 	c := clock.NewManual()
 	a, b := newDemand(), newDemand()
-	a.setAlive(2)
-	b.setAlive(2)
+	a.setDaemons(2)
+	b.setDaemons(2)
 	for range 30 {
 		c.Advance(100)
 		for range 3 {
-			a.asked("x", c.Now())
+			a.countRequest("x", c.Now())
 		}
-		b.asked("x", c.Now())
+		b.countRequest("x", c.Now())
 	}
-	a.told("b", b.snapshot(c.Now()), c.Now())
-	b.told("a", a.snapshot(c.Now()), c.Now())
+	a.recordPeer("b", b.snapshot(c.Now()), c.Now())
+	b.recordPeer("a", a.snapshot(c.Now()), c.Now())
 	shareA, shareB := a.share("x", c.Now()), b.share("x", c.Now())
 	if sum := shareA + shareB; sum < 0.99 || sum > 1.01 {
-		t.Errorf("the shares %.2f and %.2f make %.2f", shareA, shareB, sum)
+		t.Errorf("the shares %.2f and %.2f add up to %.2f, want 1", shareA, shareB, sum)
 	}
 	if shareA < 2*shareB {
-		t.Errorf("three times the demand got %.2f against %.2f", shareA, shareB)
+		t.Errorf("shares %.2f and %.2f at three times the demand, want at least a factor of 2", shareA, shareB)
 	}
-	c.Advance(othersAge + 1)
-	a.asked("x", c.Now())
+	c.Advance(maxPeerDemandAge + 1)
+	a.countRequest("x", c.Now())
 	if share := a.share("x", c.Now()); share < 0.85 {
-		t.Errorf("a daemon that is silent still takes its share: %.2f is left", share)
+		t.Errorf("share %.2f after the peer's demand has expired, want at least 0.85", share)
 	}
 }
 
-// waitingOf returns a queue whose one place is taken.
-func waitingOf(t *testing.T, c spanrill.Clock) *queue {
+// newFullQueue returns a queue with a limit of 1 and a running request.
+func newFullQueue(t *testing.T, c spanrill.Clock) *queue {
 	t.Helper()
 	q := newQueue(c, func() int { return 1 })
 	if w, refusal := q.join("first", 1, 100, spanrill.Minute); w != nil || refusal != nil {
@@ -137,16 +136,16 @@
 	return q
 }
 
-// An account that sends much waits behind itself.
+// Guards against an account with many requests that delays those of other accounts.
 func TestQueueIsFair(t *testing.T) {
-	q := waitingOf(t, clock.NewManual())
-	order := map[*waiter]string{}
+	q := newFullQueue(t, clock.NewManual())
+	waiting := map[*waiter]string{}
 	join := func(account string, weight float64) {
 		w, refusal := q.join(account, weight, 100, spanrill.Minute)
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		order[w] = account
+		waiting[w] = account
 	}
 	for range 10 {
 		join("greedy", 1)
@@ -155,20 +154,20 @@
 	join("heavy", 2)
 	join("heavy", 2)
 	var started []string
-	for len(order) > 0 {
-		q.end()
-		for w, account := range order {
+	for len(waiting) > 0 {
+		q.finishRequest()
+		for w, account := range waiting {
 			select {
-			case <-w.start:
+			case <-w.started:
 				started = append(started, account)
-				delete(order, w)
+				delete(waiting, w)
 			default:
 			}
 		}
 	}
 	for _, account := range []string{"modest", "heavy"} {
 		if at := indexOf(started, account); at > 3 {
-			t.Errorf("%s started as number %d in %v", account, at+1, started)
+			t.Errorf("%s first started at position %d in %v, want at most 4", account, at+1, started)
 		}
 	}
 }
@@ -182,41 +181,40 @@
 	return len(list)
 }
 
-// A request that leaves the queue never starts, and one that started does not
-// leave.
-func TestRequestEitherStartsOrLeaves(t *testing.T) {
-	q := waitingOf(t, clock.NewManual())
-	stays, _ := q.join("a", 1, 100, spanrill.Minute)
-	leaves, _ := q.join("b", 1, 100, spanrill.Minute)
-	if !q.quit(leaves) {
-		t.Fatal("a waiting request could not leave")
-	}
-	q.end()
+// Guards against starting a canceled request, and against canceling a started one.
+func TestRequestEitherStartsOrIsCanceled(t *testing.T) {
+	q := newFullQueue(t, clock.NewManual())
+	kept, _ := q.join("a", 1, 100, spanrill.Minute)
+	canceled, _ := q.join("b", 1, 100, spanrill.Minute)
+	if !q.cancel(canceled) {
+		t.Fatal("a waiting request could not be canceled")
+	}
+	q.finishRequest()
 	select {
-	case <-stays.start:
+	case <-kept.started:
 	default:
 		t.Fatal("the other request did not start")
 	}
-	if q.quit(stays) {
-		t.Fatal("a request that has started left the queue")
+	if q.cancel(kept) {
+		t.Fatal("a started request was canceled")
 	}
-	q.end()
+	q.finishRequest()
 	select {
-	case <-leaves.start:
-		t.Fatal("a request that had left was started")
+	case <-canceled.started:
+		t.Fatal("a canceled request was started")
 	default:
 	}
 	if running, waiting := q.depth(); running != 0 || waiting != 0 {
-		t.Fatalf("%d run and %d wait at the end", running, waiting)
+		t.Fatalf("%d requests running and %d waiting at the end, want none", running, waiting)
 	}
 }
 
-func TestQueueRefusesWhatCannotStartInTime(t *testing.T) {
+func TestQueueRefusesRequestsThatCannotStartInTime(t *testing.T) {
 	c := clock.NewManual()
-	q := waitingOf(t, c)
+	q := newFullQueue(t, c)
 	for range 20 { // two requests end each second
 		c.Advance(500)
-		q.end()
+		q.finishRequest()
 		if _, refusal := q.join("x", 1, 100, spanrill.Minute); refusal != nil {
 			t.Fatal(refusal)
 		}
@@ -227,7 +225,7 @@
 		}
 	}
 	_, refusal := q.join("x", 1, 100, spanrill.Second)
-	if refusal == nil || refusal.Reason() != spanrill.ReasonQueueDeadline || refusal.RetryAfter() < minRetry {
+	if refusal == nil || refusal.Reason() != spanrill.ReasonQueueDeadline || refusal.RetryAfter() < minRetryAfter {
 		t.Fatalf("got %v", refusal)
 	}
 	if _, refusal := q.join("x", 1, 2, spanrill.Minute); refusal == nil || refusal.Reason() != spanrill.ReasonQueueFull {
@@ -235,7 +233,7 @@
 	}
 }
 
-func TestWaitEndsAtItsDeadline(t *testing.T) {
+func TestWaitEndsAtDeadline(t *testing.T) {
 	c := clock.NewManual()
 	g, s := newGate(c, WithQueue(10, 2*spanrill.Second)), snapshot(t, `{}`, "a")
 	if _, refusal := admit(g, s, "a"); refusal != nil {
--- a/coordination/admission/demand.go
+++ b/coordination/admission/demand.go
@@ -7,72 +7,72 @@
 	"spanrill"
 )
 
-// demand measures how much the accounts ask of this daemon and of the others,
-// so that a limit that holds over all daemons can be divided among them.
+// demand measures the request rates of the accounts at this daemon and at its peers. A limit over
+// all daemons is divided among them in proportion to these rates.
 type demand struct {
-	mu     sync.Mutex
-	own    map[string]*rate
-	others map[string]othersDemand // by daemon
-	alive  int                     // daemons, this one included
+	mu          sync.Mutex
+	own         map[string]*rate
+	peers       map[string]peerDemand // by name of the daemon
+	liveDaemons int                   // number of live daemons, including this one
 }
 
-// othersDemand is what one other daemon told last.
-type othersDemand struct {
-	at       spanrill.Millis
-	accounts map[string]float64 // requests a second
+// peerDemand is the demand that a peer last sent.
+type peerDemand struct {
+	receivedAt spanrill.Millis
+	accounts   map[string]float64 // requests a second
 }
 
 const (
-	// rateHalfLife is the time after which a request counts half.
+	// rateHalfLife is the time after which the weight of a request in a rate is halved.
 	rateHalfLife = 2 * spanrill.Second
-	// othersAge is how long the word of another daemon counts.
-	othersAge = 10 * spanrill.Second
-	// quietRate is the demand below which an account is not told to others.
-	quietRate = 0.05
+	// maxPeerDemandAge is how long the demand that a peer sent is used.
+	maxPeerDemandAge = 10 * spanrill.Second
+	// minReportedRate is the rate below which an account is not reported to peers.
+	minReportedRate = 0.05
 )
 
-// rate is a decaying count of requests a second.
+// rate is an exponentially decaying rate of events per second.
 type rate struct {
-	value float64
-	at    spanrill.Millis
+	value     float64
+	updatedAt spanrill.Millis
 }
 
-func (r *rate) now(now spanrill.Millis) float64 {
-	age := float64(now - r.at)
+func (r *rate) valueAt(now spanrill.Millis) float64 {
+	age := float64(now - r.updatedAt)
 	return r.value * math.Exp2(-age/float64(rateHalfLife))
 }
 
 func (r *rate) add(now spanrill.Millis) {
 	perRequest := math.Ln2 * float64(spanrill.Second) / float64(rateHalfLife)
-	r.value = r.now(now) + perRequest
-	r.at = now
+	r.value = r.valueAt(now) + perRequest
+	r.updatedAt = now
 }
 
 func newDemand() *demand {
-	return &demand{own: map[string]*rate{}, others: map[string]othersDemand{}, alive: 1}
+	return &demand{own: map[string]*rate{}, peers: map[string]peerDemand{}, liveDaemons: 1}
 }
 
-// asked counts a request of an account.
-func (d *demand) asked(account string, now spanrill.Millis) {
+// countRequest counts a request of an account.
+func (d *demand) countRequest(account string, now spanrill.Millis) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r := d.own[account]
 	if r == nil {
-		r = &rate{at: now}
+		r = &rate{updatedAt: now}
 		d.own[account] = r
 	}
 	r.add(now)
 }
 
-// snapshot returns the accounts that ask something of this daemon, and forgets
-// those that no longer do.
+// snapshot returns the request rates of the accounts at this daemon, and removes accounts whose
+// rate is below minReportedRate.
 func (d *demand) snapshot(now spanrill.Millis) map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := make(map[string]float64, len(d.own))
 	for account, r := range d.own {
-		v := r.now(now)
-		if v < quietRate {
+		v := r.valueAt(now)
+		if v < minReportedRate {
 			delete(d.own, account)
 			continue
 		}
@@ -81,47 +81,47 @@
 	return all
 }
 
-func (d *demand) told(daemon string, accounts map[string]float64, now spanrill.Millis) {
+func (d *demand) recordPeer(daemon string, accounts map[string]float64, now spanrill.Millis) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.others[daemon] = othersDemand{at: now, accounts: accounts}
+	d.peers[daemon] = peerDemand{receivedAt: now, accounts: accounts}
 }
 
-func (d *demand) setAlive(n int) {
+func (d *demand) setDaemons(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.alive = max(1, n)
+	d.liveDaemons = max(1, n)
 }
 
 func (d *demand) daemons() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.alive
+	return d.liveDaemons
 }
 
-// share returns the part of an account's limit that this daemon may use: its
-// part of the demand, with a floor for each daemon so that a first request
-// finds room anywhere.
+// share returns the fraction of an account's limits that this daemon may use. A part of the limits
+// is divided equally, so that the first request of an account is admitted by any daemon; the rest
+// is divided in proportion to demand.
 func (d *demand) share(account string, now spanrill.Millis) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	own := 0.0
 	if r := d.own[account]; r != nil {
-		own = r.now(now)
+		own = r.valueAt(now)
 	}
 	total := own
-	for name, o := range d.others {
-		if now-o.at > othersAge {
-			delete(d.others, name)
+	for name, o := range d.peers {
+		if now-o.receivedAt > maxPeerDemandAge {
+			delete(d.peers, name)
 			continue
 		}
 		total += o.accounts[account]
 	}
 	if total <= 0 {
-		return 1 / float64(d.alive)
+		return 1 / float64(d.liveDaemons)
 	}
-	return floorShare/float64(d.alive) + (1-floorShare)*own/total
+	return equalShare/float64(d.liveDaemons) + (1-equalShare)*own/total
 }
 
-// floorShare is the part of a limit that is divided equally.
-const floorShare = 0.2
+// equalShare is the fraction of a limit that is divided equally among the daemons.
+const equalShare = 0.2
--- a/coordination/admission/gate.go
+++ b/coordination/admission/gate.go
@@ -1,4 +1,6 @@
-// Package admission decides which requests may start, and when.
+// Package admission decides whether and when a request may start. It enforces the limits of client
+// accounts, which are divided among the daemons, and queues requests of a model when its engines
+// are at capacity.
 //
 // # Usage
 //
@@ -7,7 +9,7 @@
 //	if refusal != nil {
 //		return refusal
 //	}
-//	defer release(tokens)
+//	defer func() { release(tokens) }()
 package admission
 
 import (
@@ -20,16 +22,15 @@
 	"spanrill/state/load"
 )
 
-// Gate admits requests within the limits of their accounts and the capacity of
-// their model.
+// Gate admits requests within the limits of their accounts and the capacity of their model.
 type Gate struct {
-	clock   spanrill.Clock
-	table   *load.Table
-	meters  *meter.Meters
-	demand  *demand
-	most    int
-	longest spanrill.Millis
-	perSlot float64
+	clock      spanrill.Clock
+	table      *load.Table
+	meters     *meter.Meters
+	demand     *demand
+	maxWaiting int
+	maxWait    spanrill.Millis
+	perSlot    float64
 
 	mu       sync.Mutex
 	accounts map[string]*account
@@ -39,34 +40,34 @@
 // Option changes a default of New.
 type Option func(*Gate)
 
-// WithMeters sets the counters.
+// WithMeters sets the meters that are updated.
 func WithMeters(m *meter.Meters) Option {
 	return func(g *Gate) { g.meters = m }
 }
 
-// WithQueue sets how many requests of one model may wait, and for how long.
-func WithQueue(most int, longest spanrill.Millis) Option {
-	return func(g *Gate) { g.most, g.longest = most, longest }
+// WithQueue sets how many requests of a model may wait, and for how long.
+func WithQueue(maxWaiting int, maxWait spanrill.Millis) Option {
+	return func(g *Gate) { g.maxWaiting, g.maxWait = maxWaiting, maxWait }
 }
 
-// WithPerSlot sets how many requests may run at once for each place in the
-// batches of the engines. A request is on one stage at a time, and a batch is
-// full only if as many requests wait for it as run in it.
+// WithPerSlot sets how many requests may run at once for each slot in the batches of the engines.
+// More than one is needed: a request is at one stage at a time, and a batch is full only if as many
+// requests wait for it as run in it.
 func WithPerSlot(n int) Option {
 	return func(g *Gate) { g.perSlot = float64(n) }
 }
 
 const (
-	defaultMost    = 1024
-	defaultLongest = 2 * spanrill.Second
-	defaultPerSlot = 4
+	defaultMaxWaiting = 1024
+	defaultMaxWait    = 2 * spanrill.Second
+	defaultPerSlot    = 4
 )
 
-// New returns a gate with no requests.
+// New returns a gate without requests.
 func New(clock spanrill.Clock, table *load.Table, opts ...Option) *Gate {
 	g := &Gate{
 		clock: clock, table: table, meters: meter.New(), demand: newDemand(),
-		most: defaultMost, longest: defaultLongest, perSlot: defaultPerSlot,
+		maxWaiting: defaultMaxWaiting, maxWait: defaultMaxWait, perSlot: defaultPerSlot,
 		accounts: map[string]*account{}, queues: map[load.ModelKey]*queue{},
 	}
 	for _, o := range opts {
@@ -75,52 +76,53 @@
 	return g
 }
 
-// Admit waits until the request may start, or returns why it may not. A
-// request of a plain service has no model and does not wait.
+// Admit waits until the request may start, or returns why it is refused. The returned function must
+// be called with the number of tokens used when the request has ended. A request to a plain service
+// has no model and does not wait.
 func (g *Gate) Admit(ctx context.Context, grant *config.Grant, model *config.ModelGrant, _ int) (func(tokens int), *spanrill.Refusal) {
 	now := g.clock.Now()
-	g.demand.asked(grant.Account(), now)
+	g.demand.countRequest(grant.Account(), now)
 	a := g.account(grant.Account())
-	if refusal := a.enter(grant.Limits(), g.demand.share(grant.Account(), now), now); refusal != nil {
+	if refusal := a.acquire(grant.Limits(), g.demand.share(grant.Account(), now), now); refusal != nil {
 		return nil, refusal
 	}
-	leave := func(tokens int) {
+	releaseAccount := func(tokens int) {
 		now := g.clock.Now()
-		a.leave(grant.Limits(), g.demand.share(grant.Account(), now), tokens, now)
+		a.release(grant.Limits(), g.demand.share(grant.Account(), now), tokens, now)
 	}
 	if model == nil {
-		return leave, nil
+		return releaseAccount, nil
 	}
 	q := g.queue(model)
 	if refusal := g.wait(ctx, q, grant, model); refusal != nil {
-		leave(0)
+		releaseAccount(0)
 		return nil, refusal
 	}
 	g.meters.QueueWait.Update((g.clock.Now() - now).Duration().Seconds())
 	return func(tokens int) {
-		q.end()
-		leave(tokens)
+		q.finishRequest()
+		releaseAccount(tokens)
 	}, nil
 }
 
 // wait queues the request until it may start.
 func (g *Gate) wait(ctx context.Context, q *queue, grant *config.Grant, model *config.ModelGrant) *spanrill.Refusal {
 	weight := float64(grant.Limits().Weight() * (1 + model.Priority()))
-	w, refusal := q.join(grant.Account(), weight, g.most, g.longest)
+	w, refusal := q.join(grant.Account(), weight, g.maxWaiting, g.maxWait)
 	if refusal != nil || w == nil {
 		return refusal
 	}
 	select {
-	case <-w.start:
+	case <-w.started:
 		return nil
 	case <-ctx.Done():
-	case <-g.clock.After(g.longest):
+	case <-g.clock.After(g.maxWait):
 	}
-	if !q.quit(w) {
-		return nil // it started in the same moment
+	if !q.cancel(w) {
+		return nil // the request was started concurrently
 	}
-	return spanrill.NewRefusal(spanrill.ReasonQueueDeadline, "the request did not start within %d ms", g.longest).
-		WithRetryAfter(g.longest)
+	return spanrill.NewRefusal(spanrill.ReasonQueueDeadline, "the request did not start within %d ms", g.maxWait).
+		WithRetryAfter(g.maxWait)
 }
 
 func (g *Gate) account(name string) *account {
@@ -147,9 +149,9 @@
 	return q
 }
 
-// capacity returns how many requests of a model this daemon may run at once:
-// what fits into the engines less what others run there by their reports, and
-// at least this daemon's equal part.
+// capacity returns how many requests of a model this daemon may run at once: the capacity of the
+// engines less the requests of other daemons, according to the reports of the engines, but at least
+// this daemon's equal share of the capacity.
 func (g *Gate) capacity(key load.ModelKey, layers int) int {
 	index := g.table.View().Model(key)
 	if index == nil {
@@ -165,23 +167,23 @@
 		others += u.Others(now)
 	}
 	stages := float64(index.Stages(layers))
-	whole := g.perSlot * slots
-	return max(1, int(max(whole/float64(g.demand.daemons()), whole-others/max(1, stages))))
+	total := g.perSlot * slots
+	return max(1, int(max(total/float64(g.demand.daemons()), total-others/max(1, stages))))
 }
 
-// SetDaemons sets how many daemons divide the limits.
-func (g *Gate) SetDaemons(n int) { g.demand.setAlive(n) }
+// SetDaemons sets the number of live daemons among which limits are divided.
+func (g *Gate) SetDaemons(n int) { g.demand.setDaemons(n) }
 
-// Demand returns what the accounts ask of this daemon, in requests a second.
+// Demand returns the request rates of the accounts at this daemon, in requests per second.
 func (g *Gate) Demand() map[string]float64 { return g.demand.snapshot(g.clock.Now()) }
 
-// Told takes what the accounts ask of another daemon.
+// RecordPeerDemand records the request rates of the accounts at another daemon.
 func (g *Gate) Told(daemon string, accounts map[string]float64) {
-	g.demand.told(daemon, accounts, g.clock.Now())
+	g.demand.recordPeer(daemon, accounts, g.clock.Now())
 }
 
-// Tend starts requests for which room has come, and forgets idle accounts. Its
-// owner calls it about once a second.
+// Maintain starts waiting requests if the capacity has increased, and removes idle accounts. It
+// must be called about once a second.
 func (g *Gate) Tend() {
 	g.mu.Lock()
 	queues := make([]*queue, 0, len(g.queues))
@@ -189,17 +191,17 @@
 		queues = append(queues, q)
 	}
 	for name, a := range g.accounts {
-		if a.idle(g.clock.Now()) {
+		if a.isIdle(g.clock.Now()) {
 			delete(g.accounts, name)
 		}
 	}
 	g.mu.Unlock()
 	for _, q := range queues {
-		q.kick()
+		q.recheckLimit()
 	}
 }
 
-// Depth returns the requests that run and wait, over all models.
+// Depth returns the numbers of running and waiting requests over all models.
 func (g *Gate) Depth() (running, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -7,38 +7,37 @@
 	"spanrill"
 )
 
-// queue lets a bounded number of requests of one model run at once. The others
-// wait in the order of weighted fair queueing: each account advances through
-// virtual time by the inverse of its weight, so that an account that sends much
-// waits behind itself and not before others.
+// queue limits the number of requests of a model that run at once. The others wait in the order of
+// weighted fair queueing: each request advances the virtual time of its account by the inverse of
+// its weight, so that an account that sends many requests delays its own and not those of others.
 type queue struct {
 	clock spanrill.Clock
-	limit func() int // requests that may run at once
-
-	mu      sync.Mutex
-	running int
-	waiting waiters
-	virtual float64            // virtual time of the request that started last
-	finish  map[string]float64 // virtual finish time of each account's last request
-	pace    rate               // requests that ended, a second
-	seq     uint64
+	limit func() int // returns the number of requests that may run at once
+
+	mu          sync.Mutex
+	running     int
+	waiting     waiters
+	virtualTime float64            // largest virtual finish time of a started request
+	finish      map[string]float64 // virtual finish time of each account's last request
+	throughput  rate               // rate of ended requests
+	seq         uint64
 }
 
-// waiter is a request that waits.
+// waiter is a waiting request.
 type waiter struct {
-	finish float64
-	seq    uint64
-	start  chan struct{}
-	index  int // in the heap, or -1 once it has left
+	finish  float64
+	seq     uint64
+	started chan struct{}
+	index   int // in the heap, or -1 when removed
 }
 
-// waiters is a heap of requests, the one to start next first.
+// waiters is a heap of requests. The first one starts next.
 type waiters []*waiter
 
 // Len returns the number of requests.
 func (w waiters) Len() int { return len(w) }
 
-// Less orders by virtual finish time, then by arrival.
+// Less orders requests by virtual finish time, then by arrival.
 func (w waiters) Less(i, k int) bool {
 	if w[i].finish != w[k].finish {
 		return w[i].finish < w[k].finish
@@ -73,61 +72,62 @@
 	return &queue{clock: clock, limit: limit, finish: map[string]float64{}}
 }
 
-// maxFinish bounds the accounts whose virtual time is remembered.
-const maxFinish = 8192
+// maxTrackedAccounts is the number of accounts in the finish map at which it is pruned.
+const maxTrackedAccounts = 8192
 
-// join starts a request at once and returns nil, or queues it. A queue that is
-// full, or too slow for the longest wait allowed, refuses it.
-func (q *queue) join(account string, weight float64, most int, longest spanrill.Millis) (*waiter, *spanrill.Refusal) {
+// join starts a request and returns nil, or queues it. It refuses the request if the queue is full
+// or the expected wait is longer than maxWait.
+func (q *queue) join(account string, weight float64, maxWaiting int, maxWait spanrill.Millis) (*waiter, *spanrill.Refusal) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiting) == 0 && q.running < q.limit() {
 		q.running++
 		return nil, nil
 	}
-	if len(q.waiting) >= most {
-		return nil, spanrill.NewRefusal(spanrill.ReasonQueueFull, "%d requests wait already", len(q.waiting)).
+	if len(q.waiting) >= maxWaiting {
+		return nil, spanrill.NewRefusal(spanrill.ReasonQueueFull, "%d requests are waiting already", len(q.waiting)).
 			WithRetryAfter(q.expectedWait(len(q.waiting)))
 	}
 	w := q.newWaiter(account, weight)
 	heap.Push(&q.waiting, w)
-	if wait := q.expectedWait(q.before(w)); wait > longest {
+	if wait := q.expectedWait(q.countBefore(w)); wait > maxWait {
 		heap.Remove(&q.waiting, w.index)
-		return nil, spanrill.NewRefusal(spanrill.ReasonQueueDeadline, "the request would wait %d ms, at most %d are allowed", wait, longest).
-			WithRetryAfter(wait - longest + minRetry)
+		return nil, spanrill.NewRefusal(spanrill.ReasonQueueDeadline, "the request would wait %d ms, at most %d are allowed", wait, maxWait).
+			WithRetryAfter(wait - maxWait + minRetryAfter)
 	}
-	q.advance(account, w)
+	q.setFinish(account, w)
 	return w, nil
 }
 
-// minRetry is the shortest time after which a refused caller comes back.
-const minRetry = 100 * spanrill.Millis(1)
+// minRetryAfter is the minimum time after which a caller refused because of the expected wait
+// retries.
+const minRetryAfter = 100 * spanrill.Millis(1)
 
 func (q *queue) newWaiter(account string, weight float64) *waiter {
 	q.seq++
-	start := max(q.virtual, q.finish[account])
-	return &waiter{finish: start + 1/weight, seq: q.seq, start: make(chan struct{})}
+	start := max(q.virtualTime, q.finish[account])
+	return &waiter{finish: start + 1/weight, seq: q.seq, started: make(chan struct{})}
 }
 
-// advance moves the account's virtual time.
-func (q *queue) advance(account string, w *waiter) {
-	if len(q.finish) >= maxFinish {
-		q.forgetPast()
+// setFinish stores the virtual finish time of the account's last request.
+func (q *queue) setFinish(account string, w *waiter) {
+	if len(q.finish) >= maxTrackedAccounts {
+		q.pruneFinish()
 	}
 	q.finish[account] = w.finish
 }
 
-// forgetPast drops accounts whose virtual time lies behind.
-func (q *queue) forgetPast() {
+// pruneFinish removes accounts whose virtual finish time has passed.
+func (q *queue) pruneFinish() {
 	for a, f := range q.finish {
-		if f <= q.virtual {
+		if f <= q.virtualTime {
 			delete(q.finish, a)
 		}
 	}
 }
 
-// before returns how many requests start before w.
-func (q *queue) before(w *waiter) int {
+// countBefore returns how many requests start before w.
+func (q *queue) countBefore(w *waiter) int {
 	n := 0
 	for _, o := range q.waiting {
 		if o != w && (o.finish < w.finish || o.finish == w.finish && o.seq < w.seq) {
@@ -137,21 +137,21 @@
 	return n
 }
 
-// expectedWait returns how long a request behind n others will wait at the
-// pace at which requests ended lately.
+// expectedWait returns how long a request behind n others will wait at the current throughput, or
+// 0 if the throughput is too low for an estimate.
 func (q *queue) expectedWait(n int) spanrill.Millis {
-	pace := q.pace.now(q.clock.Now())
-	if pace < minPace {
+	perSecond := q.throughput.valueAt(q.clock.Now())
+	if perSecond < minThroughput {
 		return 0
 	}
-	return spanrill.Millis(float64(n+1) / pace * float64(spanrill.Second))
+	return spanrill.Millis(float64(n+1) / perSecond * float64(spanrill.Second))
 }
 
-// minPace is the pace below which no wait can be foretold.
-const minPace = 0.5
+// minThroughput is the throughput below which no wait is estimated, in requests per second.
+const minThroughput = 0.5
 
-// quit takes a waiting request out, and reports false if it has started.
-func (q *queue) quit(w *waiter) bool {
+// cancel removes a waiting request. It returns false if the request has already started.
+func (q *queue) cancel(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if w.index < 0 {
@@ -161,33 +161,33 @@
 	return true
 }
 
-// end notes that a request has ended and starts those that now may.
-func (q *queue) end() {
+// finishRequest records that a request has ended, and starts waiting ones.
+func (q *queue) finishRequest() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running--
-	q.pace.add(q.clock.Now())
-	q.startNext()
+	q.throughput.add(q.clock.Now())
+	q.startWaiting()
 }
 
-// kick starts requests after the limit may have risen.
-func (q *queue) kick() {
+// recheckLimit starts waiting requests if the limit has increased.
+func (q *queue) recheckLimit() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.startNext()
+	q.startWaiting()
 }
 
-// startNext starts waiting requests. The caller holds the lock.
-func (q *queue) startNext() {
+// startWaiting starts waiting requests up to the limit. The caller holds the lock.
+func (q *queue) startWaiting() {
 	for len(q.waiting) > 0 && q.running < q.limit() {
 		w := heap.Pop(&q.waiting).(*waiter)
-		q.virtual = max(q.virtual, w.finish)
+		q.virtualTime = max(q.virtualTime, w.finish)
 		q.running++
-		close(w.start)
+		close(w.started)
 	}
 }
 
-// depth returns the requests that run and wait.
+// depth returns the numbers of running and waiting requests.
 func (q *queue) depth() (running, waiting int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
