--- a/coordination/ratelimit/limiter.go
+++ b/coordination/ratelimit/limiter.go
@@ -32,7 +32,7 @@
 	// Granters returns the daemons that grant permits for an upstream, in order of preference.
 	// This daemon is returned without an address.
 	Granters(upstream uint32) []peermsg.Member
-	// Mute reports whether a daemon did not answer when this daemon last asked it for news.
+	// Unresponsive reports whether a daemon did not answer when this daemon last asked it for news.
 	Mute(daemon string) bool
 	// AskPermit asks a daemon for a permit.
 	AskPermit(ctx context.Context, addr string, asked *peermsg.AskPermit) (*peermsg.Permit, error)
@@ -128,7 +128,7 @@
 }
 
 // isStandby reports whether another daemon is preferred for granting permits for an upstream and
-// is not mute.
+// is not unresponsive.
 func (l *Limiter) isStandby(upstream uint32) bool {
 	granters := l.peers.Granters(upstream)
 	return len(granters) > 0 && granters[0].PeerAddr != "" && !l.peers.Mute(granters[0].Name)
