--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -1,9 +1,11 @@
-// Package retry bounds how much load retries may add.
+// Package retry limits the load that retries add. Budget limits the retries of a single daemon.
+// SharedBudget limits those of all daemons of a fleet together, and Budgets holds one for each
+// service.
 //
 // # Usage
 //
 //	b := retry.NewBudget()
-//	b.Success()
+//	b.RecordSuccess()
 //	if b.Take() {
 //		// retry
 //	}
@@ -11,8 +13,8 @@
 
 import "sync/atomic"
 
-// Budget lets retries be a fraction of successes, with a small reserve so that
-// a quiet daemon can retry at all. It counts in thousandths.
+// Budget limits retries to a fraction of successes, plus a small reserve, so that a daemon with few
+// requests can retry too. It counts in thousandths of a retry.
 type Budget struct {
 	ratio   int64
 	reserve int64
@@ -22,23 +24,23 @@
 // Option changes a default of NewBudget.
 type Option func(*Budget)
 
-// WithRatio sets the retries that a thousand successes pay for.
+// WithRatio sets the number of retries allowed per thousand successes.
 func WithRatio(perThousand int64) Option {
 	return func(b *Budget) { b.ratio = perThousand }
 }
 
-// WithReserve sets how many retries can be saved up.
+// WithReserve sets the maximum number of retries that can accumulate.
 func WithReserve(n int64) Option {
-	return func(b *Budget) { b.reserve = n * unit }
+	return func(b *Budget) { b.reserve = n * unitsPerRetry }
 }
 
 const (
-	unit           = 1000
+	unitsPerRetry  = 1000
 	defaultRatio   = 100
-	defaultReserve = 50 * unit
+	defaultReserve = 50 * unitsPerRetry
 )
 
-// NewBudget returns a budget whose reserve is full.
+// NewBudget returns a budget with a full reserve.
 func NewBudget(opts ...Option) *Budget {
 	b := &Budget{ratio: defaultRatio, reserve: defaultReserve}
 	for _, o := range opts {
@@ -48,7 +50,7 @@
 	return b
 }
 
-// Success pays for a fraction of a retry.
+// RecordSuccess adds the fraction of a retry that a success allows.
 func (b *Budget) Success() {
 	for {
 		old := b.balance.Load()
@@ -58,18 +60,18 @@
 	}
 }
 
-// Take spends one retry and reports whether there was one to spend.
+// Take consumes a retry and reports whether one was available.
 func (b *Budget) Take() bool {
 	for {
 		old := b.balance.Load()
-		if old < unit {
+		if old < unitsPerRetry {
 			return false
 		}
-		if b.balance.CompareAndSwap(old, old-unit) {
+		if b.balance.CompareAndSwap(old, old-unitsPerRetry) {
 			return true
 		}
 	}
 }
 
-// Left returns how many retries can be spent now.
-func (b *Budget) Left() int64 { return b.balance.Load() / unit }
+// Remaining returns how many retries are available now.
+func (b *Budget) Left() int64 { return b.balance.Load() / unitsPerRetry }
--- a/coordination/retry/budget_test.go
+++ b/coordination/retry/budget_test.go
@@ -6,11 +6,11 @@
 	b := NewBudget(WithReserve(5))
 	for range 5 {
 		if !b.Take() {
-			t.Fatal("the reserve is short")
+			t.Fatal("the reserve holds fewer than 5 retries")
 		}
 	}
 	if b.Take() {
-		t.Fatal("more than the reserve was spent")
+		t.Fatal("a retry beyond the reserve was allowed")
 	}
 	for range 100 {
 		b.Success()
@@ -19,7 +19,7 @@
 	for b.Take() {
 		spent++
 	}
-	if spent != 5 { // ten were earned, the reserve holds five
-		t.Fatalf("%d retries after 100 successes", spent)
+	if spent != 5 { // the successes allow ten, the reserve is limited to five
+		t.Fatalf("%d retries after 100 successes, want 5", spent)
 	}
 }
--- a/coordination/retry/fleet_test.go
+++ b/coordination/retry/fleet_test.go
@@ -11,54 +11,54 @@
 	"spanrill/rng"
 )
 
-// trial is a fleet of daemons that spend one budget, on a time that the trial moves.
-// News goes round late, and some of it is lost.
-type trial struct {
-	random  *rng.Source
-	clock   *clock.Manual
-	limits  Limits
-	rounds  int     // of news until every daemon was heard of
-	lost    float64 // share of news and of answers to questions that is lost
-	churn   bool    // daemons die, and others start
-	daemons []*trialDaemon
-	spent   []float64 // retries of all daemons, by step
-	asked   []float64 // requests of all daemons, by step
-	borrows int
-	bursts  []spanrill.Millis // when retries are wanted, nil for always
+// simulation is a fleet of daemons with a shared budget on a manual clock. Counts arrive late, and
+// some messages are lost.
+type simulation struct {
+	random      *rng.Source
+	clock       *clock.Manual
+	limits      Limits
+	rounds      int     // until the counts of every daemon have arrived
+	lossRate    float64 // fraction of counts and of loan answers that is lost
+	churn       bool    // daemons die and are replaced
+	daemons     []*simulatedDaemon
+	spent       []float64 // retries of all daemons in each step
+	requests    []float64 // requests of all daemons in each step
+	borrowCalls int
+	bursts      []spanrill.Millis // times at which retries are needed, or nil for always
 }
 
-// trialDaemon is one daemon of a trial.
-type trialDaemon struct {
-	shared *Shared
-	wants  float64         // retries a step, in bursts if the trial has any
-	phase  spanrill.Millis // of its rounds of news
-	asks   float64         // requests a step
-	due    float64
-	told   []Count // what was counted in the rounds before, the newest last
-	news   Count   // of the others, as heard last
-	heard  int     // daemons whose counts are known
-	since  spanrill.Millis
+// simulatedDaemon is a daemon of a simulation.
+type simulatedDaemon struct {
+	shared          *Shared
+	retriesPerStep  float64         // during bursts, if the simulation has any
+	phase           spanrill.Millis // offset of its rounds
+	requestsPerStep float64         // mean
+	unsentRequests  float64
+	ownCounts       []Count // counts in the previous rounds, the newest last
+	others          Count   // last received counts of the others
+	knownDaemons    int     // number of daemons whose counts are known, including this one
+	startedAt       spanrill.Millis
 }
 
 const (
-	trialStep  spanrill.Millis = 50
-	trialRound spanrill.Millis = 250
-	// churnStep has one daemon in fifty replaced in a window: what one has spent that
-	// dies is forgotten, so that the margin has to cover it.
-	churnStep = 0.0001
-	// trialTime holds two windows and the time to start.
-	trialTime = 24 * spanrill.Second
+	stepInterval      spanrill.Millis = 50
+	testRoundInterval spanrill.Millis = 250
+	// churnPerStep replaces one daemon in fifty in each window. What a dead daemon has spent is lost
+	// from the counts, so that the margin must cover it.
+	churnPerStep = 0.0001
+	// simulationTime covers two windows and the start of the fleet.
+	simulationTime = 24 * spanrill.Second
 )
 
-// newTrial draws a fleet of 1 to 400 daemons.
-func newTrial(seed uint64) *trial {
-	return newTrialOf(seed, func(random *rng.Source) int { return 1 + random.IntN(400) })
+// newSimulation returns a random fleet of 1 to 400 daemons.
+func newSimulation(seed uint64) *simulation {
+	return newSimulationOf(seed, func(random *rng.Source) int { return 1 + random.IntN(400) })
 }
 
-// newTrialOf draws a fleet of a size that is drawn too.
-func newTrialOf(seed uint64, size func(*rng.Source) int) *trial {
+// newSimulationOf returns a random fleet of a random size.
+func newSimulationOf(seed uint64, size func(*rng.Source) int) *simulation {
 	random := rng.New(seed)
-	t := &trial{random: random, clock: clock.NewManual(), lost: random.Float64() * 0.1, churn: random.Float64() < 0.3}
+	t := &simulation{random: random, clock: clock.NewManual(), lossRate: random.Float64() * 0.1, churn: random.Float64() < 0.3}
 	n := size(random)
 	t.churn = t.churn && n >= 100
 	t.limits = Limits{Ratio: 0.2, Slack: float64(n) * (1 + 2*random.Float64()), Window: 10 * spanrill.Second}
@@ -71,23 +71,23 @@
 	return t
 }
 
-func (t *trial) start() *trialDaemon {
-	d := &trialDaemon{asks: 0.2 * t.random.Float64(), since: t.clock.Now()}
+func (t *simulation) start() *simulatedDaemon {
+	d := &simulatedDaemon{requestsPerStep: 0.2 * t.random.Float64(), startedAt: t.clock.Now()}
 	if t.rounds == 1 {
-		d.phase = trialStep * spanrill.Millis(t.random.IntN(int(trialRound/trialStep)))
+		d.phase = stepInterval * spanrill.Millis(t.random.IntN(int(testRoundInterval/stepInterval)))
 	}
 	d.shared = NewShared(t.clock, t.limits, 16, WithBorrower(func(_ context.Context, want float64) float64 { return t.borrow(d, want) }))
 	return d
 }
 
-// borrow asks other daemons, as daemons do over messages.
-func (t *trial) borrow(by *trialDaemon, want float64) float64 {
-	t.borrows++
+// borrow borrows from random daemons, as daemons do by messages. An answer may be lost.
+func (t *simulation) borrow(borrower *simulatedDaemon, want float64) float64 {
+	t.borrowCalls++
 	got := 0.0
 	for range 4 {
-		if other := t.daemons[t.random.IntN(len(t.daemons))]; other != by && got < want {
+		if other := t.daemons[t.random.IntN(len(t.daemons))]; other != borrower && got < want {
 			lent := other.shared.Lend(want - got)
-			if t.random.Float64() >= t.lost {
+			if t.random.Float64() >= t.lossRate {
 				got += lent
 			}
 		}
@@ -95,148 +95,148 @@
 	return got
 }
 
-// demand has a part of the daemons want all that they can get.
-func (t *trial) demand(part float64) {
-	n := max(1, int(part*float64(len(t.daemons))))
+// setDemand makes a fraction of the daemons take all available retries.
+func (t *simulation) setDemand(fraction float64) {
+	n := max(1, int(fraction*float64(len(t.daemons))))
 	for i, d := range t.daemons {
-		d.wants = 0
+		d.retriesPerStep = 0
 		if i < n {
-			d.wants = 50
+			d.retriesPerStep = 50
 		}
 	}
 }
 
-// run plays the trial and returns the greatest part of the budget that was spent in
-// a window.
-func (t *trial) run() (most float64) { return t.runJudged(t.used) }
+// run runs the simulation and returns the largest fraction of the budget spent in a window.
+func (t *simulation) run() (most float64) { return t.runMeasured(t.usedFraction) }
 
-func (t *trial) runJudged(used func() float64) (most float64) {
-	for t.clock.Now() < trialTime {
+func (t *simulation) runMeasured(used func() float64) (most float64) {
+	for t.clock.Now() < simulationTime {
 		t.step()
-		t.round()
-		if t.clock.Now()%trialRound == 0 {
+		t.deliverCounts()
+		if t.clock.Now()%testRoundInterval == 0 {
 			most = max(most, used())
 		}
 	}
 	return most
 }
 
-// wanted reports whether a daemon wants a retry now: in a burst not each does in each step.
-func (t *trial) wanted(now spanrill.Millis) bool {
+// wantsRetry reports whether a daemon needs a retry now. During a burst, a random tenth of the
+// attempts is skipped.
+func (t *simulation) wantsRetry(now spanrill.Millis) bool {
 	return t.bursts == nil || slices.Contains(t.bursts, now) && t.random.Float64() < 0.9
 }
 
-// drawBursts has retries wanted for a few moments only, as when engines fail together, none of
-// them before a window has passed.
-func (t *trial) drawBursts() {
-	for at := t.limits.Window; at < trialTime; {
-		at += trialStep * spanrill.Millis(1+t.random.IntN(60))
+// generateBursts limits the need for retries to random short bursts, as when engines fail together.
+// The first burst comes after a whole window.
+func (t *simulation) generateBursts() {
+	for at := t.limits.Window; at < simulationTime; {
+		at += stepInterval * spanrill.Millis(1+t.random.IntN(60))
 		for range 1 + t.random.IntN(8) {
 			t.bursts = append(t.bursts, at)
-			at += trialStep
+			at += stepInterval
 		}
 	}
 }
 
-func (t *trial) step() {
-	now, spent, asked := t.clock.Now(), 0.0, 0.0
+func (t *simulation) step() {
+	now, spent, requests := t.clock.Now(), 0.0, 0.0
 	for _, d := range t.daemons {
-		for d.due += d.asks; d.due >= 1; d.due-- {
+		for d.unsentRequests += d.requestsPerStep; d.unsentRequests >= 1; d.unsentRequests-- {
 			d.shared.Request()
-			asked++
+			requests++
 		}
-		for n := 0.0; n < d.wants && t.wanted(now) && d.shared.TakeSoon(context.Background(), Running); n++ {
+		for n := 0.0; n < d.retriesPerStep && t.wantsRetry(now) && d.shared.TakeSoon(context.Background(), Running); n++ {
 			spent++
 		}
 	}
-	t.spent, t.asked = append(t.spent, spent), append(t.asked, asked)
-	if t.churn && t.random.Float64() < churnStep*float64(len(t.daemons)) {
+	t.spent, t.requests = append(t.spent, spent), append(t.requests, requests)
+	if t.churn && t.random.Float64() < churnPerStep*float64(len(t.daemons)) {
 		t.replace(t.random.IntN(len(t.daemons)))
 	}
-	t.clock.Advance(trialStep)
+	t.clock.Advance(stepInterval)
 }
 
-// replace lets a daemon die, of which others forget what it has spent.
-func (t *trial) replace(i int) {
+// replace replaces a daemon with a new one, so that the counts of the old one are lost.
+func (t *simulation) replace(i int) {
 	next := t.start()
-	next.wants = t.daemons[i].wants
+	next.retriesPerStep = t.daemons[i].retriesPerStep
 	t.daemons[i] = next
 }
 
-// round lets news arrive at the daemons whose time it is: of some rounds ago, or, in a fleet
-// that is small enough for daemons to ask one another, of this moment.
-func (t *trial) round() {
+// deliverCounts starts a round for the daemons that are due. In a small fleet, in which daemons poll
+// each other directly, they receive the current counts, otherwise those of some rounds ago.
+func (t *simulation) deliverCounts() {
 	now := t.clock.Now()
-	if now%trialRound == 0 {
+	if now%testRoundInterval == 0 {
 		for _, d := range t.daemons {
-			d.told = append(d.told, d.shared.Own())
+			d.ownCounts = append(d.ownCounts, d.shared.Own())
 		}
 	}
 	for _, d := range t.daemons {
-		if now%trialRound != d.phase {
+		if now%testRoundInterval != d.phase {
 			continue
 		}
-		if t.random.Float64() >= t.lost {
-			d.news, d.heard = t.heard(d)
+		if t.random.Float64() >= t.lossRate {
+			d.others, d.knownDaemons = t.receivedCounts(d)
 		}
-		d.shared.Round(d.news, Fleet{
-			Heard: d.heard, Daemons: len(t.daemons), Rounds: t.rounds,
-			Settled: t.clock.Now()-d.since > 1500,
+		d.shared.Round(d.others, Fleet{
+			Heard: d.knownDaemons, Daemons: len(t.daemons), Rounds: t.rounds,
+			Settled: t.clock.Now()-d.startedAt > 1500,
 		})
 	}
 }
 
-// heard is what the others had counted when the news was made that a daemon has now,
-// and of how many daemons it tells, that one included.
-func (t *trial) heard(by *trialDaemon) (c Count, daemons int) {
+// receivedCounts returns the counts of the other daemons that a daemon receives now, and the number
+// of daemons included in them, plus itself.
+func (t *simulation) receivedCounts(receiver *simulatedDaemon) (c Count, daemons int) {
 	for _, d := range t.daemons {
-		at := len(d.told) - t.rounds
+		at := len(d.ownCounts) - t.rounds
 		switch {
-		case d == by:
+		case d == receiver:
 		case t.rounds == 1:
 			own := d.shared.Own()
 			c.Requests += own.Requests
 			c.Retries += own.Retries
 		case at >= 0:
-			c.Requests += d.told[at].Requests
-			c.Retries += d.told[at].Retries
+			c.Requests += d.ownCounts[at].Requests
+			c.Retries += d.ownCounts[at].Retries
 		}
-		if d == by || at >= 0 {
+		if d == receiver || at >= 0 {
 			daemons++
 		}
 	}
 	return c, daemons
 }
 
-// used is the part of the budget that was spent in the last window.
-func (t *trial) used() float64 {
-	return t.in(t.spent, 0) / (t.limits.Ratio*t.in(t.asked, 0) + t.limits.Slack)
+// usedFraction returns the fraction of the budget spent in the last window.
+func (t *simulation) usedFraction() float64 {
+	return t.windowSum(t.spent, 0) / (t.limits.Ratio*t.windowSum(t.requests, 0) + t.limits.Slack)
 }
 
-// usedAsJudged is the same with the requests of this window, of the one before, or of the one
-// half a window before, whichever are the most: those that a budget is judged by.
-func (t *trial) usedAsJudged() float64 {
-	requests := max(t.in(t.asked, 0), t.in(t.asked, t.limits.Window/2), t.in(t.asked, t.limits.Window))
-	return t.in(t.spent, 0) / (t.limits.Ratio*requests + t.limits.Slack)
+// usedFractionOfPeak is like usedFraction, with the largest number of requests in this window, the
+// previous one and the one half a window ago: these define the required bound.
+func (t *simulation) usedFractionOfPeak() float64 {
+	requests := max(t.windowSum(t.requests, 0), t.windowSum(t.requests, t.limits.Window/2), t.windowSum(t.requests, t.limits.Window))
+	return t.windowSum(t.spent, 0) / (t.limits.Ratio*requests + t.limits.Slack)
 }
 
-// in is the sum of a window that ended some time ago.
-func (t *trial) in(bySteps []float64, ago spanrill.Millis) (n float64) {
-	to := len(bySteps) - int(ago/trialStep)
-	for i := max(0, to-int(t.limits.Window/trialStep)); i < to; i++ {
-		n += bySteps[i]
+// windowSum returns the sum over a window that ended some time ago.
+func (t *simulation) windowSum(perStep []float64, ago spanrill.Millis) (n float64) {
+	to := len(perStep) - int(ago/stepInterval)
+	for i := max(0, to-int(t.limits.Window/stepInterval)); i < to; i++ {
+		n += perStep[i]
 	}
 	return n
 }
 
-// Over fleets of any size and however old their news, no window holds more retries
-// than the budget allows.
+// Guards against exceeding the budget in any window, in fleets of any size and with counts of any
+// age.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			f := newTrial(seed)
-			f.demand(f.random.Float64())
+			f := newSimulation(seed)
+			f.setDemand(f.random.Float64())
 			if most := f.run(); most > 1 {
 				t.Errorf("%d daemons, %d rounds: %.2f of the budget was spent in a window", len(f.daemons), f.rounds, most)
 			}
@@ -244,66 +244,66 @@
 	}
 }
 
-// leastUsable is the part of the budget that any part of a fleet must be able to use.
-// In 400 random fleets a tenth of the daemons got 0.78 to 0.95 of it.
-const leastUsable = 0.77
+// minUsable is the fraction of the budget that a tenth of the daemons must be able to use. In 400
+// random fleets they used 0.78 to 0.95 of it.
+const minUsable = 0.77
 
-// Repeats of a service went beyond what is allowed: engines failed at seconds 5, 11 and 14, and
-// within ten seconds six daemons sent 391 repeats for 953 requests, where 387 are allowed. No
-// daemon had sent any before the first loss. The log of that day has 106, 148 and 130 of them
-// in the tenths of a second behind the losses: a daemon may spend at once all that is left.
+// Guards against exceeding the budget when a daemon spends all its available retries at once. Six
+// daemons once sent 391 retries for 953 requests within ten seconds, where 387 were allowed: engines
+// failed at seconds 5, 11 and 14, and 106, 148 and 130 retries followed within tenths of a second.
+// There were none before the first failure.
 func TestBurstsStayWithinTheBudget(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			f := newTrialOf(seed, func(random *rng.Source) int {
+			f := newSimulationOf(seed, func(random *rng.Source) int {
 				if seed%3 == 0 {
 					return 10 + random.IntN(90)
 				}
 				return 1 + random.IntN(9)
 			})
 			f.churn = false
-			f.demand(1)
-			f.drawBursts()
-			if most := f.runJudged(f.usedAsJudged); most > 1 {
+			f.setDemand(1)
+			f.generateBursts()
+			if most := f.runMeasured(f.usedFractionOfPeak); most > 1 {
 				t.Errorf("%d daemons, %d rounds: %.3f of the budget was spent in a window", len(f.daemons), f.rounds, most)
 			}
 		})
 	}
 }
 
-// A tenth of the daemons, which need retries when others do not, get most of the
-// budget. When each had its own part and no more, a tenth got 0.13 to 0.25 of it.
-func TestATenthCanUseTheBudget(t *testing.T) {
+// Guards against leaving most of the budget unused when only a tenth of the daemons need retries.
+// Without borrowing they got 0.13 to 0.25 of it.
+func TestTenthOfDaemonsCanUseTheBudget(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			f := newTrial(1000 + seed)
+			f := newSimulation(1000 + seed)
 			f.churn = false
-			f.demand(0.1)
-			if most := f.run(); most < leastUsable {
+			f.setDemand(0.1)
+			if most := f.run(); most < minUsable {
 				t.Errorf("%d daemons, %d rounds: at most %.2f of the budget was used in a window", len(f.daemons), f.rounds, most)
 			}
 		})
 	}
 }
 
-// Counts that no fleet can have made change nothing but what they say of their teller.
-func TestAbsurdCounts(t *testing.T) {
+// Guards against invalid counts from other daemons that change what this daemon may spend.
+func TestInvalidCountsAreIgnored(t *testing.T) {
 	for _, others := range []Count{{Requests: -1 << 62}, {Retries: -1 << 62}, {Requests: -1 << 62, Retries: -1 << 62}} {
 		s := NewShared(clock.NewManual(), testLimits, 2)
 		all := Fleet{Heard: 2, Daemons: 2, Rounds: 1, Settled: true}
 		s.Round(Count{}, all)
-		honest := s.Left()
+		want := s.Left()
 		s.Round(others, all)
-		if got := s.Left(); got != honest {
-			t.Errorf("%v retries with others of %+v, %v with none", got, others, honest)
+		if got := s.Left(); got != want {
+			t.Errorf("%v retries remain with invalid counts %+v, want %v as without them", got, others, want)
 		}
 	}
 }
 
-// When the budget runs short, running streams go first, and what can be refused last.
-func TestUses(t *testing.T) {
+// Guards against spending the last part of the budget on retries of lower priority.
+func TestReservedParts(t *testing.T) {
 	for _, c := range []struct {
 		free                        float64
 		running, waiting, refusable bool
@@ -315,9 +315,9 @@
 		{0.09, true, false, false},
 		{0, true, false, false},
 	} {
-		got := [...]bool{Running.may(c.free), Waiting.may(c.free), Refusable.may(c.free)}
+		got := [...]bool{Running.allowedAt(c.free), Waiting.allowedAt(c.free), Refusable.allowedAt(c.free)}
 		if got != [...]bool{c.running, c.waiting, c.refusable} {
-			t.Errorf("at %.2f free: %v", c.free, got)
+			t.Errorf("allowed at %.2f unspent: %v", c.free, got)
 		}
 	}
 }
--- a/coordination/retry/loan.go
+++ b/coordination/retry/loan.go
@@ -7,191 +7,193 @@
 	"spanrill"
 )
 
-// Borrower asks other daemons for retries and returns how many they gave up, at most
-// as many as are wanted.
+// Borrower asks other daemons for retries and returns how many they lent, at most as many as are
+// wanted.
 type Borrower func(ctx context.Context, want float64) float64
 
-// Use is what a retry is for.
+// Priority decides which retries are still allowed when little of the budget is unspent.
 type Use uint8
 
-// Uses of retries, in the order in which they go short: what is saved by one.
+// Priorities of retries, the highest first. They depend on what is lost without the retry.
 const (
-	// Running is a stream that its caller reads. Without a retry all of it is lost.
+	// PriorityRunning is for a stream that its caller is reading. Without a retry all of it is lost.
 	Running Use = iota
-	// Waiting is a request that an upstream may have run and whose caller has seen
-	// nothing. It ends in a failure otherwise, and its caller may only repeat it
-	// where that does no harm.
+	// PriorityWaiting is for a request that an upstream may have run and whose caller has received
+	// nothing. Without a retry it fails, and its caller may repeat it only if it is idempotent.
 	Waiting
-	// Refusable is a request that has not run. It can be refused truthfully, and its
-	// caller may come back.
+	// PriorityRefusable is for a request that has not run. It can be refused with that outcome, and
+	// its caller may repeat it.
 	Refusable
 )
 
-// The parts of the fleet's budget that are kept for the uses before. A tenth of a
-// budget of 0.2 retries a request is one for each of 50 requests: after the loss of
-// an engine in twenty about as many streams of a fleet look for another path.
+// Fractions of the fleet's budget reserved for higher priorities. A tenth of a budget of 0.2 retries
+// per request is one retry for 50 requests: after the loss of one engine in twenty, about that many
+// streams of the fleet need another path.
 const (
-	keptForRunning = 0.10
-	keptForWaiting = 0.15 // beside the part for running streams
+	reservedForRunning = 0.10
+	reservedForWaiting = 0.15 // in addition to reservedForRunning
 )
 
-// may reports whether a retry may go to a use while that part of the budget is free.
-func (u Use) may(free float64) bool {
-	switch u {
+// allowedAt reports whether a retry of this priority is allowed when the given fraction of the
+// budget is unspent.
+func (p Use) allowedAt(unspentFraction float64) bool {
+	switch p {
 	case Running:
 		return true
 	case Waiting:
-		return free >= keptForRunning
+		return unspentFraction >= reservedForRunning
 	}
-	return free >= keptForRunning+keptForWaiting
+	return unspentFraction >= reservedForRunning+reservedForWaiting
 }
 
-// loan is an amount of retries and when it lapses.
+// loan is an amount of retries that expires.
 type loan struct {
-	n     float64
-	until spanrill.Millis
+	amount    float64
+	expiresAt spanrill.Millis
 }
 
 const (
-	// lot is how many retries are asked for: the one that is needed, and one for the
-	// next stream of this daemon, which the same loss often takes.
-	lot = 2.0
-	// loanTime is how long a loan can be spent. It is shorter than a round of news,
-	// so that a loan is spent, and told of, in the round that follows at the latest.
-	loanTime spanrill.Millis = 200
-	// askPause is how long nobody is asked after others had less than a retry to lend:
-	// their parts grow with each round of news.
-	askPause spanrill.Millis = 100
-	// lateRounds is by how many rounds later than other news all have heard of a retry:
-	// one that was borrowed is spent in the next round, and one question may be lost.
-	lateRounds = 2
-	// lateDirect is the same where daemons ask one another directly. In random fleets of 1 to
-	// 9 daemons that want retries in bursts the fullest window held 1.119 of the budget when
-	// all were taken to have heard at once, with the counts as they are now, and holds 0.998.
-	lateDirect = 1
-	// newsRound is the pause between two rounds of news.
-	newsRound spanrill.Millis = 250
+	// loanSize is the number of retries to borrow: the one that is needed, and one for the next
+	// stream of this daemon, because the loss of an engine often affects several.
+	loanSize = 2.0
+	// loanLifetime is how long a loan can be spent. It is shorter than a round, so that a loan is
+	// spent, and appears in this daemon's counts, in the following round at the latest.
+	loanLifetime spanrill.Millis = 200
+	// borrowRetryDelay is how long this daemon does not borrow again after the others lent less than
+	// one retry. Their shares are renewed in each round.
+	borrowRetryDelay spanrill.Millis = 100
+	// extraRounds is how many rounds longer than other counts a retry takes to reach all daemons:
+	// a borrowed retry may be spent in the next round, and one message may be lost.
+	extraRounds = 2
+	// extraRoundsDirect is the same for fleets in which all daemons poll each other directly. With 0,
+	// random fleets of 1 to 9 daemons with bursts of retries used up to 1.119 of the budget in
+	// a window; with 1 they used up to 0.998.
+	extraRoundsDirect = 1
+	// roundInterval is the interval between rounds.
+	roundInterval spanrill.Millis = 250
 )
 
-// TakeSoon is Take, and asks other daemons if there is none to spend here. A daemon's
-// part of a large fleet's budget is less than the streams that it loses with one
-// engine, while others have lost none.
-func (s *Shared) TakeSoon(ctx context.Context, use Use) bool {
-	if s.Take(use) {
+// TakeOrBorrow is like Take, but borrows from other daemons if no retry is available here. In
+// a large fleet the share of a daemon is smaller than the number of streams that it loses with one
+// engine, while other daemons may have lost none.
+func (s *Shared) TakeSoon(ctx context.Context, priority Use) bool {
+	if s.Take(priority) {
 		return true
 	}
-	if !s.allows(use) {
+	if !s.allows(priority) {
 		return false
 	}
 	select {
-	case s.asking <- struct{}{}:
+	case s.borrowToken <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
-	defer func() { <-s.asking }()
-	if s.Take(use) { // of what the one before has borrowed
+	defer func() { <-s.borrowToken }()
+	if s.Take(priority) { // the previous caller may have borrowed enough
 		return true
 	}
-	s.ask(ctx)
-	return s.Take(use)
+	s.borrow(ctx)
+	return s.Take(priority)
 }
 
-// Reach reports whether a retry can be had, here or from other daemons.
-func (s *Shared) Reach(ctx context.Context, use Use) bool {
-	if !s.allows(use) {
+// Available reports whether a retry is available, here or from other daemons.
+func (s *Shared) Reach(ctx context.Context, priority Use) bool {
+	if !s.allows(priority) {
 		return false
 	}
 	if s.Left() < 1 {
-		s.ask(ctx)
+		s.borrow(ctx)
 	}
 	return s.Left() >= 1
 }
 
-// ask asks other daemons, unless they had nothing to lend a moment ago.
-func (s *Shared) ask(ctx context.Context) {
-	if s.pausing() {
+// borrow borrows retries from other daemons, unless they had too few to lend within
+// borrowRetryDelay.
+func (s *Shared) borrow(ctx context.Context) {
+	if s.borrowPaused() {
 		return
 	}
-	n := s.borrower(ctx, lot)
+	n := s.borrower(ctx, loanSize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	if n < 1 {
-		s.askAt = now + askPause
+		s.nextBorrowAt = now + borrowRetryDelay
 	}
 	if n > 0 {
-		s.borrowed = append(s.borrowed, loan{n: min(n, lot), until: now + loanTime})
+		s.borrowed = append(s.borrowed, loan{amount: min(n, loanSize), expiresAt: now + loanLifetime})
 	}
 }
 
-func (s *Shared) pausing() bool {
+func (s *Shared) borrowPaused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.clock.Now() < s.askAt
+	return s.clock.Now() < s.nextBorrowAt
 }
 
-func (s *Shared) allows(use Use) bool {
+func (s *Shared) allows(priority Use) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return use.may(s.free)
+	return priority.allowedAt(s.unspentFraction)
 }
 
-// Lend gives up to that many retries of this daemon's part to another one, and returns
-// how many. What makes no sense is lent nothing.
+// Lend gives retries of this daemon's share to another daemon, and returns how many. For an invalid
+// amount it returns 0.
 func (s *Shared) Lend(want float64) float64 {
 	if math.IsNaN(want) || want <= 0 {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := min(want, lot, s.left)
+	n := min(want, loanSize, s.remaining)
 	if n <= 0 || !s.fleet.Settled {
 		return 0
 	}
-	s.give(n)
+	s.deduct(n)
 	return n
 }
 
-// give takes retries off this daemon's part. The caller holds the lock.
-func (s *Shared) give(n float64) {
-	s.left = max(0, s.left-n)
-	late := lateRounds
+// deduct subtracts retries from this daemon's share. They count against it until all other daemons
+// have received this daemon's counts. The caller holds the lock.
+func (s *Shared) deduct(n float64) {
+	s.remaining = max(0, s.remaining-n)
+	extra := extraRounds
 	if s.fleet.Rounds == 1 {
-		late = lateDirect
+		extra = extraRoundsDirect
 	}
-	heard := newsRound * spanrill.Millis(s.fleet.Rounds+late)
-	s.unheard = append(s.unheard, loan{n: n, until: s.clock.Now() + heard})
+	delay := roundInterval * spanrill.Millis(s.fleet.Rounds+extra)
+	s.unreported = append(s.unreported, loan{amount: n, expiresAt: s.clock.Now() + delay})
 }
 
-// spend takes one retry from what is borrowed, then from this daemon's part. The
-// caller holds the lock.
+// spend takes one retry from the borrowed ones, then from this daemon's share, and reports whether
+// one was available. The caller holds the lock.
 func (s *Shared) spend() bool {
-	if s.left+s.stillBorrowed() < 1 {
+	if s.remaining+s.borrowedAmount() < 1 {
 		return false
 	}
-	need := 1.0
+	owed := 1.0
 	for i := range s.borrowed {
-		n := min(need, s.borrowed[i].n)
-		s.borrowed[i].n -= n
-		need -= n
+		n := min(owed, s.borrowed[i].amount)
+		s.borrowed[i].amount -= n
+		owed -= n
 	}
-	s.give(need)
+	s.deduct(owed)
 	return true
 }
 
-// stillBorrowed is what can be spent of loans. The caller holds the lock.
-func (s *Shared) stillBorrowed() (n float64) {
-	s.borrowed, n = current(s.borrowed, s.clock.Now())
+// borrowedAmount returns the amount of unexpired loans. The caller holds the lock.
+func (s *Shared) borrowedAmount() (n float64) {
+	s.borrowed, n = unexpired(s.borrowed, s.clock.Now())
 	return n
 }
 
-// current returns the loans that have not lapsed, and their sum.
-func current(loans []loan, now spanrill.Millis) (kept []loan, sum float64) {
+// unexpired returns the loans that have not expired, and their sum.
+func unexpired(loans []loan, now spanrill.Millis) (kept []loan, sum float64) {
 	kept = loans[:0]
 	for _, l := range loans {
-		if now < l.until {
+		if now < l.expiresAt {
 			kept = append(kept, l)
-			sum += l.n
+			sum += l.amount
 		}
 	}
 	return kept, sum
--- a/coordination/retry/shared.go
+++ b/coordination/retry/shared.go
@@ -7,200 +7,196 @@
 	"spanrill"
 )
 
-// Shared is a retry budget that all daemons of a fleet keep together.
+// SharedBudget is the retry budget of a service over all daemons of a fleet.
 //
-// In any window a service may get retries up to a ratio of its requests and a
-// slack, over all daemons. Daemons tell one another what they have counted. In
-// each round of news a daemon may spend its part of what is left: the parts add
-// up to no more than that, and a daemon that needs more than its part borrows from
-// others (loan.go). A daemon of which nothing is heard is taken to have spent its
-// whole part.
+// In any window the retries of all daemons together are limited to a ratio of the requests plus
+// a slack. The daemons exchange their counts in rounds. In each round a daemon may spend an equal
+// share of the unspent budget; a daemon that needs more borrows from others (loan.go). A daemon
+// whose counts are unknown is assumed to have spent its whole share.
 type Shared struct {
 	mu     sync.Mutex
 	clock  spanrill.Clock
 	limits Limits
 
-	own    window
-	others Count // of the daemons heard of, in the window
-	fleet  Fleet
-	free   float64 // part of the budget that nobody has spent, from 0 to 1
-	left   float64 // that may be spent until the next round
-
-	borrower Borrower
-	asking   chan struct{}   // holds one token while others are asked
-	askAt    spanrill.Millis // before this nobody is asked
-	borrowed []loan          // from others
-	unheard  []loan          // of this daemon's part, spent or lent, that others have not heard of
+	own             window
+	others          Count // of the other daemons whose counts are known, in the window
+	fleet           Fleet
+	unspentFraction float64 // fraction of the budget that no daemon has spent, from 0 to 1
+	remaining       float64 // of this daemon's share, until the next round
+
+	borrower     Borrower
+	borrowToken  chan struct{}   // holds a token while a goroutine borrows
+	nextBorrowAt spanrill.Millis // no borrowing before this time
+	borrowed     []loan          // from other daemons
+	unreported   []loan          // spent or lent from this daemon's share, and not yet known to all others
 }
 
-// Fleet is what a round of news tells of the daemons.
+// Fleet describes the daemons of the fleet as known in a round.
 type Fleet struct {
-	Heard   int // daemons of which something is known, this one included
+	Heard   int // daemons whose counts are known, including this one
 	Daemons int
-	Rounds  int  // of news until every daemon was heard of once
-	Settled bool // whether Daemons is known to be all of them
+	Rounds  int  // until the counts of every daemon have arrived once
+	Settled bool // whether Daemons is known to include all daemons
 }
 
-// Limits is a retry budget.
+// Limits is the size of a retry budget.
 type Limits struct {
-	Ratio  float64 // retries for each request
-	Slack  float64 // retries beyond that in a window
+	Ratio  float64 // retries per request
+	Slack  float64 // additional retries per window
 	Window spanrill.Millis
 }
 
-// Count is what was counted in a window.
+// Count is the requests and retries in a window.
 type Count struct {
 	Requests int64
 	Retries  int64
-	Recent   int64 // requests in the newest recentBuckets of the window that are over
+	Recent   int64 // requests in the last recentBuckets complete buckets
 }
 
-// most bounds what daemons are believed to have counted in a window: many times what
-// the largest fleet that is planned for does.
-const most = 1e9
+// maxCount bounds the counts accepted from other daemons: many times those of the largest supported
+// fleet.
+const maxCount = 1e9
 
-// sane returns a count without what no fleet can have counted, which would change
-// what this daemon may spend.
-func (c Count) sane() Count {
+// clamped returns the count limited to possible values, because invalid ones would change what this
+// daemon may spend.
+func (c Count) clamped() Count {
 	return Count{
-		Requests: min(max(0, c.Requests), most), Retries: min(max(0, c.Retries), most),
-		Recent: min(max(0, c.Recent), most),
+		Requests: min(max(0, c.Requests), maxCount), Retries: min(max(0, c.Retries), maxCount),
+		Recent: min(max(0, c.Recent), maxCount),
 	}
 }
 
-// margin is the part of the budget that is used: the windows in which daemons
-// count do not begin at the same moment, and what a daemon has spent is forgotten
-// when it dies. In random fleets with news late and lost the fullest window held 0.998
-// of the budget: 1,200 fleets of 1 to 100 daemons that want retries in bursts, 120 of up to
-// 400 that want them all the time, in a third of which one daemon in fifty is replaced in a
-// window. With 0.97 in place of it, and twice as long buckets, 1.063.
+// margin is the fraction of the budget that is used. The rest is needed because the windows of the
+// daemons do not start at the same time, and because the counts of a daemon are lost when it dies.
+// In random fleets with delayed and lost messages, at most 0.998 of the budget was spent in
+// a window: 1,200 fleets of 1 to 100 daemons with bursts of retries, and 120 of up to 400 with
+// constant demand, in a third of which one daemon in fifty was replaced in each window. With a
+// margin of 0.97 and buckets of twice the length it was 1.063.
 const margin = 0.95
 
-// unsettled is what a daemon may spend that does not know how many there are: what
-// its own requests earn, and its part of the slack in a large fleet.
-func (s *Shared) unsettled(own Count) float64 {
-	return margin*(s.limits.Ratio*float64(own.Requests)+s.limits.Slack/unsettledFleet) - float64(own.Retries)
+// ownEarnings returns what this daemon may spend while the number of daemons is unknown: the ratio
+// of its own requests, and an equal share of the slack in a large fleet.
+func (s *Shared) ownEarnings(own Count) float64 {
+	return margin*(s.limits.Ratio*float64(own.Requests)+s.limits.Slack/assumedDaemons) - float64(own.Retries)
 }
 
-// unsettledFleet is the number of daemons that is assumed until it is known: more
-// than the 350 of the largest fleet that is planned for.
-const unsettledFleet = 400
+// assumedDaemons is the number of daemons assumed until it is known: more than the 350 of the
+// largest supported fleet.
+const assumedDaemons = 400
 
 // SharedOption changes a default of NewShared.
 type SharedOption func(*Shared)
 
-// WithBorrower sets how other daemons are asked for retries.
+// WithBorrower sets the function that borrows retries from other daemons.
 func WithBorrower(b Borrower) SharedOption {
 	return func(s *Shared) { s.borrower = b }
 }
 
-// NewShared returns a budget for a fleet of that many daemons.
+// NewSharedBudget returns a budget for a fleet of that many daemons.
 func NewShared(clock spanrill.Clock, limits Limits, daemons int, opts ...SharedOption) *Shared {
 	s := &Shared{
-		clock: clock, limits: limits, fleet: Fleet{Heard: 1, Daemons: max(1, daemons), Rounds: 1}, free: 1,
-		borrower: func(context.Context, float64) float64 { return 0 }, asking: make(chan struct{}, 1),
+		clock: clock, limits: limits, fleet: Fleet{Heard: 1, Daemons: max(1, daemons), Rounds: 1}, unspentFraction: 1,
+		borrower: func(context.Context, float64) float64 { return 0 }, borrowToken: make(chan struct{}, 1),
 	}
 	for _, o := range opts {
 		o(s)
 	}
 	s.own.width = limits.Window / buckets
-	s.left = s.unsettled(Count{})
+	s.remaining = s.ownEarnings(Count{})
 	return s
 }
 
-// part is what this daemon may spend of the budget that is left, and which part of
-// the whole that is left is, from 0 to 1.
-func (s *Shared) part(own Count) (part, free float64) {
+// share returns the part of the unspent budget that this daemon may spend, and the unspent fraction
+// of the whole budget, from 0 to 1.
+func (s *Shared) share(own Count) (share, unspentFraction float64) {
 	requests := float64(own.Requests + s.others.Requests)
 	total := margin * (s.limits.Ratio*requests + s.limits.Slack)
 	missing := max(0, s.fleet.Daemons-s.fleet.Heard)
 	spent := float64(own.Retries+s.others.Retries) + float64(missing)*total/float64(s.fleet.Daemons)
-	rest := max(0, total-spent)
-	return rest / float64(s.fleet.Daemons), rest / max(1, total)
+	unspent := max(0, total-spent)
+	return unspent / float64(s.fleet.Daemons), unspent / max(1, total)
 }
 
-// Round takes what other daemons have counted and begins a new round.
+// StartRound sets the counts of the other daemons and starts a new round.
 //
-// What the others spend until every daemon is heard of again is not known. What each
-// daemon spends of its part, or lends, therefore counts against the part until the others
-// must have heard of it. A daemon that does
-// not know yet how many there are, because all have just started, earns retries by its
-// own requests, which is safe for any number, and lends none.
+// What other daemons have spent since their counts were sent is unknown. Therefore, what a daemon
+// spends or lends counts against its share until all others must have received its counts.
+// A daemon that does not know the number of daemons, because the fleet has just started, may spend
+// only what its own requests allow, which is safe for any number, and lends nothing.
 func (s *Shared) Round(others Count, fleet Fleet) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fleet.Daemons, fleet.Rounds = max(1, fleet.Daemons), max(1, fleet.Rounds)
-	s.others, s.fleet = others.sane(), fleet
+	s.others, s.fleet = others.clamped(), fleet
 	now := s.clock.Now()
 	own := s.own.count(now)
 	if !fleet.Settled {
-		s.left = max(0, s.unsettled(own))
+		s.remaining = max(0, s.ownEarnings(own))
 		return
 	}
-	var part, out float64
-	part, s.free = s.part(own)
-	s.unheard, out = current(s.unheard, now)
-	s.left = max(0, part-out)
+	var share, unreportedAmount float64
+	share, s.unspentFraction = s.share(own)
+	s.unreported, unreportedAmount = unexpired(s.unreported, now)
+	s.remaining = max(0, share-unreportedAmount)
 }
 
-// Own returns what this daemon has counted in the window.
+// Own returns the counts of this daemon in the window.
 func (s *Shared) Own() Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.own.count(s.clock.Now())
 }
 
-// Request counts a request.
+// RecordRequest counts a request.
 func (s *Shared) Request() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own.at(s.clock.Now()).Requests++
+	s.own.bucketAt(s.clock.Now()).Requests++
 }
 
-// Take spends one retry and reports whether there was one to spend here.
-func (s *Shared) Take(use Use) bool {
+// Take consumes a retry and reports whether one was available here.
+func (s *Shared) Take(priority Use) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !use.may(s.free) || !s.spend() {
+	if !priority.allowedAt(s.unspentFraction) || !s.spend() {
 		return false
 	}
-	s.own.at(s.clock.Now()).Retries++
+	s.own.bucketAt(s.clock.Now()).Retries++
 	return true
 }
 
-// Left returns how many retries can be spent in this round.
+// Remaining returns how many retries are available until the next round, without borrowing more.
 func (s *Shared) Left() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.left + s.stillBorrowed()
+	return s.remaining + s.borrowedAmount()
 }
 
-// buckets is into how many parts a window is divided. The shorter they are, the less of a
-// window's requests is left out and the less beyond it of retries is counted: a tenth of the
-// daemons of a large fleet get 0.839 of the budget in the mean of 120 random fleets with 40,
-// 0.827 with 20.
+// buckets is the number of buckets in a window. The shorter the buckets, the fewer requests of
+// the window are omitted, and the fewer retries before it are counted. A tenth of the daemons of
+// a large fleet got 0.839 of the budget with 40 buckets and 0.827 with 20, as the mean of 120
+// random fleets.
 const buckets = 40
 
-// recentBuckets is over how many of them the requests that come now are counted: few
-// enough to show a burst of some seconds, and enough that a fleet of 300 requests a
-// second is counted to within a twentieth.
+// recentBuckets is the number of buckets over which the current request rate is computed: few
+// enough to show a burst of some seconds, and enough for an error below a twentieth at 300 requests
+// per second.
 const recentBuckets = 8
 
-// window counts in a sliding window. Requests are counted over at most its length and
-// retries over at least that: a budget that counts the requests of a bucket more gives retries
-// that the window does not have. A daemon that is alone spent 1.037 of its budget so, when
-// retries that had been saved up were wanted in one moment.
+// window is a sliding window of counts. It counts requests over at most its length, and retries
+// over at least its length. Counting the requests of one more bucket would allow too many retries:
+// a single daemon spent 1.037 of its budget when it used all available retries at once.
 type window struct {
-	width  spanrill.Millis
-	counts [buckets + 1]Count           // one more than the window holds
-	number [buckets + 1]spanrill.Millis // of the bucket's time
+	width         spanrill.Millis
+	counts        [buckets + 1]Count           // including a partial one
+	bucketNumbers [buckets + 1]spanrill.Millis // time of each bucket, in units of width
 }
 
-func (w *window) at(now spanrill.Millis) *Count {
+func (w *window) bucketAt(now spanrill.Millis) *Count {
 	n := now / max(1, w.width)
 	i := n % (buckets + 1)
-	if w.number[i] != n {
-		w.number[i], w.counts[i] = n, Count{}
+	if w.bucketNumbers[i] != n {
+		w.bucketNumbers[i], w.counts[i] = n, Count{}
 	}
 	return &w.counts[i]
 }
@@ -208,7 +204,7 @@
 func (w *window) count(now spanrill.Millis) Count {
 	n := now / max(1, w.width)
 	var c Count
-	for i, number := range w.number {
+	for i, number := range w.bucketNumbers {
 		if n-number < buckets {
 			c.Requests += w.counts[i].Requests
 		}
@@ -222,22 +218,22 @@
 	return c
 }
 
-// Budgets holds the retry budget of each service.
+// Budgets holds the retry budgets of all services.
 type Budgets struct {
 	mu       sync.Mutex
 	clock    spanrill.Clock
 	limits   Limits
 	daemons  int
 	borrow   func(ctx context.Context, service string, want float64) float64
-	fleet    Fleet            // of the last round
-	others   map[string]Count // by service, of the last round
+	fleet    Fleet            // in the last round
+	others   map[string]Count // by service, in the last round
 	services map[string]*Shared
 }
 
 // BudgetsOption changes a default of NewBudgets.
 type BudgetsOption func(*Budgets)
 
-// WithBorrow sets how other daemons are asked for retries of a service.
+// WithBorrow sets the function that borrows retries of a service from other daemons.
 func WithBorrow(borrow func(ctx context.Context, service string, want float64) float64) BudgetsOption {
 	return func(b *Budgets) { b.borrow = borrow }
 }
@@ -271,39 +267,38 @@
 	return s
 }
 
-// Lend gives another daemon up to that many retries of a service, and returns how
-// many. They are no longer this daemon's.
+// Lend gives retries of a service to another daemon, and returns how many. They are deducted from
+// this daemon's share.
 func (b *Budgets) Lend(service string, want float64) float64 {
 	b.mu.Lock()
 	s := b.services[service]
 	b.mu.Unlock()
 	if s == nil {
-		return 0 // nothing is known here of such a service
+		return 0 // no budget for this service exists here
 	}
 	return s.Lend(want)
 }
 
-// Demand returns the requests a second of all daemons that have been heard of, by
-// service.
+// Demand returns the requests per second of all daemons whose counts are known, by service.
 func (b *Budgets) Demand() map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	demand := make(map[string]float64, len(b.services))
 	for name, s := range b.services {
-		demand[name] = s.demand()
+		demand[name] = s.requestRate()
 	}
 	return demand
 }
 
-// demand is the requests a second of all daemons.
-func (s *Shared) demand() float64 {
+// requestRate returns the requests per second of all daemons whose counts are known.
+func (s *Shared) requestRate() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	recent := s.own.count(s.clock.Now()).Recent + s.others.Recent
 	return float64(recent) / (recentBuckets * float64(s.own.width) / float64(spanrill.Second))
 }
 
-// Own returns what this daemon has counted, by service.
+// Own returns the counts of this daemon, by service.
 func (b *Budgets) Own() map[string]Count {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -314,8 +309,7 @@
 	return own
 }
 
-// Round takes what other daemons have counted, by service, and begins a new
-// round.
+// StartRound sets the counts of the other daemons, by service, and starts a new round.
 func (b *Budgets) Round(others map[string]Count, fleet Fleet) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/retry/shared_test.go
+++ b/coordination/retry/shared_test.go
@@ -9,28 +9,28 @@
 
 var testLimits = Limits{Ratio: 0.2, Slack: 200, Window: 10 * spanrill.Second}
 
-// However daemons spend, and whatever they have heard of one another one round
-// ago, no window holds more retries than the budget.
+// Guards against exceeding the budget in a window when each daemon spends all it may, with counts
+// of other daemons that are one to many rounds old.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		daemons, rounds int
 	}{
-		{"each hears of all in every round", 8, 1},
-		{"it takes twelve rounds to hear of all", 71, 12},
-		{"it takes sixty rounds to hear of all", 350, 60},
+		{"all counts arrive in every round", 8, 1},
+		{"all counts arrive within twelve rounds", 71, 12},
+		{"all counts arrive within sixty rounds", 350, 60},
 	} {
-		t.Run(c.name, func(t *testing.T) { spendAll(t, c.daemons, c.rounds) })
+		t.Run(c.name, func(t *testing.T) { checkWindowBudget(t, c.daemons, c.rounds) })
 	}
 }
 
-// spendAll lets daemons spend all they may for a minute, where each hears of a
-// part of the others in each round.
-func spendAll(t *testing.T, daemons, rounds int) {
+// checkWindowBudget simulates a minute in which daemons spend all they may, and receive the counts
+// of a part of the others in each round. It fails if a window exceeds the budget.
+func checkWindowBudget(t *testing.T, daemons, rounds int) {
 	c := clock.NewManual()
-	heard := make([][]Count, daemons)
-	for i := range heard {
-		heard[i] = make([]Count, daemons)
+	known := make([][]Count, daemons)
+	for i := range known {
+		known[i] = make([]Count, daemons)
 	}
 	all := make([]*Shared, daemons)
 	for i := range all {
@@ -40,14 +40,14 @@
 		at spanrill.Millis
 		n  int64
 	}
-	var spent, asked []spend
+	var spent, requests []spend
 	for round := range 240 {
 		for i, s := range all {
 			if i%2 == 0 {
 				s.Request()
-				asked = append(asked, spend{c.Now(), 1})
+				requests = append(requests, spend{c.Now(), 1})
 			}
-			for s.Take(Running) { // a daemon that wants as many as it can get
+			for s.Take(Running) { // take as many as possible
 				spent = append(spent, spend{c.Now(), 1})
 			}
 		}
@@ -60,11 +60,11 @@
 			var others Count
 			for k := range counts {
 				if (k+round)%rounds == 0 {
-					heard[i][k] = counts[k]
+					known[i][k] = counts[k]
 				}
 				if k != i {
-					others.Requests += heard[i][k].Requests
-					others.Retries += heard[i][k].Retries
+					others.Requests += known[i][k].Requests
+					others.Retries += known[i][k].Retries
 				}
 			}
 			s.Round(others, Fleet{Heard: min(daemons, (round+1)*daemons/rounds), Daemons: daemons, Rounds: rounds, Settled: true})
@@ -77,13 +77,13 @@
 			}
 			return n
 		}
-		if limit := testLimits.Ratio*float64(in(asked)) + testLimits.Slack; float64(in(spent)) > limit {
-			t.Fatalf("round %d: %d retries in a window, the budget is %.0f", round, in(spent), limit)
+		if limit := testLimits.Ratio*float64(in(requests)) + testLimits.Slack; float64(in(spent)) > limit {
+			t.Fatalf("round %d: %d retries in a window, want at most %.0f", round, in(spent), limit)
 		}
 	}
 }
 
-// takeAll takes retries until there are none, and returns how many there were.
+// takeAll takes all available retries and returns their number.
 func takeAll(s *Shared) int {
 	n := 0
 	for s.Take(Running) {
@@ -92,8 +92,8 @@
 	return n
 }
 
-// A daemon that needs retries when others do not gets more than an equal part.
-func TestOneDaemonGetsWhatOthersLeave(t *testing.T) {
+// Guards against limiting a daemon to an equal share when the other daemons need no retries.
+func TestOneDaemonGetsUnusedShares(t *testing.T) {
 	const daemons = 8
 	c := clock.NewManual()
 	s := NewShared(c, testLimits, daemons)
@@ -104,12 +104,12 @@
 		s.Round(Count{Requests: 500}, Fleet{Heard: daemons, Daemons: daemons, Rounds: 1, Settled: true})
 	}
 	if n < 100 {
-		t.Fatalf("it got %d retries in two seconds, want at least 100 of 300", n)
+		t.Fatalf("%d retries in two seconds, want at least 100 of 300", n)
 	}
 }
 
-// A daemon that hears of nobody keeps to its part.
-func TestLoneDaemonKeepsToItsPart(t *testing.T) {
+// Guards against a daemon that spends more than its share when it gets no counts from others.
+func TestIsolatedDaemonStaysWithinItsShare(t *testing.T) {
 	const daemons = 8
 	c := clock.NewManual()
 	s := NewShared(c, testLimits, daemons)
@@ -120,12 +120,12 @@
 		s.Round(Count{}, Fleet{Heard: 1, Daemons: daemons, Rounds: 1, Settled: true})
 	}
 	if limit := int(testLimits.Slack / daemons); n > limit {
-		t.Fatalf("it took %d retries, its part is %d", n, limit)
+		t.Fatalf("%d retries, want at most the share of %d", n, limit)
 	}
 }
 
-// Daemons that have all just started, and know of few others, do not spend the
-// slack of the budget many times over: they earn retries by their requests.
+// Guards against spending the slack several times when all daemons have just started and each knows
+// few others: then only their own requests allow retries.
 func TestUnsettledDaemonsEarnRetries(t *testing.T) {
 	const daemons, requests = 71, 40
 	c := clock.NewManual()
@@ -144,13 +144,13 @@
 	}
 }
 
-// The budget of a service that is asked for after the fleet was known is the same
-// as that of one known before.
+// Guards against a different budget for a service that is first used after the number of daemons is
+// known.
 func TestBudgetOfNewService(t *testing.T) {
 	b := NewBudgets(clock.NewManual(), testLimits, 1)
 	b.Of("old")
 	b.Round(nil, Fleet{Heard: 2, Daemons: 2, Rounds: 1, Settled: true})
 	if first, second := b.Of("old").Left(), b.Of("new").Left(); first != second {
-		t.Fatalf("%v retries are left for the old service, %v for the new one", first, second)
+		t.Fatalf("%v retries remain for the old service, %v for the new one", first, second)
 	}
 }
