--- a/coordination/observe/observe.go
+++ b/coordination/observe/observe.go
@@ -1,8 +1,8 @@
-// Package observe keeps the load table up to date: it reads the box list and
-// asks upstreams for their reports.
+// Package observe keeps the load table up to date: it reads the box list and polls the status of
+// upstreams.
 //
-// Each upstream is asked by a few daemons only, which tell the others. Which
-// daemons those are follows from the names of the daemons alive.
+// Each upstream is polled by only a few daemons, which send its reports to the others. A Share
+// decides which upstreams a daemon polls.
 //
 // # Usage
 //
@@ -24,84 +24,83 @@
 	"spanrill/task"
 )
 
-// Share says which upstreams this daemon observes, and who else is told.
+// Share selects the upstreams that this daemon polls, and sends their reports to other daemons.
 type Share interface {
-	// Mine reports whether this daemon observes the upstream.
+	// Includes reports whether this daemon polls the upstream.
 	Mine(upstream string) bool
-	// TellReports passes reports on to the other daemons.
+	// BroadcastReports sends reports to the other daemons.
 	TellReports(reports []spanrill.UpstreamStatus)
 }
 
-// alone is the share of a daemon without peers.
-type alone struct{}
+// observeAll is the share of a daemon without peers. It includes all upstreams.
+type observeAll struct{}
 
-// Mine returns true.
-func (alone) Mine(string) bool { return true }
+// Includes returns true.
+func (observeAll) Mine(string) bool { return true }
 
-// TellReports does nothing.
-func (alone) TellReports([]spanrill.UpstreamStatus) {}
+// BroadcastReports does nothing.
+func (observeAll) TellReports([]spanrill.UpstreamStatus) {}
 
-// Observer keeps the load table up to date.
+// Observer reads box lists and upstream reports into a load table.
 type Observer struct {
-	boxes    spanrill.BoxLister
-	engines  spanrill.Engines
-	services spanrill.Services
-	table    *load.Table
-	clock    spanrill.Clock
-	log      logrus.FieldLogger
-	share    Share
-	onBoxes  func([]spanrill.Box)
-	fallback spanrill.BoxLister
-	listGap  spanrill.Millis
-	askGap   spanrill.Millis
-	suspects chan string // zones to ask at once
-	seen     chan struct{}
-	once     sync.Once
-	misses   sync.Map // upstream name to *atomic.Int64, reports missed in a row
+	boxes          spanrill.BoxLister
+	engines        spanrill.Engines
+	services       spanrill.Services
+	table          *load.Table
+	clock          spanrill.Clock
+	log            logrus.FieldLogger
+	share          Share
+	onBoxes        func([]spanrill.Box)
+	fallback       spanrill.BoxLister
+	listInterval   spanrill.Millis
+	reportInterval spanrill.Millis
+	zonesToRecheck chan string // availability zones to poll at once
+	ready          chan struct{}
+	readyOnce      sync.Once
+	misses         sync.Map // upstream name to *atomic.Int64, consecutive missed reports
 }
 
 // Option changes a default of New.
 type Option func(*Observer)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(o *Observer) { o.log = log }
 }
 
-// WithShare sets which upstreams this daemon observes.
+// WithShare sets which upstreams this daemon polls. The default is all of them.
 func WithShare(s Share) Option {
 	return func(o *Observer) { o.share = s }
 }
 
-// WithOnBoxes sets what is called with each box list.
+// WithOnBoxes sets a function that is called with each box list.
 func WithOnBoxes(f func([]spanrill.Box)) Option {
 	return func(o *Observer) { o.onBoxes = f }
 }
 
-// WithFallback sets where the first box list comes from while the platform
-// does not give one.
+// WithFallback sets the source of the first box list for as long as the platform returns an error.
 func WithFallback(b spanrill.BoxLister) Option {
 	return func(o *Observer) { o.fallback = b }
 }
 
-// WithGaps sets the pauses between two box lists and between two reports.
-func WithGaps(list, ask spanrill.Millis) Option {
-	return func(o *Observer) { o.listGap, o.askGap = list, ask }
+// WithIntervals sets the intervals between reads of the box list and between polls of upstreams.
+func WithGaps(listInterval, reportInterval spanrill.Millis) Option {
+	return func(o *Observer) { o.listInterval, o.reportInterval = listInterval, reportInterval }
 }
 
 const (
-	defaultListGap = spanrill.Second
-	defaultAskGap  = 500 * spanrill.Millis(1)
-	askTimeout     = 400 * spanrill.Millis(1)
-	askAtOnce      = 32
+	defaultListInterval   = spanrill.Second
+	defaultReportInterval = 500 * spanrill.Millis(1)
+	pollTimeout           = 400 * spanrill.Millis(1)
+	maxConcurrentPolls    = 32
 )
 
-// New returns an observer that observes everything.
+// New returns an observer that polls all upstreams, unless WithShare is given.
 func New(boxes spanrill.BoxLister, engines spanrill.Engines, services spanrill.Services, table *load.Table, clock spanrill.Clock, opts ...Option) *Observer {
 	o := &Observer{
 		boxes: boxes, engines: engines, services: services, table: table, clock: clock,
-		log: logrus.StandardLogger(), share: alone{}, onBoxes: func([]spanrill.Box) {},
-		listGap: defaultListGap, askGap: defaultAskGap, seen: make(chan struct{}), suspects: make(chan string, 1),
+		log: logrus.StandardLogger(), share: observeAll{}, onBoxes: func([]spanrill.Box) {},
+		listInterval: defaultListInterval, reportInterval: defaultReportInterval, ready: make(chan struct{}), zonesToRecheck: make(chan string, 1),
 	}
 	for _, opt := range opts {
 		opt(o)
@@ -109,21 +108,20 @@
 	return o
 }
 
-// Seen returns a channel that is closed once a box list was read and its
-// upstreams were asked.
-func (o *Observer) Seen() <-chan struct{} { return o.seen }
+// Ready returns a channel that is closed once a box list was read and its upstreams were polled.
+func (o *Observer) Seen() <-chan struct{} { return o.ready }
 
-// Run observes until the context ends.
+// Run reads box lists and polls upstreams until the context ends.
 func (o *Observer) Run(ctx context.Context) error {
 	var tasks task.Group
 	listed := make(chan struct{}, 1)
-	tasks.Start(ctx, "box list", func(ctx context.Context) error { return o.list(ctx, listed) })
+	tasks.Start(ctx, "box list", func(ctx context.Context) error { return o.runBoxList(ctx, listed) })
 	tasks.Start(ctx, "recheck", o.recheck)
-	tasks.Start(ctx, "reports", func(ctx context.Context) error { return o.reports(ctx, listed) })
+	tasks.Start(ctx, "reports", func(ctx context.Context) error { return o.runReports(ctx, listed) })
 	return tasks.Wait()
 }
 
-func (o *Observer) list(ctx context.Context, listed chan<- struct{}) error {
+func (o *Observer) runBoxList(ctx context.Context, listed chan<- struct{}) error {
 	first := true
 	for ctx.Err() == nil {
 		boxes, err := o.boxes.Boxes(ctx)
@@ -139,7 +137,7 @@
 			default:
 			}
 		}
-		o.pause(ctx, o.listGap)
+		o.pause(ctx, o.listInterval)
 	}
 	return ctx.Err()
 }
@@ -151,43 +149,43 @@
 	}
 }
 
-func (o *Observer) reports(ctx context.Context, listed <-chan struct{}) error {
+func (o *Observer) runReports(ctx context.Context, listed <-chan struct{}) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-listed:
 	}
 	for ctx.Err() == nil {
-		o.share.TellReports(o.askShare(ctx))
-		o.once.Do(func() { close(o.seen) })
-		o.pause(ctx, o.askGap)
+		o.share.TellReports(o.pollAssigned(ctx))
+		o.readyOnce.Do(func() { close(o.ready) })
+		o.pause(ctx, o.reportInterval)
 	}
 	return ctx.Err()
 }
 
-// askShare asks every upstream of this daemon's share.
-func (o *Observer) askShare(ctx context.Context) []spanrill.UpstreamStatus {
+// pollAssigned polls the upstreams of this daemon's share, and those whose reports are late.
+func (o *Observer) pollAssigned(ctx context.Context) []spanrill.UpstreamStatus {
 	now := o.clock.Now()
-	return o.askAll(ctx, func(u *load.Upstream) bool {
-		return o.share.Mine(u.Name()) || u.ReportAge(now) >= lateReport
+	return o.pollMatching(ctx, func(u *load.Upstream) bool {
+		return o.share.Mine(u.Name()) || u.ReportAge(now) >= maxReportAge
 	})
 }
 
-// askAll asks the upstreams that match, a few at a time, and hands their
-// reports to the table.
-func (o *Observer) askAll(ctx context.Context, match func(*load.Upstream) bool) []spanrill.UpstreamStatus {
+// pollMatching polls the matching upstreams, at most maxConcurrentPolls at a time, and stores their reports
+// in the table.
+func (o *Observer) pollMatching(ctx context.Context, match func(*load.Upstream) bool) []spanrill.UpstreamStatus {
 	var mu sync.Mutex
 	var reports []spanrill.UpstreamStatus
 	var tasks task.Group
-	room := make(chan struct{}, askAtOnce)
+	slots := make(chan struct{}, maxConcurrentPolls)
 	for _, u := range o.table.Upstreams() {
 		if !match(u) {
 			continue
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		tasks.Start(ctx, "report", func(ctx context.Context) error {
-			defer func() { <-room }()
-			if s, ok := o.ask(ctx, u); ok {
+			defer func() { <-slots }()
+			if s, ok := o.poll(ctx, u); ok {
 				mu.Lock()
 				defer mu.Unlock()
 				reports = append(reports, s)
@@ -196,11 +194,11 @@
 		})
 	}
 	_ = tasks.Wait()
-	o.report(reports)
+	o.storeReports(reports)
 	return reports
 }
 
-func (o *Observer) report(statuses []spanrill.UpstreamStatus) {
+func (o *Observer) storeReports(statuses []spanrill.UpstreamStatus) {
 	reports := make([]load.Report, len(statuses))
 	for i, s := range statuses {
 		reports[i] = load.Report{Name: s.Name, Status: s, Age: s.AgeMillis}
@@ -208,44 +206,42 @@
 	o.table.ReportAll(reports)
 }
 
-// Suspect makes the observer ask all upstreams of an availability zone at once,
-// after one of them has failed: what fails in a zone often fails together, and
-// each request that finds it out costs a retry.
+// RecheckZone makes the observer poll all upstreams of an availability zone at once. It is called
+// after one of them has failed: upstreams of a zone often fail together, and each request that
+// encounters a failed one costs a retry.
 func (o *Observer) Suspect(zone string) {
 	select {
-	case o.suspects <- zone:
+	case o.zonesToRecheck <- zone:
 	default:
 	}
 }
 
-// recheck asks the upstreams of suspected zones. One that cannot be reached is
-// ejected at once.
+// recheck polls the upstreams of zones passed to RecheckZone. Unreachable upstreams are ejected at
+// once.
 func (o *Observer) recheck(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case zone := <-o.suspects:
+		case zone := <-o.zonesToRecheck:
 			now := o.clock.Now()
-			o.askAll(ctx, func(u *load.Upstream) bool { return u.Zone() == zone && !u.Ejected(now) })
-			o.pause(ctx, recheckGap)
+			o.pollMatching(ctx, func(u *load.Upstream) bool { return u.Zone() == zone && !u.Ejected(now) })
+			o.pause(ctx, recheckInterval)
 		}
 	}
 }
 
-// recheckGap is the pause between two checks of suspected zones.
-const recheckGap = 250 * spanrill.Millis(1)
+// recheckInterval is the minimum interval between rechecks of zones.
+const recheckInterval = 250 * spanrill.Millis(1)
 
-// lateReport is how old a report may get before a daemon asks an upstream that
-// others should have asked.
-const lateReport = 3 * spanrill.Second
+// maxReportAge is the age of a report at which a daemon polls an upstream outside its share.
+const maxReportAge = 3 * spanrill.Second
 
-// maxMisses is how many reports in a row an upstream may miss before it is
-// ejected.
+// maxMisses is the number of consecutive missed reports at which an upstream is ejected.
 const maxMisses = 2
 
-func (o *Observer) ask(ctx context.Context, u *load.Upstream) (spanrill.UpstreamStatus, bool) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
+func (o *Observer) poll(ctx context.Context, u *load.Upstream) (spanrill.UpstreamStatus, bool) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout.Duration())
 	defer cancel()
 	status := o.engines.Status
 	if u.Service() != "" {
@@ -253,7 +249,7 @@
 	}
 	s, err := status(ctx, u.Addr())
 	if err != nil {
-		o.missed(u, err)
+		o.recordMiss(u, err)
 		return s, false
 	}
 	o.misses.Delete(u.Name())
@@ -261,16 +257,17 @@
 	return s, true
 }
 
-// unreachable reports whether no connection could be made.
+// unreachable reports whether the call failed to establish a connection.
 func unreachable(err error) bool {
 	var call *spanrill.CallError
 	return errors.As(err, &call) && call.Phase == spanrill.PhaseDial
 }
 
-// missed ejects an upstream that does not answer.
-func (o *Observer) missed(u *load.Upstream, err error) {
+// recordMiss counts a missed report, and ejects the upstream after maxMisses of them or if it is
+// unreachable.
+func (o *Observer) recordMiss(u *load.Upstream, err error) {
 	v, _ := o.misses.LoadOrStore(u.Name(), new(atomic.Int64))
-	n := v.(*atomic.Int64).Add(1) // two questions to one upstream may be under way
+	n := v.(*atomic.Int64).Add(1) // atomic, because two polls of an upstream may run concurrently
 	if (n >= maxMisses || unreachable(err)) && u.Fail(o.clock.Now()) {
 		events.UpstreamEjected.Log(o.log, logrus.Fields{"upstream": u.Name(), "cause": err})
 	}
