--- a/coordination/conncap/conncap.go
+++ b/coordination/conncap/conncap.go
@@ -10,8 +10,8 @@
 //
 // # Usage
 //
-//	perUpstream := conncap.MaxIdle(service.MaxConnections, daemons)
-//	total := conncap.MaxIdleTotal(settings.Descriptors)
+//	perUpstream := conncap.IdlePerUpstream(service.MaxConnections, daemons)
+//	total := conncap.IdleTotal(settings.Descriptors)
 package conncap
 
 const (
@@ -30,7 +30,7 @@
 	maxIdle = 64
 )
 
-// MaxIdle returns how many idle connections a daemon keeps to an upstream. The limit is the
+// IdlePerUpstream returns how many idle connections a daemon keeps to an upstream. The limit is the
 // upstream's cap for all callers, or at most 0 if it reports none. In a fleet of more daemons than
 // three quarters of the cap the result is 0: connections are closed after each call.
 func Idle(limit, daemons int) int {
@@ -56,7 +56,7 @@
 	defaultDescriptors = 1024
 )
 
-// MaxIdleTotal returns how many idle connections a daemon with that many descriptors keeps to all
+// IdleTotal returns how many idle connections a daemon with that many descriptors keeps to all
 // upstreams together. The number of descriptors is at most 0 if it is unknown.
 func IdleOfAll(descriptors int) int {
 	if descriptors <= 0 {
