--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -166,8 +166,8 @@
 		}
 	}
 	for _, account := range []string{"modest", "heavy"} {
-		if at := indexOf(started, account); at > 3 {
-			t.Errorf("%s first started at position %d in %v, want at most 4", account, at+1, started)
+		if position := indexOf(started, account); position > 3 {
+			t.Errorf("%s first started at position %d in %v, want at most 4", account, position+1, started)
 		}
 	}
 }
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -67,15 +67,15 @@
 // as after a network partition.
 func TestConcurrentOwnersGrantAKeyOnce(t *testing.T) {
 	_, store := startPlatform(t)
-	var parted []*Claims
+	var owners []*Claims
 	for i := range 4 {
-		parted = append(parted, newClaims(t, store, uint64(i)+1))
+		owners = append(owners, newClaims(t, store, uint64(i)+1))
 	}
 	count := &counter{runs: map[string]int{}}
 	var wg sync.WaitGroup
 	for i := range 60 {
 		key := fmt.Sprintf("key-%d", i)
-		for _, c := range parted {
+		for _, c := range owners {
 			wg.Go(func() {
 				answer, refusal := do(c, key, count.run(key))
 				if refusal != nil && refusal.Outcome() == spanrill.OutcomeNotRun {
--- a/coordination/membership/owners.go
+++ b/coordination/membership/owners.go
@@ -29,13 +29,13 @@
 	live := l.live.Load()
 	l.rankingsMu.Lock()
 	defer l.rankingsMu.Unlock()
-	o := l.rankings[key]
-	if o.roster != live {
-		o = ranking{roster: live, ranked: rankMembers(key, live.members)}
-		slices.SortStableFunc(o.ranked, func(a, b peermsg.Member) int { return cmp.Compare(Class(b), Class(a)) })
-		l.rankings[key] = o
+	cached := l.rankings[key]
+	if cached.roster != live {
+		cached = ranking{roster: live, ranked: rankMembers(key, live.members)}
+		slices.SortStableFunc(cached.ranked, func(a, b peermsg.Member) int { return cmp.Compare(Class(b), Class(a)) })
+		l.rankings[key] = cached
 	}
-	return o.ranked
+	return cached.ranked
 }
 
 // PowerClass returns the processor class of a member. Each class begins at twice the processor
--- a/coordination/retry/fleet_test.go
+++ b/coordination/retry/fleet_test.go
@@ -190,18 +190,18 @@
 // of daemons included in them, plus itself.
 func (t *simulation) receivedCounts(receiver *simulatedDaemon) (c Count, daemons int) {
 	for _, d := range t.daemons {
-		at := len(d.ownCounts) - t.rounds
+		index := len(d.ownCounts) - t.rounds
 		switch {
 		case d == receiver:
 		case t.rounds == 1:
 			own := d.shared.Own()
 			c.Requests += own.Requests
 			c.Retries += own.Retries
-		case at >= 0:
-			c.Requests += d.ownCounts[at].Requests
-			c.Retries += d.ownCounts[at].Retries
+		case index >= 0:
+			c.Requests += d.ownCounts[index].Requests
+			c.Retries += d.ownCounts[index].Retries
 		}
-		if d == receiver || at >= 0 {
+		if d == receiver || index >= 0 {
 			daemons++
 		}
 	}
--- a/coordination/retry/shared.go
+++ b/coordination/retry/shared.go
@@ -111,8 +111,8 @@
 func (s *Shared) share(own Count) (share, unspentFraction float64) {
 	requests := float64(own.Requests + s.others.Requests)
 	total := margin * (s.limits.Ratio*requests + s.limits.Slack)
-	missing := max(0, s.fleet.Daemons-s.fleet.Heard)
-	spent := float64(own.Retries+s.others.Retries) + float64(missing)*total/float64(s.fleet.Daemons)
+	unknown := max(0, s.fleet.Daemons-s.fleet.Heard)
+	spent := float64(own.Retries+s.others.Retries) + float64(unknown)*total/float64(s.fleet.Daemons)
 	unspent := max(0, total-spent)
 	return unspent / float64(s.fleet.Daemons), unspent / max(1, total)
 }
