--- a/coordination/admission/gate.go
+++ b/coordination/admission/gate.go
@@ -164,9 +164,9 @@
 			continue
 		}
 		slots += float64(u.Report().Slots)
-		others += u.Others(now)
+		others += u.PeerRequests(now)
 	}
-	stages := float64(index.Stages(layers))
+	stages := float64(index.MinStages(layers))
 	total := g.perSlot * slots
 	return max(1, int(max(total/float64(g.demand.daemons()), total-others/max(1, stages))))
 }
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -89,7 +89,7 @@
 // the call that claimed it first.
 func (c *Claims) Do(ctx context.Context, scope, key string, req *spanrill.ServiceRequest, run func() (*spanrill.ServiceAnswer, *spanrill.Refusal)) (*spanrill.ServiceAnswer, *spanrill.Refusal) {
 	r := record.Record{
-		Key: scope + "/" + key, Digest: digest(req), At: c.clock.Unix(),
+		Key: scope + "/" + key, Digest: digest(req), ClaimedAt: c.clock.Unix(),
 		Attempt: fmt.Sprintf("%016x", c.random.Uint64()),
 	}
 	started := c.clock.Now()
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -165,8 +165,8 @@
 
 func TestRecordsExpire(t *testing.T) {
 	s := record.NewSlot()
-	s.Put(record.Record{Key: "old", At: 0})
-	s.Put(record.Record{Key: "new", At: record.Lifetime})
+	s.Put(record.Record{Key: "old", ClaimedAt: 0})
+	s.Put(record.Record{Key: "new", ClaimedAt: record.Lifetime})
 	s.Expire(record.Lifetime + 1)
 	if _, ok := s.Find("old"); ok || s.Len() != 1 {
 		t.Fatalf("%d records remain, want only the new one", s.Len())
@@ -186,14 +186,14 @@
 			k := NewKeeper(ctx, store, clock.NewSystem(), WithWriteInterval(5))
 			t.Cleanup(func() { cancel(); _ = k.Wait() })
 			claim := func(key, attempt string) bool {
-				granted, _, err := k.Claim(ctx, 0, record.Record{Key: key, Attempt: attempt, At: clock.NewSystem().Unix()})
+				granted, _, err := k.Claim(ctx, 0, record.Record{Key: key, Attempt: attempt, ClaimedAt: clock.NewSystem().Unix()})
 				if err != nil {
 					t.Fatal(err)
 				}
 				return granted
 			}
 			claim("earlier", "1")
-			ended := record.Record{Key: "call", Attempt: "1", At: clock.NewSystem().Unix(), Ended: true, Outcome: spanrill.OutcomeRan, Status: 200}
+			ended := record.Record{Key: "call", Attempt: "1", ClaimedAt: clock.NewSystem().Unix(), Ended: true, Outcome: spanrill.OutcomeRan, Status: 200}
 			if !claim("call", "1") {
 				t.Fatal("the first attempt was not granted")
 			}
--- a/coordination/observe/observe.go
+++ b/coordination/observe/observe.go
@@ -268,7 +268,7 @@
 func (o *Observer) recordMiss(u *load.Upstream, err error) {
 	v, _ := o.misses.LoadOrStore(u.Name(), new(atomic.Int64))
 	n := v.(*atomic.Int64).Add(1) // atomic, because two polls of an upstream may run concurrently
-	if (n >= maxMisses || unreachable(err)) && u.Fail(o.clock.Now()) {
+	if (n >= maxMisses || unreachable(err)) && u.RecordFailure(o.clock.Now()) {
 		events.UpstreamEjected.Log(o.log, logrus.Fields{"upstream": u.Name(), "cause": err})
 	}
 }
