--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -50,7 +50,7 @@
 	switch {
 	case u.Ended():
 		return true, false
-	case u.ListenedAt() > a.brokeAt:
+	case u.LastListening() > a.brokeAt:
 		return false, true
 	case u.Removed() && u.Dead():
 		return !a.leaving, a.leaving // a leaving upstream terminates as planned
@@ -112,7 +112,7 @@
 	})
 	repeated = repeated || r.Suspects.Verdict(q.content).Losses() > 0
 	check := func() {
-		r.Prober.Knock(context.WithoutCancel(q.ctx), u)
+		r.Prober.CheckListening(context.WithoutCancel(q.ctx), u)
 		r.reportTerminatedUpstreams()
 	}
 	if repeated {
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -187,9 +187,9 @@
 	}, d, log, g.random)
 	config := startStore{fleet: f, items: []spanrill.Item{{Name: "main", Revision: 7, Value: []byte(`{"version":1}`)}}}
 	g.follow(config, startStore{fleet: f, items: []spanrill.Item{simItem(simStays, 1, false)}, engines: f.engines})
-	g.placer = layoutrun.New(func() (uint64, bool) { return 0, false }, nil, g.fleet, d.models, d, log, layoutrun.WithSpread(g.exchange.BroadcastTime))
+	g.placer = layoutrun.New(func() (uint64, bool) { return 0, false }, nil, g.fleet, d.models, d, log, layoutrun.WithPropagationTime(g.exchange.BroadcastTime))
 	g.prober = probe.New(nil, d, log)
-	g.names = probe.NewNames(nil, d, log, func(string) string { return "" })
+	g.names = probe.NewAddressResolver(nil, d, log, func(string) string { return "" })
 	g.firstAt += d.starts - startBegin
 	g.startedAt = d.starts
 	g.callersWait = func() (spanrill.Millis, bool) {
@@ -268,13 +268,13 @@
 			return sizePlacerRound
 		})
 		d.every("upkeep", func() spanrill.Millis {
-			d.Gateway.fleet.Tend()
+			d.Gateway.fleet.Maintain()
 			d.prober.Recheck(context.Background(), d.Gateway.fleet)
-			d.names.Ask(context.Background(), d.Gateway.fleet)
+			d.names.Resolve(context.Background(), d.Gateway.fleet)
 			return upkeepGap
 		})
 	}
-	if d.ready < 0 && d.config.Table() != nil && d.isFresh() && closed(d.Gateway.fleet.Seen()) {
+	if d.ready < 0 && d.config.Table() != nil && d.isFresh() && closed(d.Gateway.fleet.Ready()) {
 		d.ready = d.Now() - d.starts
 	}
 }
