--- a/coordination/admission/gate.go
+++ b/coordination/admission/gate.go
@@ -178,13 +178,13 @@
 func (g *Gate) Demand() map[string]float64 { return g.demand.snapshot(g.clock.Now()) }
 
 // RecordPeerDemand records the request rates of the accounts at another daemon.
-func (g *Gate) Told(daemon string, accounts map[string]float64) {
+func (g *Gate) RecordPeerDemand(daemon string, accounts map[string]float64) {
 	g.demand.recordPeer(daemon, accounts, g.clock.Now())
 }
 
 // Maintain starts waiting requests if the capacity has increased, and removes idle accounts. It
 // must be called about once a second.
-func (g *Gate) Tend() {
+func (g *Gate) Maintain() {
 	g.mu.Lock()
 	queues := make([]*queue, 0, len(g.queues))
 	for _, q := range g.queues {
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -214,7 +214,7 @@
 }
 
 // HandleClaim answers the claim of another daemon.
-func (c *Claims) Serve(ctx context.Context, m *peermsg.Claim) *peermsg.Claimed {
+func (c *Claims) HandleClaim(ctx context.Context, m *peermsg.Claim) *peermsg.Claimed {
 	var r record.Record
 	if err := json.Unmarshal(m.Record, &r); err != nil {
 		return &peermsg.Claimed{Failed: err.Error()}
@@ -233,7 +233,7 @@
 }
 
 // HandleSettle records the outcome that another daemon sent.
-func (c *Claims) ServeSettle(m *peermsg.Settle) {
+func (c *Claims) HandleSettle(m *peermsg.Settle) {
 	var r record.Record
 	if json.Unmarshal(m.Record, &r) == nil {
 		c.keeper.Settle(m.Slot, r)
--- a/coordination/conncap/conncap.go
+++ b/coordination/conncap/conncap.go
@@ -33,7 +33,7 @@
 // IdlePerUpstream returns how many idle connections a daemon keeps to an upstream. The limit is the
 // upstream's cap for all callers, or at most 0 if it reports none. In a fleet of more daemons than
 // three quarters of the cap the result is 0: connections are closed after each call.
-func Idle(limit, daemons int) int {
+func IdlePerUpstream(limit, daemons int) int {
 	if limit <= 0 {
 		return maxIdle
 	}
@@ -58,7 +58,7 @@
 
 // IdleTotal returns how many idle connections a daemon with that many descriptors keeps to all
 // upstreams together. The number of descriptors is at most 0 if it is unknown.
-func IdleOfAll(descriptors int) int {
+func IdleTotal(descriptors int) int {
 	if descriptors <= 0 {
 		descriptors = defaultDescriptors
 	}
--- a/coordination/conncap/conncap_test.go
+++ b/coordination/conncap/conncap_test.go
@@ -18,7 +18,7 @@
 		{"no known daemon", 49, 0, 24},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := Idle(c.limit, c.daemons)
+			got := IdlePerUpstream(c.limit, c.daemons)
 			if got != c.want {
 				t.Errorf("%d idle connections, want %d", got, c.want)
 			}
@@ -31,7 +31,7 @@
 
 func TestIdleOfAll(t *testing.T) {
 	for _, c := range []struct{ descriptors, want int }{{4100, 1025}, {0, 256}, {-3, 256}, {1, 1}, {1 << 20, 1 << 18}} {
-		if got := IdleOfAll(c.descriptors); got != c.want {
+		if got := IdleTotal(c.descriptors); got != c.want {
 			t.Errorf("with %d descriptors: %d idle connections, want %d", c.descriptors, got, c.want)
 		}
 	}
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -90,7 +90,7 @@
 		}
 		answer, err := d.attempt(ctx, u, req)
 		if err == nil {
-			d.budget.Success()
+			d.budget.RecordSuccess()
 			return answer, nil
 		}
 		attemptOutcome := outcomeOf(err)
--- a/coordination/exchange/apply.go
+++ b/coordination/exchange/apply.go
@@ -20,8 +20,8 @@
 		}
 	}
 	others, known := e.peerSum(now)
-	e.state.Budgets.Round(others.retries, retry.Fleet{
-		Heard: known, Daemons: max(known, 1+int(e.otherCount.Load())), Rounds: e.AggregationRounds(), Settled: e.Settled(),
+	e.state.Budgets.StartRound(others.retries, retry.Fleet{
+		Known: known, Daemons: max(known, 1+int(e.otherCount.Load())), Rounds: e.AggregationRounds(), Complete: e.Settled(),
 	})
 	e.dropReportedTargets()
 	e.applyPaces()
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -236,14 +236,14 @@
 	here.exchange.Round(context.Background())
 	c.Advance(settleTime)
 	there.budgets.Of("s")
-	there.budgets.Round(nil, retry.Fleet{Heard: 2, Daemons: 2, Rounds: 1, Settled: true})
+	there.budgets.StartRound(nil, retry.Fleet{Known: 2, Daemons: 2, Rounds: 1, Complete: true})
 	spent := 0
-	for there.budgets.Of("s").Take(retry.Running) {
+	for there.budgets.Of("s").Take(retry.PriorityRunning) {
 		spent++
 	}
 	here.budgets.Of("s")
 	here.exchange.Round(context.Background())
-	if got, want := here.budgets.Of("s").Left(), (190-float64(spent))/2; got != want || spent == 0 {
+	if got, want := here.budgets.Of("s").Remaining(), (190-float64(spent))/2; got != want || spent == 0 {
 		t.Fatalf("%v retries left after a peer made %d, want %v", got, spent, want)
 	}
 }
--- a/coordination/exchange/loans_test.go
+++ b/coordination/exchange/loans_test.go
@@ -66,8 +66,8 @@
 func TestLend(t *testing.T) {
 	_, _, there, _ := pair(1)
 	there.budgets.Of("s")
-	there.budgets.Round(nil, retry.Fleet{Heard: 2, Daemons: 2, Rounds: 1, Settled: true})
-	before := there.budgets.Of("s").Left()
+	there.budgets.StartRound(nil, retry.Fleet{Known: 2, Daemons: 2, Rounds: 1, Complete: true})
+	before := there.budgets.Of("s").Remaining()
 	for _, want := range []float64{-5, 0, math.NaN(), math.Inf(-1)} {
 		if got := there.exchange.Lend(&peermsg.AskLoan{Service: "s", Want: want}).Retries; got != 0 {
 			t.Fatalf("lent %v for a request of %v, want 0", got, want)
@@ -77,7 +77,7 @@
 		t.Fatalf("lent %v of an unknown service, want 0", got)
 	}
 	got := there.exchange.Lend(&peermsg.AskLoan{Service: "s", Want: math.Inf(1)}).Retries
-	if left := there.budgets.Of("s").Left(); got <= 0 || got > 2 || left != before-got {
+	if left := there.budgets.Of("s").Remaining(); got <= 0 || got > 2 || left != before-got {
 		t.Fatalf("lent %v of %v, %v left", got, before, left)
 	}
 }
--- a/coordination/exchange/placement.go
+++ b/coordination/exchange/placement.go
@@ -63,7 +63,7 @@
 	}
 	p.holder, p.reportedAt, p.leaseVersion, p.leaseLeft, p.slow = report.Holder, at, report.Version, report.Left, report.Slow
 	if report.Left > report.Age {
-		e.state.Lease.Heard(report.Version, report.Left-report.Age)
+		e.state.Lease.RecordExpiry(report.Version, report.Left-report.Age)
 	}
 }
 
@@ -142,7 +142,7 @@
 		return
 	}
 	p.holder, p.reportedAt = e.state.Name, now
-	p.leaseVersion, p.leaseLeft = e.state.Lease.Left()
+	p.leaseVersion, p.leaseLeft = e.state.Lease.Remaining()
 	p.slow = nil
 	e.state.Fleet.EachActive(func(u *fleet.Upstream) {
 		if u.Slow() {
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -70,7 +70,7 @@
 type Option func(*Lease)
 
 // WithDuration sets how long the lease is valid from each write.
-func WithTime(d spanrill.Millis) Option {
+func WithDuration(d spanrill.Millis) Option {
 	return func(l *Lease) { l.duration = d }
 }
 
@@ -81,13 +81,13 @@
 
 // WithCandidate sets the function that reports whether this daemon tries to acquire the lease. In
 // a large fleet only a few daemons do, to limit reads of the platform's store.
-func WithContends(isCandidate func() bool) Option {
+func WithCandidate(isCandidate func() bool) Option {
 	return func(l *Lease) { l.isCandidate = isCandidate }
 }
 
 // WithYield sets the function that reports whether this daemon hands the lease back because other
 // daemons are better suited.
-func WithYields(shouldYield func() bool) Option {
+func WithYield(shouldYield func() bool) Option {
 	return func(l *Lease) { l.shouldYield = shouldYield }
 }
 
@@ -139,7 +139,7 @@
 
 // Remaining returns the version of a lease that this daemon holds, and how long it remains valid,
 // to be sent to other daemons. If the lease is not held, it returns an empty version.
-func (l *Lease) Left() (v spanrill.Version, left spanrill.Millis) {
+func (l *Lease) Remaining() (v spanrill.Version, left spanrill.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	left = l.expiresAt - l.clock.Now()
@@ -152,7 +152,7 @@
 // RecordExpiry records how long a lease remains valid according to its holder. Once that time and
 // the margin have passed without a new version, this daemon may acquire the lease without seeing
 // it unchanged for its whole duration first.
-func (l *Lease) Heard(v spanrill.Version, left spanrill.Millis) {
+func (l *Lease) RecordExpiry(v spanrill.Version, left spanrill.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reportedVersion, l.reportedExpiry = v, l.clock.Now()+left+left/marginDivisor
@@ -161,7 +161,7 @@
 // HeldFor reports whether this daemon holds the lease and acquired it at least d ago. Before it
 // sends orders to an upstream that does not check fencing tokens, a holder waits for the longest
 // time that an order of the previous holder can take.
-func (l *Lease) Settled(d spanrill.Millis) bool {
+func (l *Lease) HeldFor(d spanrill.Millis) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -175,7 +175,7 @@
 		case l.holds() && l.shouldYield():
 			l.handBack()
 		case l.isCandidate() || l.holds():
-			l.Step(ctx)
+			l.RenewOrAcquire(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -193,7 +193,7 @@
 
 // RenewOrAcquire renews the lease, or acquires it if it is free. After an error of the platform
 // the lease remains as it is, and expires unless a later call succeeds.
-func (l *Lease) Step(ctx context.Context) {
+func (l *Lease) RenewOrAcquire(ctx context.Context) {
 	if l.renew(ctx) {
 		return
 	}
@@ -332,7 +332,7 @@
 }
 
 // Invalidate makes the lease expire now. It is called when an upstream reports a newer term.
-func (l *Lease) GiveUp() {
+func (l *Lease) Invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expiresAt = l.clock.Now()
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -36,7 +36,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	store := objectapi.New(w.addr, httpcall.New())
-	return New(store, c, "placement/quebec", name, WithTime(testDuration), WithLogger(log))
+	return New(store, c, "placement/quebec", name, WithDuration(testDuration), WithLogger(log))
 }
 
 func checkHeld(t *testing.T, l *Lease, want bool) uint64 {
@@ -51,14 +51,14 @@
 func TestOneHolderAtATime(t *testing.T) {
 	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
-	a.Step(ctx)
-	b.Step(ctx)
+	a.RenewOrAcquire(ctx)
+	b.RenewOrAcquire(ctx)
 	checkHeld(t, a, true)
 	checkHeld(t, b, false)
 	for range 10 {
 		c.Advance(testDuration / renewalsPerDuration)
-		a.Step(ctx)
-		b.Step(ctx)
+		a.RenewOrAcquire(ctx)
+		b.RenewOrAcquire(ctx)
 		checkHeld(t, a, true)
 		checkHeld(t, b, false)
 	}
@@ -69,12 +69,12 @@
 func TestFrozenHolderLosesLease(t *testing.T) {
 	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
-	a.Step(ctx)
+	a.RenewOrAcquire(ctx)
 	old := checkHeld(t, a, true)
-	b.Step(ctx)
+	b.RenewOrAcquire(ctx)
 	for range 6 { // a is frozen
 		c.Advance(testDuration / renewalsPerDuration)
-		b.Step(ctx)
+		b.RenewOrAcquire(ctx)
 		if _, both := b.Held(); both {
 			checkHeld(t, a, false)
 		}
@@ -83,7 +83,7 @@
 		t.Fatalf("term changed from %d to %d, want a higher one", old, term)
 	}
 	checkHeld(t, a, false)
-	a.Step(ctx)
+	a.RenewOrAcquire(ctx)
 	checkHeld(t, a, false)
 }
 
@@ -94,7 +94,7 @@
 	a := w.lease("a", c)
 	slow := &slowStore{ObjectStore: a.store, clock: c, delay: testDuration}
 	a.store = slow
-	a.Step(ctx)
+	a.RenewOrAcquire(ctx)
 	checkHeld(t, a, false)
 }
 
@@ -116,12 +116,12 @@
 	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
 	w.platform.SetFaults(platform.Faults{LoseAnswers: 1})
-	a.Step(ctx)
+	a.RenewOrAcquire(ctx)
 	checkHeld(t, a, true)
 	w.platform.SetFaults(platform.Faults{LoseRequests: 1})
 	c.Advance(testDuration / renewalsPerDuration)
-	a.Step(ctx)
-	b.Step(ctx)
+	a.RenewOrAcquire(ctx)
+	b.RenewOrAcquire(ctx)
 	checkHeld(t, a, true) // because of its first write
 	checkHeld(t, b, false)
 }
@@ -129,17 +129,17 @@
 func TestLeaseExpiresDuringAnOutage(t *testing.T) {
 	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a := w.lease("a", c)
-	a.Step(ctx)
+	a.RenewOrAcquire(ctx)
 	w.platform.SetFaults(platform.Faults{Down: true})
 	for range renewalsPerDuration + 1 {
 		c.Advance(testDuration / renewalsPerDuration)
-		a.Step(ctx)
+		a.RenewOrAcquire(ctx)
 	}
 	checkHeld(t, a, false)
 	w.platform.SetFaults(platform.Faults{})
 	for range renewalsPerDuration + 2 {
 		c.Advance(testDuration / renewalsPerDuration)
-		a.Step(ctx)
+		a.RenewOrAcquire(ctx)
 	}
 	checkHeld(t, a, true)
 }
@@ -147,10 +147,10 @@
 func TestHandedBackLeaseIsAvailableAtOnce(t *testing.T) {
 	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
-	a.Step(ctx)
+	a.RenewOrAcquire(ctx)
 	a.handBack()
 	checkHeld(t, a, false)
-	b.Step(ctx)
+	b.RenewOrAcquire(ctx)
 	checkHeld(t, b, true)
 }
 
@@ -185,12 +185,12 @@
 func TestNewHolderWaitsForEarlierOrders(t *testing.T) {
 	w, c := newTestPlatform(t), clock.NewManual()
 	a := w.lease("a", c)
-	a.Step(context.Background())
-	if a.Settled(3 * spanrill.Second) {
+	a.RenewOrAcquire(context.Background())
+	if a.HeldFor(3 * spanrill.Second) {
 		t.Fatal("HeldFor is true at once")
 	}
 	c.Advance(3 * spanrill.Second)
-	if !a.Settled(3 * spanrill.Second) {
+	if !a.HeldFor(3 * spanrill.Second) {
 		t.Fatal("HeldFor is false after the longest order")
 	}
 }
@@ -200,18 +200,18 @@
 func TestReportedLeaseIsAcquiredWhenItExpires(t *testing.T) {
 	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
-	a.Step(ctx)
+	a.RenewOrAcquire(ctx)
 	c.Advance(testDuration / 2)
-	v, left := a.Left()
-	b.Heard(v, left)
-	b.Step(ctx)
+	v, left := a.Remaining()
+	b.RecordExpiry(v, left)
+	b.RenewOrAcquire(ctx)
 	checkHeld(t, b, false)
 	c.Advance(left)
 	checkHeld(t, a, false)
-	b.Step(ctx)
+	b.RenewOrAcquire(ctx)
 	checkHeld(t, b, false) // the margin has not passed
 	c.Advance(left/marginDivisor + 1)
-	b.Step(ctx)
+	b.RenewOrAcquire(ctx)
 	checkHeld(t, b, true)
 }
 
@@ -219,13 +219,13 @@
 func TestRenewedReportedLeaseIsNotAcquired(t *testing.T) {
 	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
 	a, b := w.lease("a", c), w.lease("b", c)
-	a.Step(ctx)
-	v, left := a.Left()
-	b.Heard(v, left)
+	a.RenewOrAcquire(ctx)
+	v, left := a.Remaining()
+	b.RecordExpiry(v, left)
 	c.Advance(testDuration - 1)
-	a.Step(ctx)
+	a.RenewOrAcquire(ctx)
 	c.Advance(testDuration/marginDivisor + 2)
-	b.Step(ctx)
+	b.RenewOrAcquire(ctx)
 	checkHeld(t, b, false)
 	checkHeld(t, a, true)
 }
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -63,19 +63,19 @@
 				if !test.reportsEra {
 					era = func() uint64 { return 0 }
 				}
-				return New(store, c, "placement", name, WithTime(testDuration), WithEra(era))
+				return New(store, c, "placement", name, WithDuration(testDuration), WithEra(era))
 			}
 			first, a, b := lease("first"), lease("a"), lease("b")
-			first.Step(ctx)
+			first.RenewOrAcquire(ctx)
 			firstRecord := store.object
 			first.handBack()
 			free := store.object
-			a.Step(ctx)
-			b.Step(ctx)
+			a.RenewOrAcquire(ctx)
+			b.RenewOrAcquire(ctx)
 			before := checkHeld(t, a, true)
 			store.restore(test.restored(firstRecord, free))
 			for range 3 * renewalsPerDuration {
-				b.Step(ctx) // a has no connection to the store
+				b.RenewOrAcquire(ctx) // a has no connection to the store
 				_, other := b.Held()
 				if _, both := a.Held(); both && other {
 					t.Fatal("two daemons hold the lease")
@@ -93,13 +93,13 @@
 func TestHolderKeepsLeaseAfterRestore(t *testing.T) {
 	store, c, ctx := &fakeStore{era: 1}, clock.NewManual(), context.Background()
 	c.Advance(1000)
-	a := New(store, c, "placement", "a", WithTime(testDuration), WithEra(func() uint64 { return store.era }))
-	a.Step(ctx)
+	a := New(store, c, "placement", "a", WithDuration(testDuration), WithEra(func() uint64 { return store.era }))
+	a.RenewOrAcquire(ctx)
 	before := checkHeld(t, a, true)
 	store.restore(spanrill.Object{})
 	for range 2 * renewalsPerDuration {
 		c.Advance(testDuration / renewalsPerDuration)
-		a.Step(ctx)
+		a.RenewOrAcquire(ctx)
 		if term := checkHeld(t, a, true); term < before {
 			t.Errorf("term decreased from %d to %d", before, term)
 		}
--- a/coordination/lease/state.go
+++ b/coordination/lease/state.go
@@ -11,7 +11,7 @@
 type State struct {
 	Holder string          `json:"holder"` // empty if handed back or never acquired
 	Term   uint64          `json:"term"`
-	Time   spanrill.Millis `json:"time_ms"` // validity from each write
+	Duration   spanrill.Millis `json:"time_ms"` // validity from each write
 }
 
 // Decode decodes a lease from its value in the store.
@@ -20,5 +20,5 @@
 	if err := json.Unmarshal(value, &r); err != nil {
 		return State{}, fmt.Errorf("decode lease: %w", err)
 	}
-	return State{Holder: r.Holder, Term: r.Term, Time: r.Duration}, nil
+	return State{Holder: r.Holder, Term: r.Term, Duration: r.Duration}, nil
 }
--- a/coordination/membership/gossip.go
+++ b/coordination/membership/gossip.go
@@ -138,7 +138,7 @@
 }
 
 // Merge updates the list from the gossip of a peer.
-func (l *List) Take(g *peermsg.Gossip) {
+func (l *List) Merge(g *peermsg.Gossip) {
 	var newer *peermsg.Member
 	own := l.revision()
 	isNew := len(g.Members) > 0 && !g.Answer && !l.knows(g.Members[0])
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -155,7 +155,7 @@
 }
 
 // TriggerRound starts the next round at once, so that new information spreads faster.
-func (l *List) Nudge() {
+func (l *List) TriggerRound() {
 	select {
 	case l.roundNow <- struct{}{}:
 	default:
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -47,7 +47,7 @@
 		if to == nil || f.blocked(name, addr) {
 			return errors.New("unreachable")
 		}
-		to.Take(g)
+		to.Merge(g)
 		return nil
 	}
 	l := New(peermsg.Member{Name: name, PeerAddr: name}, f.clock, send, WithLogger(log), WithRandom(rng.New(seed)))
--- a/coordination/observe/observe.go
+++ b/coordination/observe/observe.go
@@ -27,19 +27,19 @@
 // Share selects the upstreams that this daemon polls, and sends their reports to other daemons.
 type Share interface {
 	// Includes reports whether this daemon polls the upstream.
-	Mine(upstream string) bool
+	Includes(upstream string) bool
 	// BroadcastReports sends reports to the other daemons.
-	TellReports(reports []spanrill.UpstreamStatus)
+	BroadcastReports(reports []spanrill.UpstreamStatus)
 }
 
 // observeAll is the share of a daemon without peers. It includes all upstreams.
 type observeAll struct{}
 
 // Includes returns true.
-func (observeAll) Mine(string) bool { return true }
+func (observeAll) Includes(string) bool { return true }
 
 // BroadcastReports does nothing.
-func (observeAll) TellReports([]spanrill.UpstreamStatus) {}
+func (observeAll) BroadcastReports([]spanrill.UpstreamStatus) {}
 
 // Observer reads box lists and upstream reports into a load table.
 type Observer struct {
@@ -84,7 +84,7 @@
 }
 
 // WithIntervals sets the intervals between reads of the box list and between polls of upstreams.
-func WithGaps(listInterval, reportInterval spanrill.Millis) Option {
+func WithIntervals(listInterval, reportInterval spanrill.Millis) Option {
 	return func(o *Observer) { o.listInterval, o.reportInterval = listInterval, reportInterval }
 }
 
@@ -109,7 +109,7 @@
 }
 
 // Ready returns a channel that is closed once a box list was read and its upstreams were polled.
-func (o *Observer) Seen() <-chan struct{} { return o.ready }
+func (o *Observer) Ready() <-chan struct{} { return o.ready }
 
 // Run reads box lists and polls upstreams until the context ends.
 func (o *Observer) Run(ctx context.Context) error {
@@ -156,7 +156,7 @@
 	case <-listed:
 	}
 	for ctx.Err() == nil {
-		o.share.TellReports(o.pollAssigned(ctx))
+		o.share.BroadcastReports(o.pollAssigned(ctx))
 		o.readyOnce.Do(func() { close(o.ready) })
 		o.pause(ctx, o.reportInterval)
 	}
@@ -167,7 +167,7 @@
 func (o *Observer) pollAssigned(ctx context.Context) []spanrill.UpstreamStatus {
 	now := o.clock.Now()
 	return o.pollMatching(ctx, func(u *load.Upstream) bool {
-		return o.share.Mine(u.Name()) || u.ReportAge(now) >= maxReportAge
+		return o.share.Includes(u.Name()) || u.ReportAge(now) >= maxReportAge
 	})
 }
 
@@ -209,7 +209,7 @@
 // RecheckZone makes the observer poll all upstreams of an availability zone at once. It is called
 // after one of them has failed: upstreams of a zone often fail together, and each request that
 // encounters a failed one costs a retry.
-func (o *Observer) Suspect(zone string) {
+func (o *Observer) RecheckZone(zone string) {
 	select {
 	case o.zonesToRecheck <- zone:
 	default:
--- a/coordination/pipeline/generation.go
+++ b/coordination/pipeline/generation.go
@@ -46,7 +46,7 @@
 		g.result.attempts++
 		f := g.attempt(chain)
 		if f == nil {
-			g.runner.budget.Success()
+			g.runner.budget.RecordSuccess()
 			return g.result, nil
 		}
 		if refusal := g.afterFailure(f); refusal != nil {
--- a/coordination/placement/placer.go
+++ b/coordination/placement/placer.go
@@ -142,7 +142,7 @@
 		return
 	}
 	fields := logrus.Fields{"upstream": m.Engine, "model": m.Model.Name, "layers": m.Layers, "term": term, "why": m.Reason}
-	if !site.ChecksFence(m.Engine) && !p.lease.Settled(orderTimeout+orderTimeout/2) {
+	if !site.ChecksFence(m.Engine) && !p.lease.HeldFor(orderTimeout+orderTimeout/2) {
 		events.OrderWaits.Log(p.log, fields)
 		return
 	}
@@ -168,7 +168,7 @@
 		p.states[m.Engine] = h
 		events.OrderGiven.Log(p.log, fields)
 	case errors.As(err, &refusal) && refusal.Code == spanrill.CodeFenced:
-		p.lease.GiveUp()
+		p.lease.Invalidate()
 		events.OrderRefused.Log(p.log, fields)
 	default:
 		fields["error"] = err
--- a/coordination/ratelimit/limiter.go
+++ b/coordination/ratelimit/limiter.go
@@ -33,7 +33,7 @@
 	// This daemon is returned without an address.
 	Granters(upstream uint32) []peermsg.Member
 	// Unresponsive reports whether a daemon did not answer when this daemon last asked it for news.
-	Mute(daemon string) bool
+	Unresponsive(daemon string) bool
 	// AskPermit asks a daemon for a permit.
 	AskPermit(ctx context.Context, addr string, asked *peermsg.AskPermit) (*peermsg.Permit, error)
 }
@@ -131,5 +131,5 @@
 // is not unresponsive.
 func (l *Limiter) isStandby(upstream uint32) bool {
 	granters := l.peers.Granters(upstream)
-	return len(granters) > 0 && granters[0].PeerAddr != "" && !l.peers.Mute(granters[0].Name)
+	return len(granters) > 0 && granters[0].PeerAddr != "" && !l.peers.Unresponsive(granters[0].Name)
 }
--- a/coordination/ratelimit/limiter_test.go
+++ b/coordination/ratelimit/limiter_test.go
@@ -81,7 +81,7 @@
 	return granters
 }
 
-func (m *member) Mute(daemon string) bool {
+func (m *member) Unresponsive(daemon string) bool {
 	var i int
 	_, err := fmt.Sscan(daemon, &i)
 	return err == nil && m.network.daemons[i].down
--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -147,11 +147,11 @@
 	if g.sends >= g.route.MaxAttempts+maxExtraSends {
 		return false
 	}
-	use := retry.Waiting
+	use := retry.PriorityWaiting
 	if failure.outcome == spanrill.OutcomeNotRun && !g.mayHaveRun {
-		use = retry.Refusable
+		use = retry.PriorityRefusable
 	}
-	if g.relay.Budgets.Of(g.service.Name).TakeSoon(g.ctx, use) {
+	if g.relay.Budgets.Of(g.service.Name).TakeOrBorrow(g.ctx, use) {
 		return true
 	}
 	g.relay.Meters.Refused(spanrill.ReasonRetryBudget)
--- a/coordination/relay/continuation.go
+++ b/coordination/relay/continuation.go
@@ -86,7 +86,7 @@
 		g.logNoOtherPath(err)
 		return false
 	}
-	if !r.Budgets.Of(g.service.Name).TakeSoon(g.ctx, g.retryUse()) {
+	if !r.Budgets.Of(g.service.Name).TakeOrBorrow(g.ctx, g.retryUse()) {
 		path.Release()
 		r.Meters.Refused(spanrill.ReasonRetryBudget)
 		g.logNoOtherPath(errNoBudget)
@@ -98,11 +98,11 @@
 }
 
 // retryUse returns the class of retry budget that the request uses.
-func (g *generation) retryUse() retry.Use {
+func (g *generation) retryUse() retry.Priority {
 	if g.begun {
-		return retry.Running
+		return retry.PriorityRunning
 	}
-	return retry.Waiting
+	return retry.PriorityWaiting
 }
 
 // errNoBudget means that the retry budget, which all daemons share, is spent.
@@ -298,7 +298,7 @@
 	g.relay.failureLog.Log(events.StreamContinues, g.relay.Log, func() logrus.Fields {
 		f := g.logFields()
 		f["why"], f["path"], f["running"], f["begun"] = c.cause, c.path.String(), g.path != nil, g.begun
-		f["silent_ms"], f["budget_left"] = g.relay.Clock.Now()-g.lastEventAt, g.relay.Budgets.Of(g.service.Name).Left()
+		f["silent_ms"], f["budget_left"] = g.relay.Clock.Now()-g.lastEventAt, g.relay.Budgets.Of(g.service.Name).Remaining()
 		if g.path != nil {
 			f["doubted_path"], f["dead"] = g.path.String(), g.path.Dead()
 		}
--- a/coordination/relay/log.go
+++ b/coordination/relay/log.go
@@ -108,7 +108,7 @@
 	q.relay.failureLog.Log(events.RequestRetried, q.relay.Log, func() logrus.Fields {
 		f := q.logFields()
 		f["upstream"], f["why"], f["outcome"], f["error"] = u.ID(), reason, outcome.String(), err
-		f["risk"], f["budget_left"] = u.FailureRate(q.relay.Clock.Now()), q.relay.Budgets.Of(q.service.Name).Left()
+		f["risk"], f["budget_left"] = u.FailureRate(q.relay.Clock.Now()), q.relay.Budgets.Of(q.service.Name).Remaining()
 		return f
 	})
 }
--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -79,11 +79,11 @@
 	if a.outcome != spanrill.OutcomeNotRun && q.route.Repeat != spanrill.RepeatSafe {
 		return false
 	}
-	use := retry.Waiting
+	use := retry.PriorityWaiting
 	if a.outcome == spanrill.OutcomeNotRun {
-		use = retry.Refusable
+		use = retry.PriorityRefusable
 	}
-	if q.relay.Budgets.Of(q.service.Name).TakeSoon(q.ctx, use) {
+	if q.relay.Budgets.Of(q.service.Name).TakeOrBorrow(q.ctx, use) {
 		return true
 	}
 	q.relay.Meters.Refused(spanrill.ReasonRetryBudget)
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -287,7 +287,7 @@
 		stop()
 		q.relay.inFlight.Add(-1)
 	}
-	q.relay.Budgets.Of(q.service.Name).Request()
+	q.relay.Budgets.Of(q.service.Name).RecordRequest()
 }
 
 // defaultTimeout applies to requests for which neither route nor caller set a timeout.
--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -51,7 +51,7 @@
 }
 
 // RecordSuccess adds the fraction of a retry that a success allows.
-func (b *Budget) Success() {
+func (b *Budget) RecordSuccess() {
 	for {
 		old := b.balance.Load()
 		if old >= b.reserve || b.balance.CompareAndSwap(old, min(old+b.ratio, b.reserve)) {
@@ -74,4 +74,4 @@
 }
 
 // Remaining returns how many retries are available now.
-func (b *Budget) Left() int64 { return b.balance.Load() / unitsPerRetry }
+func (b *Budget) Remaining() int64 { return b.balance.Load() / unitsPerRetry }
--- a/coordination/retry/budget_test.go
+++ b/coordination/retry/budget_test.go
@@ -13,7 +13,7 @@
 		t.Fatal("a retry beyond the reserve was allowed")
 	}
 	for range 100 {
-		b.Success()
+		b.RecordSuccess()
 	}
 	spent := 0
 	for b.Take() {
--- a/coordination/retry/fleet_test.go
+++ b/coordination/retry/fleet_test.go
@@ -29,7 +29,7 @@
 
 // simulatedDaemon is a daemon of a simulation.
 type simulatedDaemon struct {
-	shared          *Shared
+	shared          *SharedBudget
 	retriesPerStep  float64         // during bursts, if the simulation has any
 	phase           spanrill.Millis // offset of its rounds
 	requestsPerStep float64         // mean
@@ -76,7 +76,7 @@
 	if t.rounds == 1 {
 		d.phase = stepInterval * spanrill.Millis(t.random.IntN(int(testRoundInterval/stepInterval)))
 	}
-	d.shared = NewShared(t.clock, t.limits, 16, WithBorrower(func(_ context.Context, want float64) float64 { return t.borrow(d, want) }))
+	d.shared = NewSharedBudget(t.clock, t.limits, 16, WithBorrower(func(_ context.Context, want float64) float64 { return t.borrow(d, want) }))
 	return d
 }
 
@@ -142,10 +142,10 @@
 	now, spent, requests := t.clock.Now(), 0.0, 0.0
 	for _, d := range t.daemons {
 		for d.unsentRequests += d.requestsPerStep; d.unsentRequests >= 1; d.unsentRequests-- {
-			d.shared.Request()
+			d.shared.RecordRequest()
 			requests++
 		}
-		for n := 0.0; n < d.retriesPerStep && t.wantsRetry(now) && d.shared.TakeSoon(context.Background(), Running); n++ {
+		for n := 0.0; n < d.retriesPerStep && t.wantsRetry(now) && d.shared.TakeOrBorrow(context.Background(), PriorityRunning); n++ {
 			spent++
 		}
 	}
@@ -179,9 +179,9 @@
 		if t.random.Float64() >= t.lossRate {
 			d.others, d.knownDaemons = t.receivedCounts(d)
 		}
-		d.shared.Round(d.others, Fleet{
-			Heard: d.knownDaemons, Daemons: len(t.daemons), Rounds: t.rounds,
-			Settled: t.clock.Now()-d.startedAt > 1500,
+		d.shared.StartRound(d.others, Fleet{
+			Known: d.knownDaemons, Daemons: len(t.daemons), Rounds: t.rounds,
+			Complete: t.clock.Now()-d.startedAt > 1500,
 		})
 	}
 }
@@ -291,12 +291,12 @@
 // Guards against invalid counts from other daemons that change what this daemon may spend.
 func TestInvalidCountsAreIgnored(t *testing.T) {
 	for _, others := range []Count{{Requests: -1 << 62}, {Retries: -1 << 62}, {Requests: -1 << 62, Retries: -1 << 62}} {
-		s := NewShared(clock.NewManual(), testLimits, 2)
-		all := Fleet{Heard: 2, Daemons: 2, Rounds: 1, Settled: true}
-		s.Round(Count{}, all)
-		want := s.Left()
-		s.Round(others, all)
-		if got := s.Left(); got != want {
+		s := NewSharedBudget(clock.NewManual(), testLimits, 2)
+		all := Fleet{Known: 2, Daemons: 2, Rounds: 1, Complete: true}
+		s.StartRound(Count{}, all)
+		want := s.Remaining()
+		s.StartRound(others, all)
+		if got := s.Remaining(); got != want {
 			t.Errorf("%v retries remain with invalid counts %+v, want %v as without them", got, others, want)
 		}
 	}
@@ -315,7 +315,7 @@
 		{0.09, true, false, false},
 		{0, true, false, false},
 	} {
-		got := [...]bool{Running.allowedAt(c.free), Waiting.allowedAt(c.free), Refusable.allowedAt(c.free)}
+		got := [...]bool{PriorityRunning.allowedAt(c.free), PriorityWaiting.allowedAt(c.free), PriorityRefusable.allowedAt(c.free)}
 		if got != [...]bool{c.running, c.waiting, c.refusable} {
 			t.Errorf("allowed at %.2f unspent: %v", c.free, got)
 		}
--- a/coordination/retry/loan.go
+++ b/coordination/retry/loan.go
@@ -12,18 +12,18 @@
 type Borrower func(ctx context.Context, want float64) float64
 
 // Priority decides which retries are still allowed when little of the budget is unspent.
-type Use uint8
+type Priority uint8
 
 // Priorities of retries, the highest first. They depend on what is lost without the retry.
 const (
 	// PriorityRunning is for a stream that its caller is reading. Without a retry all of it is lost.
-	Running Use = iota
+	PriorityRunning Priority = iota
 	// PriorityWaiting is for a request that an upstream may have run and whose caller has received
 	// nothing. Without a retry it fails, and its caller may repeat it only if it is idempotent.
-	Waiting
+	PriorityWaiting
 	// PriorityRefusable is for a request that has not run. It can be refused with that outcome, and
 	// its caller may repeat it.
-	Refusable
+	PriorityRefusable
 )
 
 // Fractions of the fleet's budget reserved for higher priorities. A tenth of a budget of 0.2 retries
@@ -36,11 +36,11 @@
 
 // allowedAt reports whether a retry of this priority is allowed when the given fraction of the
 // budget is unspent.
-func (p Use) allowedAt(unspentFraction float64) bool {
+func (p Priority) allowedAt(unspentFraction float64) bool {
 	switch p {
-	case Running:
+	case PriorityRunning:
 		return true
-	case Waiting:
+	case PriorityWaiting:
 		return unspentFraction >= reservedForRunning
 	}
 	return unspentFraction >= reservedForRunning+reservedForWaiting
@@ -76,7 +76,7 @@
 // TakeOrBorrow is like Take, but borrows from other daemons if no retry is available here. In
 // a large fleet the share of a daemon is smaller than the number of streams that it loses with one
 // engine, while other daemons may have lost none.
-func (s *Shared) TakeSoon(ctx context.Context, priority Use) bool {
+func (s *SharedBudget) TakeOrBorrow(ctx context.Context, priority Priority) bool {
 	if s.Take(priority) {
 		return true
 	}
@@ -97,19 +97,19 @@
 }
 
 // Available reports whether a retry is available, here or from other daemons.
-func (s *Shared) Reach(ctx context.Context, priority Use) bool {
+func (s *SharedBudget) Available(ctx context.Context, priority Priority) bool {
 	if !s.allows(priority) {
 		return false
 	}
-	if s.Left() < 1 {
+	if s.Remaining() < 1 {
 		s.borrow(ctx)
 	}
-	return s.Left() >= 1
+	return s.Remaining() >= 1
 }
 
 // borrow borrows retries from other daemons, unless they had too few to lend within
 // borrowRetryDelay.
-func (s *Shared) borrow(ctx context.Context) {
+func (s *SharedBudget) borrow(ctx context.Context) {
 	if s.borrowPaused() {
 		return
 	}
@@ -125,13 +125,13 @@
 	}
 }
 
-func (s *Shared) borrowPaused() bool {
+func (s *SharedBudget) borrowPaused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.clock.Now() < s.nextBorrowAt
 }
 
-func (s *Shared) allows(priority Use) bool {
+func (s *SharedBudget) allows(priority Priority) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return priority.allowedAt(s.unspentFraction)
@@ -139,14 +139,14 @@
 
 // Lend gives retries of this daemon's share to another daemon, and returns how many. For an invalid
 // amount it returns 0.
-func (s *Shared) Lend(want float64) float64 {
+func (s *SharedBudget) Lend(want float64) float64 {
 	if math.IsNaN(want) || want <= 0 {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := min(want, loanSize, s.remaining)
-	if n <= 0 || !s.fleet.Settled {
+	if n <= 0 || !s.fleet.Complete {
 		return 0
 	}
 	s.deduct(n)
@@ -155,7 +155,7 @@
 
 // deduct subtracts retries from this daemon's share. They count against it until all other daemons
 // have received this daemon's counts. The caller holds the lock.
-func (s *Shared) deduct(n float64) {
+func (s *SharedBudget) deduct(n float64) {
 	s.remaining = max(0, s.remaining-n)
 	extra := extraRounds
 	if s.fleet.Rounds == 1 {
@@ -167,7 +167,7 @@
 
 // spend takes one retry from the borrowed ones, then from this daemon's share, and reports whether
 // one was available. The caller holds the lock.
-func (s *Shared) spend() bool {
+func (s *SharedBudget) spend() bool {
 	if s.remaining+s.borrowedAmount() < 1 {
 		return false
 	}
@@ -182,7 +182,7 @@
 }
 
 // borrowedAmount returns the amount of unexpired loans. The caller holds the lock.
-func (s *Shared) borrowedAmount() (n float64) {
+func (s *SharedBudget) borrowedAmount() (n float64) {
 	s.borrowed, n = unexpired(s.borrowed, s.clock.Now())
 	return n
 }
--- a/coordination/retry/shared.go
+++ b/coordination/retry/shared.go
@@ -13,7 +13,7 @@
 // a slack. The daemons exchange their counts in rounds. In each round a daemon may spend an equal
 // share of the unspent budget; a daemon that needs more borrows from others (loan.go). A daemon
 // whose counts are unknown is assumed to have spent its whole share.
-type Shared struct {
+type SharedBudget struct {
 	mu     sync.Mutex
 	clock  spanrill.Clock
 	limits Limits
@@ -33,10 +33,10 @@
 
 // Fleet describes the daemons of the fleet as known in a round.
 type Fleet struct {
-	Heard   int // daemons whose counts are known, including this one
+	Known   int // daemons whose counts are known, including this one
 	Daemons int
 	Rounds  int  // until the counts of every daemon have arrived once
-	Settled bool // whether Daemons is known to include all daemons
+	Complete bool // whether Daemons is known to include all daemons
 }
 
 // Limits is the size of a retry budget.
@@ -76,7 +76,7 @@
 
 // ownEarnings returns what this daemon may spend while the number of daemons is unknown: the ratio
 // of its own requests, and an equal share of the slack in a large fleet.
-func (s *Shared) ownEarnings(own Count) float64 {
+func (s *SharedBudget) ownEarnings(own Count) float64 {
 	return margin*(s.limits.Ratio*float64(own.Requests)+s.limits.Slack/assumedDaemons) - float64(own.Retries)
 }
 
@@ -84,18 +84,18 @@
 // largest supported fleet.
 const assumedDaemons = 400
 
-// SharedOption changes a default of NewShared.
-type SharedOption func(*Shared)
+// SharedBudgetOption changes a default of NewShared.
+type SharedBudgetOption func(*SharedBudget)
 
 // WithBorrower sets the function that borrows retries from other daemons.
-func WithBorrower(b Borrower) SharedOption {
-	return func(s *Shared) { s.borrower = b }
+func WithBorrower(b Borrower) SharedBudgetOption {
+	return func(s *SharedBudget) { s.borrower = b }
 }
 
 // NewSharedBudget returns a budget for a fleet of that many daemons.
-func NewShared(clock spanrill.Clock, limits Limits, daemons int, opts ...SharedOption) *Shared {
-	s := &Shared{
-		clock: clock, limits: limits, fleet: Fleet{Heard: 1, Daemons: max(1, daemons), Rounds: 1}, unspentFraction: 1,
+func NewSharedBudget(clock spanrill.Clock, limits Limits, daemons int, opts ...SharedBudgetOption) *SharedBudget {
+	s := &SharedBudget{
+		clock: clock, limits: limits, fleet: Fleet{Known: 1, Daemons: max(1, daemons), Rounds: 1}, unspentFraction: 1,
 		borrower: func(context.Context, float64) float64 { return 0 }, borrowToken: make(chan struct{}, 1),
 	}
 	for _, o := range opts {
@@ -108,10 +108,10 @@
 
 // share returns the part of the unspent budget that this daemon may spend, and the unspent fraction
 // of the whole budget, from 0 to 1.
-func (s *Shared) share(own Count) (share, unspentFraction float64) {
+func (s *SharedBudget) share(own Count) (share, unspentFraction float64) {
 	requests := float64(own.Requests + s.others.Requests)
 	total := margin * (s.limits.Ratio*requests + s.limits.Slack)
-	unknown := max(0, s.fleet.Daemons-s.fleet.Heard)
+	unknown := max(0, s.fleet.Daemons-s.fleet.Known)
 	spent := float64(own.Retries+s.others.Retries) + float64(unknown)*total/float64(s.fleet.Daemons)
 	unspent := max(0, total-spent)
 	return unspent / float64(s.fleet.Daemons), unspent / max(1, total)
@@ -123,14 +123,14 @@
 // spends or lends counts against its share until all others must have received its counts.
 // A daemon that does not know the number of daemons, because the fleet has just started, may spend
 // only what its own requests allow, which is safe for any number, and lends nothing.
-func (s *Shared) Round(others Count, fleet Fleet) {
+func (s *SharedBudget) StartRound(others Count, fleet Fleet) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fleet.Daemons, fleet.Rounds = max(1, fleet.Daemons), max(1, fleet.Rounds)
 	s.others, s.fleet = others.clamped(), fleet
 	now := s.clock.Now()
 	own := s.own.count(now)
-	if !fleet.Settled {
+	if !fleet.Complete {
 		s.remaining = max(0, s.ownEarnings(own))
 		return
 	}
@@ -141,21 +141,21 @@
 }
 
 // Own returns the counts of this daemon in the window.
-func (s *Shared) Own() Count {
+func (s *SharedBudget) Own() Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.own.count(s.clock.Now())
 }
 
 // RecordRequest counts a request.
-func (s *Shared) Request() {
+func (s *SharedBudget) RecordRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.own.bucketAt(s.clock.Now()).Requests++
 }
 
 // Take consumes a retry and reports whether one was available here.
-func (s *Shared) Take(priority Use) bool {
+func (s *SharedBudget) Take(priority Priority) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !priority.allowedAt(s.unspentFraction) || !s.spend() {
@@ -166,7 +166,7 @@
 }
 
 // Remaining returns how many retries are available until the next round, without borrowing more.
-func (s *Shared) Left() float64 {
+func (s *SharedBudget) Remaining() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.remaining + s.borrowedAmount()
@@ -227,7 +227,7 @@
 	borrow   func(ctx context.Context, service string, want float64) float64
 	fleet    Fleet            // in the last round
 	others   map[string]Count // by service, in the last round
-	services map[string]*Shared
+	services map[string]*SharedBudget
 }
 
 // BudgetsOption changes a default of NewBudgets.
@@ -241,7 +241,7 @@
 // NewBudgets returns budgets for a fleet of that many daemons.
 func NewBudgets(clock spanrill.Clock, limits Limits, daemons int, opts ...BudgetsOption) *Budgets {
 	b := &Budgets{
-		clock: clock, limits: limits, daemons: daemons, services: map[string]*Shared{},
+		clock: clock, limits: limits, daemons: daemons, services: map[string]*SharedBudget{},
 		borrow: func(context.Context, string, float64) float64 { return 0 },
 	}
 	for _, o := range opts {
@@ -251,16 +251,16 @@
 }
 
 // Of returns the budget of a service.
-func (b *Budgets) Of(service string) *Shared {
+func (b *Budgets) Of(service string) *SharedBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.services[service]
 	if s == nil {
-		s = NewShared(b.clock, b.limits, b.daemons, WithBorrower(func(ctx context.Context, want float64) float64 {
+		s = NewSharedBudget(b.clock, b.limits, b.daemons, WithBorrower(func(ctx context.Context, want float64) float64 {
 			return b.borrow(ctx, service, want)
 		}))
-		if b.fleet.Settled {
-			s.Round(b.others[service], b.fleet)
+		if b.fleet.Complete {
+			s.StartRound(b.others[service], b.fleet)
 		}
 		b.services[service] = s
 	}
@@ -291,7 +291,7 @@
 }
 
 // requestRate returns the requests per second of all daemons whose counts are known.
-func (s *Shared) requestRate() float64 {
+func (s *SharedBudget) requestRate() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	recent := s.own.count(s.clock.Now()).Recent + s.others.Recent
@@ -310,11 +310,11 @@
 }
 
 // StartRound sets the counts of the other daemons, by service, and starts a new round.
-func (b *Budgets) Round(others map[string]Count, fleet Fleet) {
+func (b *Budgets) StartRound(others map[string]Count, fleet Fleet) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.daemons, b.fleet, b.others = fleet.Daemons, fleet, others
 	for name, s := range b.services {
-		s.Round(others[name], fleet)
+		s.StartRound(others[name], fleet)
 	}
 }
--- a/coordination/retry/shared_test.go
+++ b/coordination/retry/shared_test.go
@@ -32,9 +32,9 @@
 	for i := range known {
 		known[i] = make([]Count, daemons)
 	}
-	all := make([]*Shared, daemons)
+	all := make([]*SharedBudget, daemons)
 	for i := range all {
-		all[i] = NewShared(c, testLimits, daemons)
+		all[i] = NewSharedBudget(c, testLimits, daemons)
 	}
 	type spend struct {
 		at spanrill.Millis
@@ -44,10 +44,10 @@
 	for round := range 240 {
 		for i, s := range all {
 			if i%2 == 0 {
-				s.Request()
+				s.RecordRequest()
 				requests = append(requests, spend{c.Now(), 1})
 			}
-			for s.Take(Running) { // take as many as possible
+			for s.Take(PriorityRunning) { // take as many as possible
 				spent = append(spent, spend{c.Now(), 1})
 			}
 		}
@@ -67,7 +67,7 @@
 					others.Retries += known[i][k].Retries
 				}
 			}
-			s.Round(others, Fleet{Heard: min(daemons, (round+1)*daemons/rounds), Daemons: daemons, Rounds: rounds, Settled: true})
+			s.StartRound(others, Fleet{Known: min(daemons, (round+1)*daemons/rounds), Daemons: daemons, Rounds: rounds, Complete: true})
 		}
 		in := func(list []spend) (n int64) {
 			for _, x := range list {
@@ -84,9 +84,9 @@
 }
 
 // takeAll takes all available retries and returns their number.
-func takeAll(s *Shared) int {
+func takeAll(s *SharedBudget) int {
 	n := 0
-	for s.Take(Running) {
+	for s.Take(PriorityRunning) {
 		n++
 	}
 	return n
@@ -96,12 +96,12 @@
 func TestOneDaemonGetsUnusedShares(t *testing.T) {
 	const daemons = 8
 	c := clock.NewManual()
-	s := NewShared(c, testLimits, daemons)
+	s := NewSharedBudget(c, testLimits, daemons)
 	n := 0
 	for range 8 {
 		n += takeAll(s)
 		c.Advance(250)
-		s.Round(Count{Requests: 500}, Fleet{Heard: daemons, Daemons: daemons, Rounds: 1, Settled: true})
+		s.StartRound(Count{Requests: 500}, Fleet{Known: daemons, Daemons: daemons, Rounds: 1, Complete: true})
 	}
 	if n < 100 {
 		t.Fatalf("%d retries in two seconds, want at least 100 of 300", n)
@@ -112,12 +112,12 @@
 func TestIsolatedDaemonStaysWithinItsShare(t *testing.T) {
 	const daemons = 8
 	c := clock.NewManual()
-	s := NewShared(c, testLimits, daemons)
+	s := NewSharedBudget(c, testLimits, daemons)
 	n := 0
 	for range 36 {
 		n += takeAll(s)
 		c.Advance(250)
-		s.Round(Count{}, Fleet{Heard: 1, Daemons: daemons, Rounds: 1, Settled: true})
+		s.StartRound(Count{}, Fleet{Known: 1, Daemons: daemons, Rounds: 1, Complete: true})
 	}
 	if limit := int(testLimits.Slack / daemons); n > limit {
 		t.Fatalf("%d retries, want at most the share of %d", n, limit)
@@ -131,12 +131,12 @@
 	c := clock.NewManual()
 	spent := 0
 	for range daemons {
-		s := NewShared(c, testLimits, 1)
+		s := NewSharedBudget(c, testLimits, 1)
 		spent += takeAll(s)
 		for range requests {
-			s.Request()
+			s.RecordRequest()
 		}
-		s.Round(Count{}, Fleet{Heard: 1, Daemons: 2, Rounds: 1})
+		s.StartRound(Count{}, Fleet{Known: 1, Daemons: 2, Rounds: 1})
 		spent += takeAll(s)
 	}
 	if limit := testLimits.Ratio*daemons*requests + testLimits.Slack; spent == 0 || float64(spent) > limit {
@@ -149,8 +149,8 @@
 func TestBudgetOfNewService(t *testing.T) {
 	b := NewBudgets(clock.NewManual(), testLimits, 1)
 	b.Of("old")
-	b.Round(nil, Fleet{Heard: 2, Daemons: 2, Rounds: 1, Settled: true})
-	if first, second := b.Of("old").Left(), b.Of("new").Left(); first != second {
+	b.StartRound(nil, Fleet{Known: 2, Daemons: 2, Rounds: 1, Complete: true})
+	if first, second := b.Of("old").Remaining(), b.Of("new").Remaining(); first != second {
 		t.Fatalf("%v retries remain for the old service, %v for the new one", first, second)
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -134,7 +134,7 @@
 	d.engines = engines
 	d.observer = observe.New(d.platform, engines, services, d.table, d.clock, observe.WithLogger(d.log),
 		observe.WithShare(d.peers), observe.WithOnBoxes(d.peers.setBoxes), observe.WithFallback(d.peers),
-		observe.WithGaps(d.settings.Observe.Boxes, d.settings.Observe.Status))
+		observe.WithIntervals(d.settings.Observe.Boxes, d.settings.Observe.Status))
 	d.gate = admission.New(d.clock, d.table, admission.WithMeters(d.meters),
 		admission.WithQueue(d.settings.Limits.Queue, d.settings.Limits.QueueWait),
 		admission.WithPerSlot(d.settings.Limits.PerSlot))
@@ -148,7 +148,7 @@
 	waits, limits := d.settings.Waits, d.settings.Limits
 	runner := pipeline.New(engines, d.table, d.router, d.clock,
 		pipeline.WithLogger(d.log), pipeline.WithMeters(d.meters),
-		pipeline.WithOnEjection(func(u *load.Upstream) { d.observer.Suspect(u.Zone()) }),
+		pipeline.WithOnEjection(func(u *load.Upstream) { d.observer.RecheckZone(u.Zone()) }),
 		pipeline.WithTokenTimeouts(waits.FirstToken, waits.Token))
 	dispatcher := dispatch.New(services, d.table, d.router, d.clock,
 		dispatch.WithLogger(d.log), dispatch.WithMeters(d.meters), dispatch.WithTimeout(waits.Service))
@@ -173,7 +173,7 @@
 		}
 		return ""
 	})
-	d.peers.list.Nudge()
+	d.peers.list.TriggerRound()
 }
 
 func (d *Daemon) listen() error {
@@ -261,7 +261,7 @@
 }
 
 func (d *Daemon) awaitReady(ctx context.Context) error {
-	for _, ready := range []<-chan struct{}{d.follower.Ready(), d.observer.Seen()} {
+	for _, ready := range []<-chan struct{}{d.follower.Ready(), d.observer.Ready()} {
 		select {
 		case <-ready:
 		case <-ctx.Done():
@@ -281,7 +281,7 @@
 		return errors.New("no configuration yet")
 	}
 	select {
-	case <-d.observer.Seen():
+	case <-d.observer.Ready():
 		return nil
 	default:
 		return errors.New("no upstreams seen yet")
--- a/daemon/peerhandler.go
+++ b/daemon/peerhandler.go
@@ -35,7 +35,7 @@
 	case peermsg.KindGossip:
 		var m peermsg.Gossip
 		if err = peermsg.Decode(payload, &m); err == nil && len(m.Members) > 0 {
-			p.list.Take(&m)
+			p.list.Merge(&m)
 		}
 	case peermsg.KindReports:
 		var m peermsg.Reports
@@ -50,7 +50,7 @@
 	case peermsg.KindSettle:
 		var m peermsg.Settle
 		if err = peermsg.Decode(payload, &m); err == nil {
-			p.claims.ServeSettle(&m)
+			p.claims.HandleSettle(&m)
 		}
 	default:
 		return p.answer(kind, payload)
@@ -78,7 +78,7 @@
 		if err := peermsg.Decode(payload, &m); err != nil {
 			return nil, err
 		}
-		return p.claims.Serve(p.daemon.work, &m), nil
+		return p.claims.HandleClaim(p.daemon.work, &m), nil
 	case peermsg.KindBoxes:
 		reply := &peermsg.Boxes{}
 		if value := p.boxes.Load(); value != nil {
@@ -112,5 +112,5 @@
 	for _, a := range m.Accounts {
 		accounts[a.Account] = float64(a.PerMille) / 1000
 	}
-	p.daemon.gate.Told(from, accounts)
+	p.daemon.gate.RecordPeerDemand(from, accounts)
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -71,7 +71,7 @@
 func (p *peers) exchangeDemand(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.daemon.gate.SetDaemons(len(p.list.Live()))
-		p.daemon.gate.Tend()
+		p.daemon.gate.Maintain()
 		p.tellDemand()
 		select {
 		case <-ctx.Done():
@@ -129,15 +129,15 @@
 	return owner.PeerAddr
 }
 
-// Mine reports whether this daemon observes the upstream.
-func (p *peers) Mine(upstream string) bool {
+// Includes reports whether this daemon observes the upstream.
+func (p *peers) Includes(upstream string) bool {
 	return p.list.Owns("observe/"+upstream, p.daemon.settings.Observe.Observers)
 }
 
-// TellReports passes reports of upstreams on to the other daemons: one that
+// BroadcastReports passes reports of upstreams on to the other daemons: one that
 // changes what an upstream can be used for at once, and one that changes its
 // load alone every loadGap, by the first of its observers.
-func (p *peers) TellReports(reports []spanrill.UpstreamStatus) {
+func (p *peers) BroadcastReports(reports []spanrill.UpstreamStatus) {
 	m := &peermsg.Reports{}
 	now := p.daemon.clock.Now()
 	for _, r := range reports {
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -27,7 +27,7 @@
 	}
 	duty := "placement/" + site.Name
 	l := lease.New(d.platform, d.clock, duty, d.settings.Name, lease.WithLogger(d.log),
-		lease.WithContends(func() bool { return d.contends(duty, site) }))
+		lease.WithCandidate(func() bool { return d.contends(duty, site) }))
 	d.lease.Store(l)
 	p := placement.New(l, d.engines, d.table, d.clock, d.placementSite, placement.WithLogger(d.log))
 	var tasks task.Group
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -194,7 +194,7 @@
 		f.byName[m.Name] = f.add(m, i, log)
 	}
 	for _, d := range f.byName {
-		d.peers.list.Take(all)
+		d.peers.list.Merge(all)
 	}
 	for rank, m := range f.byName["daemon-000"].Ranked() {
 		f.daemons = append(f.daemons, f.byName[m.Name])
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -80,7 +80,7 @@
 		return false // the first ones did not take it when it was free
 	}
 	first := g.peers.list.Ranked("placement")[0]
-	return membership.Class(first) > membership.Class(peermsg.Member{Power: g.settings.Power()})
+	return membership.PowerClass(first) > membership.PowerClass(peermsg.Member{Power: g.settings.Power()})
 }
 
 // othersContend is how long the lease is free before daemons without a rank try
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -199,7 +199,7 @@
 func (g *Gateway) build(connect Connect) error {
 	g.http = httpcall.New(httpcall.WithDialTimeout(dialTimeout), httpcall.WithLogger(g.log), httpcall.WithMeters(g.meters),
 		httpcall.WithOnHead(g.noteHead), httpcall.WithMaxIdle(g.maxIdle),
-		httpcall.WithMaxTotal(conncap.IdleOfAll(g.settings.Descriptors)))
+		httpcall.WithMaxTotal(conncap.IdleTotal(g.settings.Descriptors)))
 	g.config = routes.NewCurrent(g.clock)
 	g.adapter = connect(g.settings.Platform, g.http, g.storeCalled)
 	g.fleet = fleet.New(g.clock, g.adapter.DecodeEntry, fleet.WithLogger(g.log), fleet.WithDrain(g.settings.Bounds.Drain),
@@ -218,8 +218,8 @@
 		return fmt.Errorf("build peers: %w", err)
 	}
 	g.limiter = ratelimit.New(g.fleet, g.clock, g.peers)
-	g.lease = lease.New(g.adapter.Store, g.clock, "placement", g.peers.name, lease.WithTime(leaseTime),
-		lease.WithLogger(g.log), lease.WithContends(g.contends), lease.WithYields(g.yields), lease.WithEra(g.adapter.Era))
+	g.lease = lease.New(g.adapter.Store, g.clock, "placement", g.peers.name, lease.WithDuration(leaseTime),
+		lease.WithLogger(g.log), lease.WithCandidate(g.contends), lease.WithYield(g.yields), lease.WithEra(g.adapter.Era))
 	g.keeper = suspect.NewKeeper(g.suspects, g.adapter.Store, g.clock, g.log, func() bool { _, ok := g.lease.Held(); return ok },
 		suspect.WithEra(g.adapter.Era))
 	g.exchange = exchange.New(g.peers, exchange.State{
@@ -315,7 +315,7 @@
 			limit = service.MaxConnections
 		}
 	}
-	return conncap.Idle(limit, int(g.daemons.Load()))
+	return conncap.IdlePerUpstream(limit, int(g.daemons.Load()))
 }
 
 // noteHead takes what an upstream says of itself in an answer, whatever it was asked.
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -126,7 +126,7 @@
 	case peermsg.KindGossip:
 		var m peermsg.Gossip
 		if err = peermsg.Decode(payload, &m); err == nil && len(m.Members) > 0 {
-			p.list.Take(&m)
+			p.list.Merge(&m)
 		}
 		return nil, err
 	case peermsg.KindNews:
@@ -202,8 +202,8 @@
 	return owners
 }
 
-// Mute reports whether a daemon did not answer when this daemon last asked it for news.
-func (p *peers) Mute(daemon string) bool { return p.gateway.exchange.Unresponsive(daemon) }
+// Unresponsive reports whether a daemon did not answer when this daemon last asked it for news.
+func (p *peers) Unresponsive(daemon string) bool { return p.gateway.exchange.Unresponsive(daemon) }
 
 // AskPermit asks a daemon for a permit.
 func (p *peers) AskPermit(ctx context.Context, addr string, asked *peermsg.AskPermit) (*peermsg.Permit, error) {
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -225,7 +225,7 @@
 		return err
 	}
 	d.fleet.sent.add(peermsg.KindGossip, len(data))
-	other.peers.list.Take(g)
+	other.peers.list.Merge(g)
 	return nil
 }
 
