--- a/coordination/lease/state.go
+++ b/coordination/lease/state.go
@@ -9,9 +9,9 @@
 
 // State is a lease as read from the platform's store, for tools that display it.
 type State struct {
-	Holder string          `json:"holder"` // empty if handed back or never acquired
-	Term   uint64          `json:"term"`
-	Duration   spanrill.Millis `json:"time_ms"` // validity from each write
+	Holder   string          `json:"holder"` // empty if handed back or never acquired
+	Term     uint64          `json:"term"`
+	Duration spanrill.Millis `json:"time_ms"` // validity from each write
 }
 
 // Decode decodes a lease from its value in the store.
--- a/coordination/retry/shared.go
+++ b/coordination/retry/shared.go
@@ -33,9 +33,9 @@
 
 // Fleet describes the daemons of the fleet as known in a round.
 type Fleet struct {
-	Known   int // daemons whose counts are known, including this one
-	Daemons int
-	Rounds  int  // until the counts of every daemon have arrived once
+	Known    int // daemons whose counts are known, including this one
+	Daemons  int
+	Rounds   int  // until the counts of every daemon have arrived once
 	Complete bool // whether Daemons is known to include all daemons
 }
 
