--- /dev/null
+++ b/coordination/layoutrun/verify.go
@@ -0,0 +1,95 @@
+package layoutrun
+
+import (
+	"context"
+
+	"github.com/sirupsen/logrus"
+
+	"spanrill"
+	"spanrill/events"
+	"spanrill/state/fleet"
+)
+
+// verification records what the placer has found out about an engine that requests
+// reported as silent or refusing. A repair cuts requests and moves engines, so it must
+// not rely on requests alone: they consider an engine dead after some ten milliseconds
+// of silence, and an engine whose memory is full refuses just as a leaving one does.
+type verification struct {
+	queriedAt spanrill.Millis
+	querying  bool
+	hasRoom   bool            // not full in its last report
+	roomSince spanrill.Millis // since when it was not full in all reports
+	lost      bool            // did not answer the placer either
+	leaving   bool            // refuses although it has had free memory for a while
+}
+
+const (
+	// verifyTimeout bounds the report request: a hundred round trips, and half the time
+	// that loading the smallest part takes.
+	verifyTimeout spanrill.Millis = 150
+	// verifyWindow is how long after a refusal an engine is verified: the first refusal
+	// keeps requests away for 1.2 s, and only a second one shows more.
+	verifyWindow = 3 * spanrill.Second
+	// verifyInterval is the pause between two report requests to one engine.
+	verifyInterval spanrill.Millis = 400
+	// minRoomTime is how long an engine must have had free memory before a refusal means
+	// that it is leaving: reports lag, so memory that was full at the refusal may be free
+	// in the report.
+	minRoomTime spanrill.Millis = 2 * reportLag
+	// fullThreshold is the share of its memory from which an engine counts as full.
+	fullThreshold = 0.8
+)
+
+// verify returns whether the placer has found an engine lost, or leaving without notice.
+// If requests reported the engine as failing and mayAct is set, it also starts a new
+// report request, whose result later calls return. The caller holds the lock.
+func (p *Placer) verify(ctx context.Context, u *fleet.Upstream, now spanrill.Millis, mayAct bool) (lost, leaves bool) {
+	id := u.ID()
+	v := p.verifications[id]
+	if !u.Removed() && !u.Dead() && !u.RefusesPersistently(now) && (v == nil || now-u.LastRefusalAt() > verifyWindow) {
+		delete(p.verifications, id)
+		return false, false
+	}
+	if v == nil {
+		v = &verification{queriedAt: now - verifyInterval}
+		p.verifications[id] = v
+	}
+	if mayAct && !v.querying && now-v.queriedAt >= verifyInterval {
+		v.querying, v.queriedAt = true, now
+		p.tasks.Start(ctx, "verify upstream", func(ctx context.Context) error { return p.queryUpstream(ctx, u, v) })
+	}
+	return v.lost && (u.Dead() || u.Removed()), v.leaving
+}
+
+// queryUpstream requests a report from an engine and records the result.
+func (p *Placer) queryUpstream(ctx context.Context, u *fleet.Upstream, v *verification) error {
+	ctx, cancel := context.WithTimeout(ctx, verifyTimeout.Duration())
+	defer cancel()
+	report, err := p.engines.Report(ctx, u.Addr())
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	v.querying = false
+	if spanrill.OwnLack(err) {
+		return err // the daemon lacks resources; says nothing about the engine
+	}
+	lost := err != nil
+	v.recordRoom(!lost && report.Waiting == 0 && report.KVUsed < fullThreshold*report.KVTotal, p.clock.Now())
+	leaves := v.hasRoom && u.LastRefusalAt() > v.roomSince+minRoomTime
+	if lost == v.lost && leaves == v.leaving {
+		return nil
+	}
+	v.lost, v.leaving = lost, leaves
+	events.UpstreamDoubted.Log(p.log, logrus.Fields{
+		"upstream": u.ID(), "lost": lost, "leaves": leaves, "error": err,
+		"waiting": report.Waiting, "kv_used": report.KVUsed, "kv_total": report.KVTotal,
+	})
+	return nil
+}
+
+// recordRoom records whether a report shows an engine that is not full.
+func (v *verification) recordRoom(hasRoom bool, now spanrill.Millis) {
+	if hasRoom && !v.hasRoom {
+		v.roomSince = now
+	}
+	v.hasRoom = hasRoom
+}
--- a/coordination/routing/explain.go
+++ b/coordination/routing/explain.go
@@ -6,57 +6,58 @@
 	"spanrill/state/load"
 )
 
-// Candidate is one engine that could run a stage, and how it is judged.
+// Candidate is an engine that could run a stage, with the figures by which it is compared.
 type Candidate struct {
-	Engine string  `json:"engine"`
-	Zone   string  `json:"availability_zone"`
-	From   int     `json:"from"`
-	To     int     `json:"to"`
-	Load   float64 `json:"load"`           // requests expected on it
-	Micros float64 `json:"micros_a_token"` // at a full batch
-	Slow   float64 `json:"slow"`           // times slower than reported
-	Link   int64   `json:"link_micros"`
-	Score  float64 `json:"score"` // lower is better
-	Why    string  `json:"why_not,omitempty"`
+	Engine         string  `json:"engine"`
+	Zone           string  `json:"availability_zone"`
+	From           int     `json:"from"`
+	To             int     `json:"to"`
+	Load           float64 `json:"load"`           // requests expected on it
+	MicrosPerToken float64 `json:"micros_a_token"` // at a full batch
+	Slowdown       float64 `json:"slow"`           // factor by which it is slower than it reports
+	LinkMicros     int64   `json:"link_micros"`
+	Score          float64 `json:"score"`             // lower is better
+	WhyNot         string  `json:"why_not,omitempty"` // why the engine cannot be used, if it cannot
 }
 
-// Explanation says why a request would go where.
+// Explanation reports which chain a request would take, and the candidates of each stage.
 type Explanation struct {
 	Policy string        `json:"policy"`
 	Chain  []string      `json:"chain"`
 	Stages [][]Candidate `json:"stages"` // the best candidate first
 }
 
-// Explain chooses a chain and tells how the candidates of each stage compare.
+// Explain chooses a chain and returns how the candidates of each of its stages compare.
 func (r *Router) Explain(index *load.ModelIndex, q *Query) Explanation {
 	e := Explanation{Policy: r.policy.Name(), Chain: []string{}, Stages: [][]Candidate{}}
 	chain, _ := r.Choose(index, q, nil)
-	q.Last = nil
+	q.Previous = nil
 	for _, chosen := range chain {
 		e.Chain = append(e.Chain, chosen.Name())
-		e.Stages = append(e.Stages, candidates(index, q, chosen.Layers().From))
-		q.Last = chosen
+		e.Stages = append(e.Stages, stageCandidates(index, q, chosen.Layers().From))
+		q.Previous = chosen
 	}
 	return e
 }
 
-func candidates(index *load.ModelIndex, q *Query, from int) []Candidate {
-	ways := index.Ways(q.Layers)
-	var all []Candidate
-	for _, u := range index.From(from) {
+// stageCandidates returns the engines whose layers start at from, the best first.
+func stageCandidates(index *load.ModelIndex, q *Query, from int) []Candidate {
+	ways := index.Reachability(q.Layers)
+	var result []Candidate
+	for _, u := range index.StartingAt(from) {
 		c := Candidate{
 			Engine: u.Name(), Zone: u.Zone(), From: u.Layers().From, To: u.Layers().To,
-			Load: u.Load(q.Now), Micros: u.MicrosPerToken(), Slow: u.Slow(q.Now),
-			Link: u.LinkMicros(), Score: Score(u, q),
+			Load: u.Load(q.Now), MicrosPerToken: u.MicrosPerToken(), Slowdown: u.Slowdown(q.Now),
+			LinkMicros: u.LinkMicros(), Score: Score(u, q),
 		}
 		switch {
-		case !ways.Open(u.Layers().To):
-			c.Why = "no chain leads on from it"
+		case !ways.ReachesEnd(u.Layers().To):
+			c.WhyNot = "no chain leads on from it"
 		case u.Ejected(q.Now):
-			c.Why = "ejected"
+			c.WhyNot = "ejected"
 		}
-		all = append(all, c)
+		result = append(result, c)
 	}
-	sort.Slice(all, func(i, k int) bool { return all[i].Score < all[k].Score })
-	return all
+	sort.Slice(result, func(i, k int) bool { return result[i].Score < result[k].Score })
+	return result
 }
--- /dev/null
+++ b/state/fleet/removals.go
@@ -0,0 +1,46 @@
+package fleet
+
+// removals records which entries were removed at which revision, so that a peer which knows all
+// entries as of an earlier revision can be sent only the changes.
+type removals struct {
+	completeSince uint64            // all removals after this revision are recorded
+	revisions     map[string]uint64 // by name, the revision up to which the entry was removed
+}
+
+// maxKeptRemovals is the maximum number of recorded names: a third more than the engines of the
+// largest fleet in the design.
+const maxKeptRemovals = 4800
+
+func newRemovals() *removals { return &removals{revisions: map[string]uint64{}} }
+
+// add records that an entry was removed at or before a revision.
+func (e *removals) add(name string, at uint64) {
+	e.revisions[name] = at
+	if len(e.revisions) > maxKeptRemovals {
+		e.reset(at)
+	}
+}
+
+// cancel drops the removal of an entry that exists again.
+func (e *removals) cancel(name string) { delete(e.revisions, name) }
+
+// reset drops all records because removals up to a revision are not known completely.
+func (e *removals) reset(at uint64) {
+	clear(e.revisions)
+	e.completeSince = at
+}
+
+// since returns the names of the entries that were removed after a revision, and whether they are
+// complete.
+func (e *removals) since(at uint64) ([]string, bool) {
+	if at < e.completeSince {
+		return nil, false
+	}
+	var names []string
+	for name, removedAt := range e.revisions {
+		if removedAt > at {
+			names = append(names, name)
+		}
+	}
+	return names, true
+}
--- a/state/fleet/restored_test.go
+++ b/state/fleet/restored_test.go
@@ -52,15 +52,15 @@
 			clock.Advance(1000)
 			starts := table.Restarts()
 			table.Listed(listItems(t, 2, c.after...), spanrill.RevisionOf(2, 60), clock.Now())
-			if table.At() != spanrill.RevisionOf(2, 60) {
-				t.Fatalf("revision %d of the table", table.At())
+			if table.Revision() != spanrill.RevisionOf(2, 60) {
+				t.Fatalf("revision %d of the table", table.Revision())
 			}
 			u := table.View().ByAddr("1:1")
 			if (u != nil) != c.present {
 				t.Fatalf("present: %t, want %t", u != nil, c.present)
 			}
-			if u != nil && u.TakesAt(clock.Now()) != c.takes {
-				t.Errorf("takes requests: %t, want %t", u.TakesAt(clock.Now()), c.takes)
+			if u != nil && u.AcceptsRequestsAt(clock.Now()) != c.takes {
+				t.Errorf("takes requests: %t, want %t", u.AcceptsRequestsAt(clock.Now()), c.takes)
 			}
 			if again := table.Restarts() > starts; again != c.restarts {
 				t.Errorf("restart detected: %t, want %t", again, c.restarts)
@@ -76,18 +76,18 @@
 		return listItems(t, era, listedEntry{"a", "1:1", counter, beats, 0, false})
 	}
 	for _, c := range []struct {
-		name   string
-		gone   spanrill.Millis // time from the removal to the restore
-		then   func(*Table, spanrill.Millis)
-		wait   spanrill.Millis
-		uses   bool
-		listed bool // in the knowledge sent to peers
+		name         string
+		sinceRemoval spanrill.Millis // time from the removal to the restore
+		then         func(*Table, spanrill.Millis)
+		wait         spanrill.Millis
+		wantUsed     bool
+		wantListed   bool // in the update sent to peers
 	}{
 		{"directly after the restore", 1000, nil, 0, false, false},
 		{"just before the end of quarantine", 1000, nil, quarantineTime - 1, false, false},
 		{"still listed after quarantine", 1000, nil, quarantineTime, true, true},
 		{"removed by the platform", 1000, func(table *Table, now spanrill.Millis) {
-			table.Changed([]spanrill.Change{gone("a")}, spanrill.RevisionOf(2, 61), now)
+			table.Changed([]spanrill.Change{removal("a")}, spanrill.RevisionOf(2, 61), now)
 		}, quarantineTime, false, false},
 		{"written again by the upstream", 1000, func(table *Table, now spanrill.Millis) {
 			table.Changed([]spanrill.Change{{Item: entry(2, 61, 9)[0]}}, spanrill.RevisionOf(2, 61), now)
@@ -96,33 +96,33 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, clock := newTable(t)
-			clock.Advance(outageMemory * 3)
+			clock.Advance(storeFailureMemory * 3)
 			table.Listed(entry(1, 90, 5), spanrill.RevisionOf(1, 100), clock.Now())
-			table.Changed([]spanrill.Change{gone("a")}, spanrill.RevisionOf(1, 101), clock.Now())
-			clock.Advance(c.gone)
+			table.Changed([]spanrill.Change{removal("a")}, spanrill.RevisionOf(1, 101), clock.Now())
+			clock.Advance(c.sinceRemoval)
 			table.Listed(entry(2, 40, 3), spanrill.RevisionOf(2, 60), clock.Now())
 			if c.then != nil {
 				c.then(table, clock.Now())
 			}
 			clock.Advance(c.wait)
-			table.Tend()
+			table.Maintain()
 			u := table.View().ByID("a")
-			if uses := u != nil && u.TakesAt(clock.Now()); uses != c.uses {
-				t.Errorf("used: %t, want %t", uses, c.uses)
+			if uses := u != nil && u.AcceptsRequestsAt(clock.Now()); uses != c.wantUsed {
+				t.Errorf("used: %t, want %t", uses, c.wantUsed)
 			}
-			if listed := len(table.Knowledge().Entries) > 0; listed != c.listed {
-				t.Errorf("sent to peers: %t, want %t", listed, c.listed)
+			if listed := len(table.FullUpdate().Entries) > 0; listed != c.wantListed {
+				t.Errorf("sent to peers: %t, want %t", listed, c.wantListed)
 			}
 		})
 	}
 }
 
-// Guards against knowledge of an earlier era that replaces knowledge of a later one.
-func TestKnowledgeOfAnEarlierEra(t *testing.T) {
+// Guards against an update of an earlier era that replaces entries of a later one.
+func TestMergeFromEarlierEra(t *testing.T) {
 	table, clock := newTable(t)
 	table.Listed(listItems(t, 2, listedEntry{"a", "1:1", 10, 1, 0, false}), spanrill.RevisionOf(2, 10), clock.Now())
-	if table.Merge(Knowledge{At: spanrill.RevisionOf(1, 900), Change: spanrill.RevisionOf(1, 900)}, clock.Now()) {
-		t.Error("knowledge of an earlier era was merged")
+	if table.Merge(Update{Revision: spanrill.RevisionOf(1, 900), LastChange: spanrill.RevisionOf(1, 900)}, clock.Now()) {
+		t.Error("an update of an earlier era was merged")
 	}
 	if table.View().ByID("a") == nil {
 		t.Error("the upstream was removed")
