--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -61,7 +61,7 @@
 func newReport(s *scene.Scene, o Options, bound float64, t *Tally) *Report {
 	seconds := o.Duration.Seconds()
 	r := &Report{
-		Scene: s.Spec().Model.Name, Policy: s.Daemons()[0].Status().Policy, Load: o.Load, Bound: bound,
+		Scene: s.Spec().Model.Name, Policy: s.Daemons()[0].Status().RoutingPolicy, Load: o.Load, Bound: bound,
 		Offered: float64(t.offered) / seconds, Useful: float64(t.useful) / seconds,
 		FirstP50: percentile(t.first, 50), FirstP95: percentile(t.first, 95), FirstP99: percentile(t.first, 99),
 		BetweenP: percentile(t.between, 95), RefusalP: percentile(t.refusal, 99),
--- a/cli/spanrillcmd/fleet.go
+++ b/cli/spanrillcmd/fleet.go
@@ -128,7 +128,7 @@
 			continue
 		}
 		s := b.Status
-		printf(c, "%-16s %-14s %-8v %9d %9d  %s\n", b.Box, s.Zone, s.Ready, s.Revision, s.InFlight, s.Why)
+		printf(c, "%-16s %-14s %-8v %9d %9d  %s\n", b.Box, s.Zone, s.Ready, s.Revision, s.InFlight, s.NotReadyReason)
 		last = s
 	}
 	if last != nil {
@@ -143,7 +143,7 @@
 		if holds == "" {
 			holds = fmt.Sprintf("%s %d-%d", u.Model, u.Layers.From, u.Layers.To)
 		}
-		printf(c, "%-16s %-14s %-24s %8.1f %6.1f  %s\n", u.Name, u.Zone, holds, u.Load, u.Slow, upstreamNote(u))
+		printf(c, "%-16s %-14s %-24s %8.1f %6.1f  %s\n", u.Name, u.Zone, holds, u.Load, u.Slowdown, upstreamNote(u))
 	}
 }
 
--- a/cli/spanrilldcmd/gateway.go
+++ b/cli/spanrilldcmd/gateway.go
@@ -70,7 +70,7 @@
 		return cli.Exit(err.Error(), exitBadSettings)
 	}
 	log.SetOutput(writer)
-	g, err := gateway.New(s, platform.New, gateway.WithLogger(log), gateway.WithDropped(writer.Dropped))
+	g, err := gateway.New(s, platform.New, gateway.WithLogger(log), gateway.WithDroppedLines(writer.Dropped))
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
--- a/collection.go
+++ b/collection.go
@@ -20,7 +20,7 @@
 // Change is an object that was created, updated or deleted.
 type Change struct {
 	Item
-	Gone bool
+	Deleted bool
 }
 
 // Collection holds all objects of one kind in the platform's store. A store has one revision
--- a/coordination/chainrouting/flow.go
+++ b/coordination/chainrouting/flow.go
@@ -61,7 +61,7 @@
 	}
 	remaining := 1 - ramp(fullest, plannedFill, stopFill)
 	stages, requests := s.costStages(parts), plannedFill*room
-	millis := cost.PromptMillis(s.model, stages, s.model.UsualPrompt) + s.model.UsualAnswer*cost.TokenMillis(s.model, stages, requests)
+	millis := cost.PromptMillis(s.model, stages, s.model.MeanPromptTokens) + s.model.MeanAnswerTokens*cost.TokenMillis(s.model, stages, requests)
 	flow := requests * remaining / max(1, millis) * millisPerSecond
 	if limit := parts[0].Upstream.Limit(); limit.Set {
 		flow = min(flow, limit.PerSecond)
--- a/coordination/chainrouting/load_test.go
+++ b/coordination/chainrouting/load_test.go
@@ -18,13 +18,13 @@
 
 // loadModel is a model of 80 layers on fast and slow cards.
 var loadModel = &spanrill.EngineModel{
-	Layers: 80, LayerMB: 1750, Slots: 192, TokenBytes: 492000, ActBytes: 24600,
-	StepMillis: 0.85, PerSequence: 0.0032, ContextPerK: 0.0043, ReadPerMilli: 236, PipeMbps: 5200,
-	UsualPrompt: 770, UsualAnswer: 140,
-	Kinds: map[string]spanrill.KindModel{
-		"large": {Name: "large", MemoryMB: 72000, Pace: 1.4, ReadFactor: 1},
-		"mid":   {Name: "mid", MemoryMB: 36000, Pace: 3.1, ReadFactor: 3.2},
-		"small": {Name: "small", MemoryMB: 21600, Pace: 16, ReadFactor: 8.2},
+	Layers: 80, LayerMB: 1750, Slots: 192, KVTokenBytes: 492000, ActivationBytes: 24600,
+	StepMillis: 0.85, StepMillisPerRequest: 0.0032, StepMillisPerKContext: 0.0043, PrefillTokensPerMilli: 236, ZoneLinkMbps: 5200,
+	MeanPromptTokens: 770, MeanAnswerTokens: 140,
+	Kinds: map[string]spanrill.AcceleratorKind{
+		"large": {Name: "large", MemoryMB: 72000, StepFactor: 1.4, PrefillFactor: 1},
+		"mid":   {Name: "mid", MemoryMB: 36000, StepFactor: 3.1, PrefillFactor: 3.2},
+		"small": {Name: "small", MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2},
 	},
 }
 
@@ -114,7 +114,7 @@
 }
 
 func requestMillis(stages []cost.Stage, n float64) float64 {
-	return cost.PromptMillis(loadModel, stages, loadModel.UsualPrompt) + loadModel.UsualAnswer*cost.TokenMillis(loadModel, stages, n)
+	return cost.PromptMillis(loadModel, stages, loadModel.MeanPromptTokens) + loadModel.MeanAnswerTokens*cost.TokenMillis(loadModel, stages, n)
 }
 
 // newSimulation returns a fleet whose load figures are that many rounds old and that is sent that
@@ -193,8 +193,8 @@
 func (sim *simulation) request(now spanrill.Millis) {
 	sim.result.requested++
 	i := sim.random.IntN(len(sim.daemons))
-	prompt := int(loadModel.UsualPrompt * (0.4 + 1.2*sim.random.Float64()))
-	need := Need{Prompt: prompt, Answer: int(loadModel.UsualAnswer), Zone: fmt.Sprint("z", i%4), Avoid: map[string]bool{}}
+	prompt := int(loadModel.MeanPromptTokens * (0.4 + 1.2*sim.random.Float64()))
+	need := Need{Prompt: prompt, Answer: int(loadModel.MeanAnswerTokens), Zone: fmt.Sprint("z", i%4), Avoid: map[string]bool{}}
 	for range maxSends {
 		path, err := sim.daemons[i].Pick(service, loadModel, need)
 		if err != nil {
--- a/coordination/chainrouting/path.go
+++ b/coordination/chainrouting/path.go
@@ -127,10 +127,10 @@
 }
 
 // Wire returns the path in the form that is sent to engines.
-func (p *Path) Wire() []spanrill.PathPart {
-	wire := make([]spanrill.PathPart, len(p.parts))
+func (p *Path) Wire() []spanrill.PathStage {
+	wire := make([]spanrill.PathStage, len(p.parts))
 	for i, part := range p.parts {
-		wire[i] = spanrill.PathPart{ID: part.Upstream.ID(), Addr: part.Upstream.Addr(), Layers: part.Layers}
+		wire[i] = spanrill.PathStage{ID: part.Upstream.ID(), Addr: part.Upstream.Addr(), Layers: part.Layers}
 	}
 	return wire
 }
--- a/coordination/chainrouting/pipes.go
+++ b/coordination/chainrouting/pipes.go
@@ -21,7 +21,7 @@
 	for i := 1; i < len(parts); i++ {
 		a, b := parts[i-1].Upstream.Zone(), parts[i].Upstream.Zone()
 		if a != b {
-			f(spanrill.PairOf(a, b))
+			f(spanrill.ZonePairOf(a, b))
 		}
 	}
 }
@@ -47,7 +47,7 @@
 // pipesHaveRoom reports whether the pipes of a path can carry one more request that takes that
 // many milliseconds. It assumes that other daemons use them as much as this one.
 func (s *search) pipesHaveRoom(parts []Part, millis float64) bool {
-	perRequest := cost.PipeMillis(s.model, s.model.UsualPrompt+s.model.UsualAnswer)
+	perRequest := cost.PipeMillis(s.model, s.model.MeanPromptTokens+s.model.MeanAnswerTokens)
 	if perRequest <= 0 {
 		return true
 	}
--- a/coordination/chainrouting/router.go
+++ b/coordination/chainrouting/router.go
@@ -142,7 +142,7 @@
 	for _, u := range v.ByService(service) {
 		e := u.Entry()
 		if l := u.Layers(); u.AcceptsRequests() && l.Len() > 0 && l.To <= m.Layers && !slowAndReplaceable(v, u) {
-			holders = append(holders, chain.Holder{ID: u.ID(), Zone: e.Zone, Layers: l, Pace: m.Kinds[e.Kind].Pace})
+			holders = append(holders, chain.Holder{ID: u.ID(), Zone: e.Zone, Layers: l, Pace: m.Kinds[e.Kind].StepFactor})
 		}
 	}
 	next := &serviceChains{version: v.Version(), model: m}
--- a/coordination/chainrouting/router_test.go
+++ b/coordination/chainrouting/router_test.go
@@ -18,9 +18,9 @@
 const service = "advice"
 
 var model = &spanrill.EngineModel{
-	Layers: 12, LayerMB: 100, Slots: 64, TokenBytes: 120000, ActBytes: 1000, StepMillis: 1, PerSequence: 0.01,
-	ReadPerMilli: 100, PipeMbps: 9000, UsualPrompt: 100, UsualAnswer: 100,
-	Kinds: map[string]spanrill.KindModel{"card": {Name: "card", MemoryMB: 1000, Pace: 1, ReadFactor: 1}},
+	Layers: 12, LayerMB: 100, Slots: 64, KVTokenBytes: 120000, ActivationBytes: 1000, StepMillis: 1, StepMillisPerRequest: 0.01,
+	PrefillTokensPerMilli: 100, ZoneLinkMbps: 9000, MeanPromptTokens: 100, MeanAnswerTokens: 100,
+	Kinds: map[string]spanrill.AcceleratorKind{"card": {Name: "card", MemoryMB: 1000, StepFactor: 1, PrefillFactor: 1}},
 }
 
 // testFleet is a router over engines whose entries a test sets.
--- a/coordination/chainrouting/search.go
+++ b/coordination/chainrouting/search.go
@@ -153,7 +153,7 @@
 	return s.random()*(*weight) < free
 }
 
-func (s *search) kind(u *fleet.Upstream) spanrill.KindModel { return s.model.Kinds[u.Entry().Kind] }
+func (s *search) kind(u *fleet.Upstream) spanrill.AcceleratorKind { return s.model.Kinds[u.Entry().Kind] }
 
 // capacityTokens returns for how many tokens an engine has memory beside its layers.
 func (s *search) capacityTokens(u *fleet.Upstream) float64 {
@@ -193,8 +193,8 @@
 	for i, p := range parts {
 		kind := s.kind(p.Upstream)
 		pace := p.Upstream.Pace()
-		kind.Pace *= pace
-		kind.ReadFactor *= pace
+		kind.StepFactor *= pace
+		kind.PrefillFactor *= pace
 		stages[i] = cost.Stage{Kind: kind, Zone: p.Upstream.Zone(), Layers: p.Layers.Len()}
 	}
 	return stages
--- a/coordination/cost/cost.go
+++ b/coordination/cost/cost.go
@@ -26,11 +26,11 @@
 
 // layerTokenMB returns the memory in MB that one token takes in one layer.
 func layerTokenMB(m *spanrill.EngineModel) float64 {
-	return m.TokenBytes / float64(max(1, m.Layers)) / bytesPerMB
+	return m.KVTokenBytes / float64(max(1, m.Layers)) / bytesPerMB
 }
 
 // MaxLayers returns how many layers an engine of a kind has memory for, with no room for tokens.
-func MaxLayers(m *spanrill.EngineModel, k spanrill.KindModel) int {
+func MaxLayers(m *spanrill.EngineModel, k spanrill.AcceleratorKind) int {
 	if m.LayerMB <= 0 {
 		return m.Layers
 	}
@@ -38,7 +38,7 @@
 }
 
 // Capacity returns for how many tokens an engine has memory beside that many layers.
-func Capacity(m *spanrill.EngineModel, k spanrill.KindModel, layers int) float64 {
+func Capacity(m *spanrill.EngineModel, k spanrill.AcceleratorKind, layers int) float64 {
 	if layers <= 0 {
 		return 0
 	}
@@ -47,7 +47,7 @@
 }
 
 // MaxLayersWithTokens returns how many layers an engine has memory for beside that many tokens.
-func MaxLayersWithTokens(m *spanrill.EngineModel, k spanrill.KindModel, tokens float64) int {
+func MaxLayersWithTokens(m *spanrill.EngineModel, k spanrill.AcceleratorKind, tokens float64) int {
 	n := int(k.MemoryMB / (m.LayerMB + tokens*layerTokenMB(m)))
 	return max(0, min(n, MaxLayers(m, k)))
 }
@@ -58,22 +58,22 @@
 }
 
 // StepBaseMillis returns the time of one step over some layers with an empty batch.
-func StepBaseMillis(m *spanrill.EngineModel, k spanrill.KindModel, layers int) float64 {
-	return m.StepMillis * k.Pace * layerShare(m, layers)
+func StepBaseMillis(m *spanrill.EngineModel, k spanrill.AcceleratorKind, layers int) float64 {
+	return m.StepMillis * k.StepFactor * layerShare(m, layers)
 }
 
 // StepMillisPerRequest returns the time that each request with that many tokens of context adds
 // to a step over some layers.
-func StepMillisPerRequest(m *spanrill.EngineModel, k spanrill.KindModel, layers int, context float64) float64 {
-	return (m.PerSequence + m.ContextPerK*context/perK) * k.Pace * layerShare(m, layers)
+func StepMillisPerRequest(m *spanrill.EngineModel, k spanrill.AcceleratorKind, layers int, context float64) float64 {
+	return (m.StepMillisPerRequest + m.StepMillisPerKContext*context/perK) * k.StepFactor * layerShare(m, layers)
 }
 
 // ReadMillis returns the time to read prompt tokens (prefill) through some layers.
-func ReadMillis(m *spanrill.EngineModel, k spanrill.KindModel, layers int, tokens float64) float64 {
-	if m.ReadPerMilli <= 0 {
+func ReadMillis(m *spanrill.EngineModel, k spanrill.AcceleratorKind, layers int, tokens float64) float64 {
+	if m.PrefillTokensPerMilli <= 0 {
 		return 0
 	}
-	return tokens / m.ReadPerMilli * k.ReadFactor * layerShare(m, layers)
+	return tokens / m.PrefillTokensPerMilli * k.PrefillFactor * layerShare(m, layers)
 }
 
 // HopMillis returns the delay between two availability zones, one way.
@@ -81,27 +81,27 @@
 	if from == to {
 		return 0
 	}
-	return m.Delays[spanrill.PairOf(from, to)]
+	return m.ZoneDelayMillis[spanrill.ZonePairOf(from, to)]
 }
 
 // PipeMillis returns how long the activations of some tokens occupy the pipe (the network link)
 // between two availability zones.
 func PipeMillis(m *spanrill.EngineModel, tokens float64) float64 {
-	if m.PipeMbps <= 0 {
+	if m.ZoneLinkMbps <= 0 {
 		return 0
 	}
-	return tokens * m.ActBytes / (m.PipeMbps * bytesPerMilliPerMbps)
+	return tokens * m.ActivationBytes / (m.ZoneLinkMbps * bytesPerMilliPerMbps)
 }
 
 // MeanTokens returns the mean number of tokens that a running request holds: its prompt and half
 // of its answer.
 func MeanTokens(m *spanrill.EngineModel) float64 {
-	return max(1, m.UsualPrompt+m.UsualAnswer/2)
+	return max(1, m.MeanPromptTokens+m.MeanAnswerTokens/2)
 }
 
 // Stage is the part of an engine in a chain, as far as it determines times.
 type Stage struct {
-	Kind   spanrill.KindModel
+	Kind   spanrill.AcceleratorKind
 	Zone   string
 	Layers int
 }
@@ -162,10 +162,10 @@
 	if requests < 1 {
 		return 0
 	}
-	millis := PromptMillis(m, stages, m.UsualPrompt) + m.UsualAnswer*TokenMillis(m, stages, requests)
+	millis := PromptMillis(m, stages, m.MeanPromptTokens) + m.MeanAnswerTokens*TokenMillis(m, stages, requests)
 	rate := requests / millis * perK
 	if crossings := Crossings(stages); crossings > 0 {
-		rate = min(rate, perK/PipeMillis(m, m.UsualPrompt+m.UsualAnswer)*plannedPipeShare) * crossingRateFactor
+		rate = min(rate, perK/PipeMillis(m, m.MeanPromptTokens+m.MeanAnswerTokens)*plannedPipeShare) * crossingRateFactor
 	}
 	return rate
 }
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -209,7 +209,7 @@
 			now, here, there, _ := pair(1)
 			held := spanrill.LayerRange{From: 4, To: 8}
 			list := func(d *daemon, at uint64, born int64, beats uint64) {
-				entry := spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Revision: at, Born: born, Beats: beats}
+				entry := spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Revision: at, StartedAt: born, WriteCount: beats}
 				d.table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{entry}, Revision: at, LastChange: at}, now.Now())
 			}
 			list(there, 9, c.first, 7)
--- a/coordination/exchange/packed_test.go
+++ b/coordination/exchange/packed_test.go
@@ -15,7 +15,7 @@
 	for i := range n {
 		k.Entries = append(k.Entries, spanrill.EngineEntry{
 			ID: fmt.Sprintf("i-%010x", i*7919), Service: "advice", Addr: fmt.Sprintf("10.1.%d.%d:8120", i/250, i%250), Zone: fmt.Sprint("zone-", i%3),
-			Kind: "small", Slots: 192, Layers: spanrill.LayerRange{From: i % 70, To: i%70 + 9}, Revision: uint64(1000 + i), Beats: uint64(i % 60),
+			Kind: "small", Slots: 192, Layers: spanrill.LayerRange{From: i % 70, To: i%70 + 9}, Revision: uint64(1000 + i), WriteCount: uint64(i % 60),
 		})
 	}
 	return k
--- a/coordination/layout/copies.go
+++ b/coordination/layout/copies.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		covered += h.engines
-		slower = slower && e.kind.Pace >= h.pace
+		slower = slower && e.kind.StepFactor >= h.pace
 		score += h.engines * holdingScore(e, h, maxOtherLayers)
 	}
 	return score, covered <= 1 || slower
--- a/coordination/layout/copies_test.go
+++ b/coordination/layout/copies_test.go
@@ -21,8 +21,8 @@
 // spareModel adds a kind as small as the tiny one and faster, and a slow one.
 func spareModel() *spanrill.EngineModel {
 	m := testModel()
-	m.Kinds["quick"] = spanrill.KindModel{Name: "quick", MemoryMB: 14400, Pace: 5, ReadFactor: 8}
-	m.Kinds["slow"] = spanrill.KindModel{Name: "slow", MemoryMB: 21600, Pace: 16, ReadFactor: 8}
+	m.Kinds["quick"] = spanrill.AcceleratorKind{Name: "quick", MemoryMB: 14400, StepFactor: 5, PrefillFactor: 8}
+	m.Kinds["slow"] = spanrill.AcceleratorKind{Name: "slow", MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8}
 	return m
 }
 
@@ -79,7 +79,7 @@
 // into its other holes. Otherwise a spare would move from hole to hole, round after round.
 func TestNoMovesForAChainThatStaysBroken(t *testing.T) {
 	m := testModel()
-	m.Kinds["quarter"] = spanrill.KindModel{Name: "quarter", MemoryMB: 36000, Pace: 5, ReadFactor: 8}
+	m.Kinds["quarter"] = spanrill.AcceleratorKind{Name: "quarter", MemoryMB: 36000, StepFactor: 5, PrefillFactor: 8}
 	part := func(id, zone string, from, to int) Engine {
 		return Engine{ID: id, Zone: zone, Kind: "quarter", Layers: spanrill.LayerRange{From: from, To: to}}
 	}
--- a/coordination/layout/holdings.go
+++ b/coordination/layout/holdings.go
@@ -57,7 +57,7 @@
 	if !slices.Contains(h.tos, layers.To) {
 		h.tos = append(h.tos, layers.To)
 	}
-	key := holdingKey{zone: e.Zone, layers: layers, pace: e.kind.Pace}
+	key := holdingKey{zone: e.Zone, layers: layers, pace: e.kind.StepFactor}
 	g := h.byKey[key]
 	if g == nil {
 		g = &holding{holdingKey: key}
--- a/coordination/layout/layout.go
+++ b/coordination/layout/layout.go
@@ -51,7 +51,7 @@
 // candidate is an engine that can take layers, with the model of its kind.
 type candidate struct {
 	Engine
-	kind spanrill.KindModel
+	kind spanrill.AcceleratorKind
 }
 
 func candidates(m *spanrill.EngineModel, engines []Engine) []candidate {
@@ -114,8 +114,8 @@
 type engineLess func(a, b *candidate) bool
 
 var engineOrders = []engineLess{
-	func(a, b *candidate) bool { return a.kind.Pace < b.kind.Pace },
-	func(a, b *candidate) bool { return a.kind.Pace > b.kind.Pace },
+	func(a, b *candidate) bool { return a.kind.StepFactor < b.kind.StepFactor },
+	func(a, b *candidate) bool { return a.kind.StepFactor > b.kind.StepFactor },
 	func(a, b *candidate) bool { return a.kind.MemoryMB < b.kind.MemoryMB },
 }
 
@@ -359,7 +359,7 @@
 	for i := range indices {
 		indices[i] = i
 	}
-	sort.SliceStable(indices, func(i, k int) bool { return c[indices[i]].kind.Pace > c[indices[k]].kind.Pace })
+	sort.SliceStable(indices, func(i, k int) bool { return c[indices[i]].kind.StepFactor > c[indices[k]].kind.StepFactor })
 	return indices
 }
 
@@ -367,7 +367,7 @@
 func readChains(m *spanrill.EngineModel, all []candidate) ([]*chain.Chain, []chain.Holder) {
 	holders := make([]chain.Holder, 0, len(all))
 	for _, e := range all {
-		holders = append(holders, chain.Holder{ID: e.ID, Zone: e.Zone, Layers: e.Layers, Used: e.Tokens, Pace: e.kind.Pace})
+		holders = append(holders, chain.Holder{ID: e.ID, Zone: e.Zone, Layers: e.Layers, Used: e.Tokens, Pace: e.kind.StepFactor})
 	}
 	return chain.Build(m.Layers, holders)
 }
--- a/coordination/layout/layout_test.go
+++ b/coordination/layout/layout_test.go
@@ -14,21 +14,21 @@
 func testModel() *spanrill.EngineModel {
 	zones := []string{"a", "b", "c"}
 	m := &spanrill.EngineModel{
-		Name: "m", Layers: 80, LayerMB: 1750, Slots: 192, TokenBytes: 590000, ActBytes: 29500,
-		StepMillis: 0.85, PerSequence: 0.00382, ContextPerK: 0.00512, ReadPerMilli: 196,
-		PipeMbps: 9000, LoadSeconds: 14, LoadsAtOnce: 6, UsualPrompt: 772, UsualAnswer: 172,
-		Kinds: map[string]spanrill.KindModel{
-			"large":  {Name: "large", MemoryMB: 72000, Pace: 1.4, ReadFactor: 1},
-			"middle": {Name: "middle", MemoryMB: 36000, Pace: 3.1, ReadFactor: 3.2},
-			"small":  {Name: "small", MemoryMB: 21600, Pace: 16, ReadFactor: 8.2},
-			"tiny":   {Name: "tiny", MemoryMB: 14400, Pace: 15, ReadFactor: 15},
+		Name: "m", Layers: 80, LayerMB: 1750, Slots: 192, KVTokenBytes: 590000, ActivationBytes: 29500,
+		StepMillis: 0.85, StepMillisPerRequest: 0.00382, StepMillisPerKContext: 0.00512, PrefillTokensPerMilli: 196,
+		ZoneLinkMbps: 9000, LoadSeconds: 14, ConcurrentLoads: 6, MeanPromptTokens: 772, MeanAnswerTokens: 172,
+		Kinds: map[string]spanrill.AcceleratorKind{
+			"large":  {Name: "large", MemoryMB: 72000, StepFactor: 1.4, PrefillFactor: 1},
+			"middle": {Name: "middle", MemoryMB: 36000, StepFactor: 3.1, PrefillFactor: 3.2},
+			"small":  {Name: "small", MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2},
+			"tiny":   {Name: "tiny", MemoryMB: 14400, StepFactor: 15, PrefillFactor: 15},
 		},
-		Delays: map[spanrill.ZonePair]float64{},
+		ZoneDelayMillis: map[spanrill.ZonePair]float64{},
 	}
 	for _, a := range zones {
 		for _, b := range zones {
 			if a < b {
-				m.Delays[spanrill.PairOf(a, b)] = 0.42
+				m.ZoneDelayMillis[spanrill.ZonePairOf(a, b)] = 0.42
 			}
 		}
 	}
@@ -273,7 +273,7 @@
 // into one zone, and then the layout is stable.
 func TestChainsMoveBackIntoOneZone(t *testing.T) {
 	m := testModel()
-	m.Kinds["huge"] = spanrill.KindModel{Name: "huge", MemoryMB: 200000, Pace: 1, ReadFactor: 1}
+	m.Kinds["huge"] = spanrill.AcceleratorKind{Name: "huge", MemoryMB: 200000, StepFactor: 1, PrefillFactor: 1}
 	half := func(id, zone string, from int) Engine {
 		return Engine{ID: id, Zone: zone, Kind: "huge", Layers: spanrill.LayerRange{From: from, To: from + 40}}
 	}
--- a/coordination/layout/many_test.go
+++ b/coordination/layout/many_test.go
@@ -10,14 +10,14 @@
 // manyEngines returns engines of four kinds, most of them small, in five availability zones.
 func manyEngines(n int) (*spanrill.EngineModel, []Engine) {
 	m := &spanrill.EngineModel{
-		Layers: 80, LayerMB: 1750, Slots: 192, TokenBytes: 492000, ActBytes: 24600, StepMillis: 0.85,
-		PerSequence: 0.003, ContextPerK: 0.004, ReadPerMilli: 236, PipeMbps: 5200, LoadSeconds: 14,
-		UsualPrompt: 740, UsualAnswer: 140, EventTokens: 3,
-		Kinds: map[string]spanrill.KindModel{
-			"huge":  {Name: "huge", MemoryMB: 72000, Pace: 1.4, ReadFactor: 1},
-			"large": {Name: "large", MemoryMB: 36000, Pace: 3.1, ReadFactor: 3.2},
-			"small": {Name: "small", MemoryMB: 21600, Pace: 16, ReadFactor: 8.2},
-			"least": {Name: "least", MemoryMB: 14400, Pace: 15, ReadFactor: 15},
+		Layers: 80, LayerMB: 1750, Slots: 192, KVTokenBytes: 492000, ActivationBytes: 24600, StepMillis: 0.85,
+		StepMillisPerRequest: 0.003, StepMillisPerKContext: 0.004, PrefillTokensPerMilli: 236, ZoneLinkMbps: 5200, LoadSeconds: 14,
+		MeanPromptTokens: 740, MeanAnswerTokens: 140, TokensPerEvent: 3,
+		Kinds: map[string]spanrill.AcceleratorKind{
+			"huge":  {Name: "huge", MemoryMB: 72000, StepFactor: 1.4, PrefillFactor: 1},
+			"large": {Name: "large", MemoryMB: 36000, StepFactor: 3.1, PrefillFactor: 3.2},
+			"small": {Name: "small", MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2},
+			"least": {Name: "least", MemoryMB: 14400, StepFactor: 15, PrefillFactor: 15},
 		},
 	}
 	kinds := []string{"huge", "large", "large", "large", "small", "small", "small", "small", "small", "small", "small", "small", "least", "least", "least", "least", "least", "least", "least", "least"}
--- a/coordination/layout/spare_test.go
+++ b/coordination/layout/spare_test.go
@@ -15,7 +15,7 @@
 
 func hugeModel() *spanrill.EngineModel {
 	m := testModel()
-	m.Kinds["huge"] = spanrill.KindModel{Name: "huge", MemoryMB: 200000, Pace: 1, ReadFactor: 1}
+	m.Kinds["huge"] = spanrill.AcceleratorKind{Name: "huge", MemoryMB: 200000, StepFactor: 1, PrefillFactor: 1}
 	return m
 }
 
--- a/coordination/layoutrun/executor.go
+++ b/coordination/layoutrun/executor.go
@@ -59,7 +59,7 @@
 	for ctx.Err() == nil && x.placer.clock.Now() < limit && x.upstream.AcceptsRequests() {
 		report, err := x.report(ctx)
 		if err != nil {
-			if ctx.Err() == nil && !spanrill.OwnLack(err) {
+			if ctx.Err() == nil && !spanrill.IsLocalResourceError(err) {
 				x.upstream.SetDead(true) // the upkeep checks dead upstreams and detects its return
 			}
 			x.log(events.OrderFailed, logrus.Fields{"error": err, "asked": "report"})
@@ -161,7 +161,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
-	order := spanrill.PlaceOrder{Layers: x.order.move.Layers, Term: term, Sequence: report.Sequence, Cut: x.order.move.Cut}
+	order := spanrill.PlacementOrder{Layers: x.order.move.Layers, Term: term, Sequence: report.Sequence, CancelRunning: x.order.move.Cut}
 	state, err = x.placer.engines.Place(ctx, x.upstream.Addr(), x.upstream.Name(), order)
 	return term, state, err
 }
--- a/coordination/layoutrun/many_test.go
+++ b/coordination/layoutrun/many_test.go
@@ -51,7 +51,7 @@
 	return c.fakeEngines.Report(ctx, addr)
 }
 
-func (c *blockingEngines) Place(ctx context.Context, addr, id string, o spanrill.PlaceOrder) (spanrill.OrderState, error) {
+func (c *blockingEngines) Place(ctx context.Context, addr, id string, o spanrill.PlacementOrder) (spanrill.OrderState, error) {
 	defer c.enter()()
 	return c.fakeEngines.Place(ctx, addr, id, o)
 }
--- a/coordination/layoutrun/placer_test.go
+++ b/coordination/layoutrun/placer_test.go
@@ -17,9 +17,9 @@
 )
 
 var model = &spanrill.EngineModel{
-	Layers: 12, LayerMB: 100, Slots: 64, TokenBytes: 120000, StepMillis: 1, ReadPerMilli: 100, LoadSeconds: 0.01,
-	UsualPrompt: 100, UsualAnswer: 100,
-	Kinds: map[string]spanrill.KindModel{"card": {Name: "card", MemoryMB: 600, Pace: 1, ReadFactor: 1}},
+	Layers: 12, LayerMB: 100, Slots: 64, KVTokenBytes: 120000, StepMillis: 1, PrefillTokensPerMilli: 100, LoadSeconds: 0.01,
+	MeanPromptTokens: 100, MeanAnswerTokens: 100,
+	Kinds: map[string]spanrill.AcceleratorKind{"card": {Name: "card", MemoryMB: 600, StepFactor: 1, PrefillFactor: 1}},
 }
 
 // fakeEngines are engines that apply orders, with injected faults.
@@ -44,7 +44,7 @@
 	return spanrill.EngineReport{Layers: c.held[addr], Sequence: c.sequence[addr], Pace: 1}, nil
 }
 
-func (c *fakeEngines) Place(_ context.Context, addr, _ string, o spanrill.PlaceOrder) (spanrill.OrderState, error) {
+func (c *fakeEngines) Place(_ context.Context, addr, _ string, o spanrill.PlacementOrder) (spanrill.OrderState, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.orders[addr]++
@@ -64,7 +64,7 @@
 	return spanrill.OrderBegun, nil
 }
 
-func (c *fakeEngines) Repath(context.Context, string, string, []spanrill.PathPart) error { return nil }
+func (c *fakeEngines) Reroute(context.Context, string, string, []spanrill.PathStage) error { return nil }
 
 // newStablePlacer returns a placer over n empty engines that have been there for long enough
 // for a first layout, and its table.
--- a/coordination/layoutrun/verify.go
+++ b/coordination/layoutrun/verify.go
@@ -69,7 +69,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v.querying = false
-	if spanrill.OwnLack(err) {
+	if spanrill.IsLocalResourceError(err) {
 		return err // the daemon lacks resources; says nothing about the engine
 	}
 	lost := err != nil
--- a/coordination/layoutrun/verify_test.go
+++ b/coordination/layoutrun/verify_test.go
@@ -103,7 +103,7 @@
 				return spanrill.EngineEntry{ID: item.Name, Service: "s", Addr: item.Name, Layers: spanrill.LayerRange{From: 0, To: 4}}, nil
 			}, fleet.WithLogger(log))
 			table.Listed([]spanrill.Item{{Name: "stays"}, {Name: "goes"}}, 1, manual.Now())
-			table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: "goes"}, Gone: true}}, 2, manual.Now())
+			table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: "goes"}, Deleted: true}}, 2, manual.Now())
 			p := New(mayAlwaysAct, &reportingEngine{silent: c.silent}, table, nil, manual, log)
 			var leaving int
 			for range 2 { // the second call sees the result of the first
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -169,7 +169,7 @@
 		engines := engineapi.New(httpcall.New())
 		order := func(term uint64, to int) error {
 			return engines.Order(context.Background(), addr, spanrill.Order{
-				Kind: spanrill.OrderLoad, Duty: "placement/quebec", Term: term,
+				Kind: spanrill.OrderLoad, LeaseName: "placement/quebec", Term: term,
 				Model: "advice", Version: "1", Layers: spanrill.LayerRange{To: to}, LayerNum: 24,
 			})
 		}
--- a/coordination/pipeline/failure.go
+++ b/coordination/pipeline/failure.go
@@ -156,7 +156,7 @@
 
 // mismatchedStage returns the first stage whose reported engine or layers differ from the chain,
 // or the first stage of the chain if none does.
-func mismatchedStage(ran []spanrill.RanRange, chain []*load.Upstream) *load.Upstream {
+func mismatchedStage(ran []spanrill.StageRun, chain []*load.Upstream) *load.Upstream {
 	for i, r := range ran {
 		if i < len(chain) && (r.Engine != chain[i].Name() || r.Layers != chain[i].Layers()) {
 			return chain[i]
--- a/coordination/pipeline/generation.go
+++ b/coordination/pipeline/generation.go
@@ -154,7 +154,7 @@
 		deliver, err := v.check(&ev)
 		if err != nil {
 			events.TokenRejected.Log(g.runner.log, logrus.Fields{"request": g.req.ID, "error": err})
-			return &failure{cause: err, reason: meter.RetryBadToken, stage: mismatchedStage(ev.Ran, chain)}
+			return &failure{cause: err, reason: meter.RetryBadToken, stage: mismatchedStage(ev.StageRuns, chain)}
 		}
 		if !deliver {
 			continue
@@ -195,7 +195,7 @@
 	}
 	*lastToken = now
 	g.result.promptTokens = ev.PromptTokens
-	g.observe(ev.Ran, chain, now)
+	g.observe(ev.StageRuns, chain, now)
 	g.generated = append(g.generated, ev.Token)
 	g.runner.meters.Tokens.Inc()
 	return g.sink.Token(ev)
@@ -203,12 +203,12 @@
 
 // observe records the times of the stages. The first token's time includes the prompt, so it is
 // not the time of a step.
-func (g *generation) observe(ran []spanrill.RanRange, chain []*load.Upstream, now spanrill.Millis) {
+func (g *generation) observe(ran []spanrill.StageRun, chain []*load.Upstream, now spanrill.Millis) {
 	if len(g.generated) == 0 {
 		return
 	}
 	for i, r := range ran {
 		chain[i].RecordStep(now, r.Micros)
-		chain[i].RecordLink(r.Link)
+		chain[i].RecordLink(r.LinkMicros)
 	}
 }
--- a/coordination/pipeline/verify.go
+++ b/coordination/pipeline/verify.go
@@ -30,7 +30,7 @@
 	if ev.Index > v.next {
 		return false, errors.Wrapf(ErrGap, "expected index %d, got %d", v.next, ev.Index)
 	}
-	if err := v.checkLayers(ev.Ran); err != nil {
+	if err := v.checkLayers(ev.StageRuns); err != nil {
 		return false, err
 	}
 	v.next++
@@ -38,7 +38,7 @@
 }
 
 // checkLayers checks that the stages of the chain ran all layers in order.
-func (v *verifier) checkLayers(ran []spanrill.RanRange) error {
+func (v *verifier) checkLayers(ran []spanrill.StageRun) error {
 	if len(ran) != len(v.chain) {
 		return errors.Wrapf(ErrLayers, "%d stages ran, the chain has %d", len(ran), len(v.chain))
 	}
--- a/coordination/placement/placer.go
+++ b/coordination/placement/placer.go
@@ -117,7 +117,7 @@
 		h := p.recordState(u.Name(), r, now)
 		engines = append(engines, Engine{
 			Name: u.Name(), Model: r.Model, Version: r.Version, Layers: r.Layers, Slots: r.Slots,
-			StepMicros: float64(r.StepMicros), TokenMicros: float64(r.TokenNanos) / nanosPerMicro, MaxLayers: r.MemLayers,
+			StepMicros: float64(r.StepMicros), TokenMicros: float64(r.TokenNanos) / nanosPerMicro, MaxLayers: r.MaxLayers,
 			HeldFor: now - h.since, Busy: r.Loading || h.orderedAt > 0 && now-h.orderedAt < orderVisibleTime,
 		})
 	}
@@ -153,7 +153,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
 	err := p.engines.Order(ctx, u.Addr(), spanrill.Order{
-		Kind: spanrill.OrderLoad, Duty: p.lease.Duty(), Term: term,
+		Kind: spanrill.OrderLoad, LeaseName: p.lease.Duty(), Term: term,
 		Model: m.Model.Name, Version: m.Model.Version, Layers: m.Layers, LayerNum: m.Model.Layers,
 	})
 	p.recordResult(m, fields, err)
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -114,7 +114,7 @@
 	switch {
 	case err == nil:
 		u.RecordListening(p.clock.Now())
-	case spanrill.NothingListens(err):
+	case spanrill.IsConnectionRefused(err):
 		u.RecordNotListening()
 	}
 }
@@ -255,17 +255,17 @@
 // connectionRefused reports whether the connection was refused by the other end.
 func connectionRefused(err error) bool {
 	var call *spanrill.CallError
-	return errors.As(err, &call) && call.Phase == spanrill.PhaseDial && !errors.Is(err, context.DeadlineExceeded) && !spanrill.OwnLack(err)
+	return errors.As(err, &call) && call.Phase == spanrill.PhaseDial && !errors.Is(err, context.DeadlineExceeded) && !spanrill.IsLocalResourceError(err)
 }
 
 // recordResult sets the state of an engine from the result of a query and logs changes.
 func (p *Prober) recordResult(u *fleet.Upstream, q *query) {
-	if spanrill.OwnLack(q.err) {
+	if spanrill.IsLocalResourceError(q.err) {
 		events.ConnectionsLacking.Log(p.log, logrus.Fields{"upstream": u.ID(), "addr": u.Addr(), "error": q.err})
 		return // without descriptors, this daemon would take all engines for dead
 	}
 	dead := q.err != nil
-	if spanrill.NothingListens(q.err) {
+	if spanrill.IsConnectionRefused(q.err) {
 		u.RecordNotListening()
 	}
 	if !dead {
--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -43,9 +43,9 @@
 
 // newRefusalError returns the sendError for an engine's answer that it did not run the request. The
 // engine at fault may be a later one of the path.
-func (g *generation) newRefusalError(first *fleet.Upstream, head spanrill.UpstreamHead, status int) *sendError {
+func (g *generation) newRefusalError(first *fleet.Upstream, head spanrill.UpstreamResponse, status int) *sendError {
 	atFault := first
-	if u := g.relay.Fleet.View().ByAddr(head.AtFault); u != nil && head.AtFault != "" {
+	if u := g.relay.Fleet.View().ByAddr(head.FailedAddr); u != nil && head.FailedAddr != "" {
 		atFault = u
 	}
 	return &sendError{
@@ -80,7 +80,7 @@
 	if failure.retry == meter.RetryDial || failure.retry == meter.RetryWithheld {
 		g.uncountSend(first)
 	}
-	if spanrill.NothingListens(failure) {
+	if spanrill.IsConnectionRefused(failure) {
 		first.RecordNotListening()
 	}
 }
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -169,14 +169,14 @@
 	}
 	reason := spanrill.ReasonSuspected
 	if v.Proved() {
-		reason = spanrill.ReasonEndsUpstreams
+		reason = spanrill.ReasonCrashesUpstreams
 	}
 	return spanrill.NewRefusal(reason, "%d upstreams have terminated while running this request", v.Losses()).WithRetryAfter(v.RetryAfter())
 }
 
 // isSuspectRefusal reports whether a refusal was made by checkSuspect.
 func isSuspectRefusal(refusal *spanrill.Refusal) bool {
-	return refusal.Reason() == spanrill.ReasonSuspected || refusal.Reason() == spanrill.ReasonEndsUpstreams
+	return refusal.Reason() == spanrill.ReasonSuspected || refusal.Reason() == spanrill.ReasonCrashesUpstreams
 }
 
 // recordServed records that an upstream has answered the request completely.
--- a/coordination/relay/chained.go
+++ b/coordination/relay/chained.go
@@ -49,7 +49,7 @@
 
 // serveChained finds a path and sends the request. The body of the answer reads the events.
 func (q *request) serveChained() {
-	g := &generation{request: q, avoid: map[string]bool{}, sentTo: map[string]*fleet.Upstream{}, ranOn: map[string]bool{}, lastEvent: q.head.LastEvent, lastEventAt: q.start}
+	g := &generation{request: q, avoid: map[string]bool{}, sentTo: map[string]*fleet.Upstream{}, ranOn: map[string]bool{}, lastEvent: q.head.LastEventID, lastEventAt: q.start}
 	unregister := q.relay.generations.add(g)
 	finishRequest := q.finish
 	q.finish = func() {
@@ -64,7 +64,7 @@
 		return
 	}
 	resp := &q.http.Response
-	q.relay.Codec.CopyHead(&resp.Header, g.answer.Header())
+	q.relay.Codec.CopyResponse(&resp.Header, g.answer.Header())
 	if q.relay.closing.Load() {
 		q.http.SetConnectionClose()
 	}
@@ -110,9 +110,9 @@
 
 // pathNeed returns what the request needs of a path.
 func (g *generation) pathNeed(urgent bool) chainrouting.Need {
-	answerTokens := g.head.GuessTokens
+	answerTokens := g.head.ExpectedTokens
 	if answerTokens == 0 {
-		answerTokens = int(g.service.Model.UsualAnswer)
+		answerTokens = int(g.service.Model.MeanAnswerTokens)
 	}
 	if g.head.MaxTokens > 0 {
 		answerTokens = min(answerTokens, g.head.MaxTokens)
@@ -220,7 +220,7 @@
 	}
 	if errors.Is(err, chainrouting.ErrNoRoom) {
 		wait, gap := g.relay.roomRetries.take(g.relay.Clock.Now())
-		return spanrill.NewRefusal(spanrill.ReasonNoRoom, "%v, requests end every %d ms", err, gap).WithRetryAfter(wait)
+		return spanrill.NewRefusal(spanrill.ReasonChainsFull, "%v, requests end every %d ms", err, gap).WithRetryAfter(wait)
 	}
 	return spanrill.NewRefusal(spanrill.ReasonNoChain, "%v", err).WithRetryAfter(missingLayersRetryAfter)
 }
@@ -253,7 +253,7 @@
 
 // requestFor builds the request for an attempt on a path.
 func (g *generation) requestFor(path *chainrouting.Path) *fasthttp.Request {
-	return g.upstreamRequest(spanrill.UpstreamSend{EngineID: path.First().Name(), Path: path.Wire(), LastEvent: g.lastEvent, Priority: g.enginePriority()})
+	return g.upstreamRequest(spanrill.UpstreamRequest{EngineID: path.First().Name(), Path: path.Wire(), LastEventID: g.lastEvent, Priority: g.enginePriority()})
 }
 
 // silenceHandler is called while no bytes of an answer arrive; see httpcall.DoWatched.
@@ -271,7 +271,7 @@
 	if err != nil {
 		return nil, newCallFailure(err)
 	}
-	head := r.Codec.ReadHead(answer.Header())
+	head := r.Codec.ReadResponse(answer.Header())
 	if err := g.verifyAnswer(head, answer.Header()); err != nil {
 		answer.Close()
 		return nil, &sendError{outcome: spanrill.OutcomeUnknown, retry: meter.RetryBadToken, cause: err}
--- a/coordination/relay/eventsize.go
+++ b/coordination/relay/eventsize.go
@@ -37,15 +37,15 @@
 
 // tokensPerEvent returns how many tokens an event of a service holds.
 func (s *eventTokenEstimator) tokensPerEvent(service *spanrill.ServiceInfo) int {
-	if configured := service.Model.EventTokens; configured > 0 {
+	if configured := service.Model.TokensPerEvent; configured > 0 {
 		return configured
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.samples[service.Name] < minAnswerSamples || service.Model.UsualAnswer <= 0 {
+	if s.samples[service.Name] < minAnswerSamples || service.Model.MeanAnswerTokens <= 0 {
 		return defaultEventTokens
 	}
-	mean := service.Model.UsualAnswer / s.meanEvents[service.Name]
+	mean := service.Model.MeanAnswerTokens / s.meanEvents[service.Name]
 	return int(min(maxEventTokens, max(1, math.Round(mean))))
 }
 
--- a/coordination/relay/eventsize_test.go
+++ b/coordination/relay/eventsize_test.go
@@ -31,7 +31,7 @@
 			for _, events := range c.answers {
 				s.recordAnswer("s", events)
 			}
-			service := &spanrill.ServiceInfo{Name: "s", Model: &spanrill.EngineModel{EventTokens: c.configured, UsualAnswer: c.usual}}
+			service := &spanrill.ServiceInfo{Name: "s", Model: &spanrill.EngineModel{TokensPerEvent: c.configured, MeanAnswerTokens: c.usual}}
 			if got := s.tokensPerEvent(service); got != c.want {
 				t.Fatalf("%d tokens per event, want %d", got, c.want)
 			}
--- a/coordination/relay/log.go
+++ b/coordination/relay/log.go
@@ -21,7 +21,7 @@
 	}
 	if q.route != nil {
 		f["route"], f["repeat"] = q.route.Name, q.route.Repeat.String()
-		f["target_ms"], f["pause_target_ms"] = q.route.Target, q.route.PauseTarget
+		f["target_ms"], f["pause_target_ms"] = q.route.LatencyTarget, q.route.PauseTarget
 	}
 	if q.service != nil {
 		f["service"] = q.service.Name
--- a/coordination/relay/maysend.go
+++ b/coordination/relay/maysend.go
@@ -47,7 +47,7 @@
 		return q.configStale()
 	}
 	if newest := q.relay.Config.Table(); newest != q.table {
-		if _, ok := newest.Account(q.head.Key); !ok {
+		if _, ok := newest.Account(q.head.APIKey); !ok {
 			return spanrill.NewRefusal(spanrill.ReasonBadKey, "the key was withdrawn")
 		}
 	}
--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -147,7 +147,7 @@
 func (q *request) passOnAnswer(a *attempt) {
 	r := q.relay
 	resp := &q.http.Response
-	r.Codec.CopyHead(&resp.Header, &a.resp.Header)
+	r.Codec.CopyResponse(&resp.Header, &a.resp.Header)
 	resp.SetBodyRaw(a.resp.Body())
 	if r.closing.Load() || q.callerLeft() {
 		q.http.SetConnectionClose()
@@ -193,7 +193,7 @@
 	defer u.End()
 	ctx, cancel := q.attemptContext(previous.sends)
 	defer cancel()
-	req := q.upstreamRequest(spanrill.UpstreamSend{EngineID: u.Name(), Priority: q.priority()})
+	req := q.upstreamRequest(spanrill.UpstreamRequest{EngineID: u.Name(), Priority: q.priority()})
 	defer fasthttp.ReleaseRequest(req)
 	q.recordSend()
 	q.logSent(u, nil, "")
@@ -221,10 +221,10 @@
 // attemptContext limits the time of an attempt after which another one is possible, so that the
 // second can still meet the target.
 func (q *request) attemptContext(sends int) (context.Context, context.CancelFunc) {
-	if q.route.Repeat != spanrill.RepeatSafe || sends+1 >= q.route.MaxAttempts || q.route.Target <= 0 {
+	if q.route.Repeat != spanrill.RepeatSafe || sends+1 >= q.route.MaxAttempts || q.route.LatencyTarget <= 0 {
 		return context.WithCancel(q.ctx)
 	}
-	return context.WithTimeout(q.ctx, (q.route.Target * firstAttemptPercent / percent).Duration())
+	return context.WithTimeout(q.ctx, (q.route.LatencyTarget * firstAttemptPercent / percent).Duration())
 }
 
 const (
@@ -259,7 +259,7 @@
 	}
 	a.upstream.RecordFailure(now)
 	a.upstream.Avoid(now + failedAvoidTime)
-	if spanrill.NothingListens(err) {
+	if spanrill.IsConnectionRefused(err) {
 		a.upstream.RecordNotListening()
 	}
 }
@@ -285,7 +285,7 @@
 		q.recordBrokenAttempt(a.upstream, 0)
 		return
 	}
-	head := r.Codec.ReadHead(answer.Header())
+	head := r.Codec.ReadResponse(answer.Header())
 	if err := q.verifyAnswer(head, answer.Header()); err != nil {
 		a.sends--
 		a.recordFailure(now, &spanrill.CallError{Phase: spanrill.PhaseAnswer, Written: 1, Cause: err})
@@ -303,7 +303,7 @@
 
 // classifyAnswer sets the attempt's outcome from a complete answer, and records the result for the
 // upstream.
-func (a *attempt) classifyAnswer(now spanrill.Millis, head spanrill.UpstreamHead) {
+func (a *attempt) classifyAnswer(now spanrill.Millis, head spanrill.UpstreamResponse) {
 	a.outcome = spanrill.OutcomeRan
 	a.upstream.RecordListening(now)
 	switch {
@@ -323,7 +323,7 @@
 
 // verifyAnswer checks that an answer belongs to this request and was made by the upstream. It also
 // records whether the request has run.
-func (q *request) verifyAnswer(head spanrill.UpstreamHead, h *fasthttp.ResponseHeader) error {
+func (q *request) verifyAnswer(head spanrill.UpstreamResponse, h *fasthttp.ResponseHeader) error {
 	if head.RequestID != "" && head.RequestID != q.head.ID {
 		return errWrongRequestID
 	}
--- a/coordination/relay/refuse_test.go
+++ b/coordination/relay/refuse_test.go
@@ -44,7 +44,7 @@
 			q.relay.Codec = noHeadersCodec{}
 			q.http = &fasthttp.RequestCtx{}
 			q.hasRun.Store(c.ran)
-			q.refuse(spanrill.NewRefusal(spanrill.ReasonNoRoom, "x").WithOutcome(c.outcome))
+			q.refuse(spanrill.NewRefusal(spanrill.ReasonChainsFull, "x").WithOutcome(c.outcome))
 			if got := q.relay.Meters.RefusedAfterRun.Get(); got != c.want {
 				t.Fatalf("counted %d, want %d", got, c.want)
 			}
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -233,13 +233,13 @@
 		return q.unknownOrStale(spanrill.ReasonUnknownRoute, "no such route")
 	}
 	q.route = route
-	if route.Open || !q.table.HasAccounts() {
+	if route.AuthExempt || !q.table.HasAccounts() {
 		return nil
 	}
 	if !q.configFresh() {
 		return q.configStale()
 	}
-	if q.account, ok = q.table.Account(q.head.Key); !ok {
+	if q.account, ok = q.table.Account(q.head.APIKey); !ok {
 		return spanrill.NewRefusal(spanrill.ReasonBadKey, "missing or unknown key")
 	}
 	return nil
@@ -305,14 +305,14 @@
 }
 
 // upstreamRequest builds the request for one attempt. The caller releases it.
-func (q *request) upstreamRequest(send spanrill.UpstreamSend) *fasthttp.Request {
+func (q *request) upstreamRequest(send spanrill.UpstreamRequest) *fasthttp.Request {
 	if q.account != nil {
 		send.Account = q.account.Name
 	}
 	send.Remaining = q.remaining()
 	req := fasthttp.AcquireRequest()
 	q.http.Request.Header.CopyTo(&req.Header)
-	q.relay.Codec.WriteSend(&req.Header, send)
+	q.relay.Codec.WriteRequest(&req.Header, send)
 	req.SetBodyRaw(q.body)
 	return req
 }
--- a/coordination/relay/stream.go
+++ b/coordination/relay/stream.go
@@ -35,7 +35,7 @@
 const readSize = 4096
 
 func newEventBody(g *generation) *eventBody {
-	return &eventBody{g: g, framer: newFramer(g.head.LastEvent), readBuf: make([]byte, readSize), lastEventAt: g.relay.Clock.Now()}
+	return &eventBody{g: g, framer: newFramer(g.head.LastEventID), readBuf: make([]byte, readSize), lastEventAt: g.relay.Clock.Now()}
 }
 
 // Read returns events as they arrive.
@@ -197,7 +197,7 @@
 	if whole {
 		g.recordServed()
 		g.firstEngine.RecordSuccess(g.relay.Clock.Now())
-		if g.head.LastEvent == "" {
+		if g.head.LastEventID == "" {
 			g.relay.eventTokens.recordAnswer(g.service.Name, b.events)
 		}
 		g.relay.Meters.Ended(spanrill.OutcomeRan)
--- a/coordination/relay/watch.go
+++ b/coordination/relay/watch.go
@@ -122,7 +122,7 @@
 	if !ok || report.Waiting > 0 {
 		return false
 	}
-	return !slices.ContainsFunc(report.Stalled, func(s spanrill.Stalled) bool { return s.RequestID == g.head.ID })
+	return !slices.ContainsFunc(report.StalledRequests, func(s spanrill.StalledRequest) bool { return s.RequestID == g.head.ID })
 }
 
 // probeWhenSilent probes the engines of the path if the silence is long enough, and reports whether
@@ -187,7 +187,7 @@
 // expectedFirstEvent returns the expected time to the first event in milliseconds: the prompt is
 // read and one token passes through the path.
 func (g *generation) expectedFirstEvent() float64 {
-	return max(minExpectedFirstEvent, float64(g.route.Target)/firstEventTargetDivisor)
+	return max(minExpectedFirstEvent, float64(g.route.LatencyTarget)/firstEventTargetDivisor)
 }
 
 const (
@@ -238,7 +238,7 @@
 		f := g.logFields()
 		f["silent_ms"], f["begun"], f["path"], f["tokens"] = silent, g.begun, g.path.String(), g.firstEngine.Tokens()
 		for id, r := range reports {
-			f["report_"+id] = fmt.Sprintf("running %d waiting %d kv %.0f of %.0f pace %.1f stalled %d", r.Running, r.Waiting, r.KVUsed, r.KVTotal, r.Pace, len(r.Stalled))
+			f["report_"+id] = fmt.Sprintf("running %d waiting %d kv %.0f of %.0f pace %.1f stalled %d", r.Running, r.Waiting, r.KVUsed, r.KVTotal, r.Pace, len(r.StalledRequests))
 		}
 		return f
 	})
@@ -247,7 +247,7 @@
 // markStalledEngine marks the engine as dead on which, as the first engine reports, the request has
 // stalled, although that engine answers probes.
 func (g *generation) markStalledEngine(report spanrill.EngineReport) {
-	for _, s := range report.Stalled {
+	for _, s := range report.StalledRequests {
 		if s.RequestID != g.head.ID {
 			continue
 		}
@@ -283,7 +283,7 @@
 	g.moves++
 	ctx, cancel := context.WithTimeout(g.ctx, moveTimeout.Duration())
 	defer cancel()
-	if err := r.Engines.Repath(ctx, g.firstEngine.Addr(), g.head.ID, next.Wire()); err != nil {
+	if err := r.Engines.Reroute(ctx, g.firstEngine.Addr(), g.head.ID, next.Wire()); err != nil {
 		g.failedMoves++
 		g.logMove(events.MoveFailed, next, err)
 		next.Release()
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -19,12 +19,12 @@
 	Name      string           `json:"name"`
 	Zone      string           `json:"availability_zone"`
 	Ready     bool             `json:"ready"`
-	Why       string           `json:"why,omitempty"` // why it is not ready
+	NotReadyReason       string           `json:"why,omitempty"` // why it is not ready
 	Revision  uint64           `json:"revision"`
 	EditID    string           `json:"edit_id"`
 	InFlight  int64            `json:"in_flight"`
-	Policy    string           `json:"routing_policy"`
-	Placement uint64           `json:"placement_term,omitempty"` // term of the placement lease, if held
+	RoutingPolicy    string           `json:"routing_policy"`
+	PlacementTerm uint64           `json:"placement_term,omitempty"` // term of the placement lease, if held
 	Running   int              `json:"running"`
 	Waiting   int              `json:"waiting"`
 	Peers     []string         `json:"peers"` // live daemons, including this one
@@ -41,7 +41,7 @@
 	Layers   spanrill.LayerRange `json:"layers"`
 	InFlight int64               `json:"in_flight"`
 	Load     float64             `json:"load"`
-	Slow     float64             `json:"slow"`
+	Slowdown     float64             `json:"slow"`
 	Leaving  bool                `json:"leaving"`
 	Ejected  bool                `json:"ejected"`
 }
@@ -149,17 +149,17 @@
 func (d *Daemon) Status() Status {
 	s := Status{
 		Name: d.settings.Name, Zone: d.settings.Zone, Revision: d.follower.Revision(),
-		InFlight: d.api.InFlight(), Policy: d.router.Policy().Name(),
+		InFlight: d.api.InFlight(), RoutingPolicy: d.router.Policy().Name(),
 	}
 	if head := d.follower.Head(); head != nil {
 		s.EditID = head.EditID
 	}
 	if err := d.readyError(); err != nil {
-		s.Why = err.Error()
+		s.NotReadyReason = err.Error()
 	}
-	s.Ready = s.Why == ""
+	s.Ready = s.NotReadyReason == ""
 	if l := d.lease.Load(); l != nil {
-		s.Placement, _ = l.Held()
+		s.PlacementTerm, _ = l.Held()
 	}
 	s.Running, s.Waiting = d.gate.Depth()
 	for _, m := range d.peers.list.Live() {
@@ -169,7 +169,7 @@
 	for _, u := range d.table.Upstreams() {
 		us := UpstreamStatus{
 			Name: u.Name(), Addr: u.Addr(), Zone: u.Zone(), Service: u.Service(),
-			InFlight: u.InFlight(), Load: u.Load(now), Slow: u.Slowdown(now),
+			InFlight: u.InFlight(), Load: u.Load(now), Slowdown: u.Slowdown(now),
 			Leaving: d.table.Leaving(u), Ejected: u.Ejected(now),
 		}
 		if r := u.Report(); r != nil {
--- a/e2e/control_test.go
+++ b/e2e/control_test.go
@@ -97,7 +97,7 @@
 	for _, layers := range testLayers {
 		status := spanrill.UpstreamStatus{
 			Model: "advice", Version: "1", Layers: layers, Slots: 8, StepMicros: 8000, TokenNanos: 50000,
-			Generation: 1, MemLayers: 12,
+			Generation: 1, MaxLayers: 12,
 		}
 		s := web.New(func(ctx *fasthttp.RequestCtx) { web.WriteJSON(ctx, status) })
 		addr, err := s.Listen(f.ip + ":0")
--- a/e2e/together_test.go
+++ b/e2e/together_test.go
@@ -229,8 +229,8 @@
 // placer returns the daemon that holds the placement lease, and its term.
 func (f *fleet) placer() (string, uint64) {
 	for name := range f.daemons {
-		if s, err := f.status(name); err == nil && s.Placement > 0 {
-			return name, s.Placement
+		if s, err := f.status(name); err == nil && s.PlacementTerm > 0 {
+			return name, s.PlacementTerm
 		}
 	}
 	return "", 0
@@ -253,7 +253,7 @@
 	f.daemons[holder] = frozen
 	f.await("the old holder knows that it holds nothing", func() bool {
 		s, err := f.status(holder)
-		return err == nil && s.Placement == 0
+		return err == nil && s.PlacementTerm == 0
 	})
 	for name, e := range f.engines {
 		last := term
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -25,7 +25,7 @@
 // newest, provided that it was read in the same era: a restored store may lack it.
 func (s configSink) Changed(changes []spanrill.Change, at uint64, sent spanrill.Millis) {
 	for _, c := range changes {
-		if !c.Gone {
+		if !c.Deleted {
 			s.apply(c.Item, sent)
 		}
 	}
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -114,7 +114,7 @@
 		add(at, spanrill.Change{Item: simItem(simRemoved, simRevisionAt(min(at, simLeaveTime-1)), false)})
 	}
 	add(simLeaveTime, spanrill.Change{Item: simItem(simLeaving, simRevisionAt(simLeaveTime), true)})
-	add(simLeaveTime, spanrill.Change{Item: simItem(simRemoved, simRevisionAt(simLeaveTime), false), Gone: true})
+	add(simLeaveTime, spanrill.Change{Item: simItem(simRemoved, simRevisionAt(simLeaveTime), false), Deleted: true})
 	if back := d.fleet.scenario.restoredAt; back > 0 {
 		add(back, spanrill.Change{Item: simItem(simRemoved, simRevisionAt(back), false)})
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -59,7 +59,7 @@
 	Config       spanrill.Collection
 	Upstreams    spanrill.Collection
 	Engines      spanrill.LayerEngines
-	Names        spanrill.Identifier
+	Identifier        spanrill.Identifier
 	Codec        spanrill.HeaderCodec
 	DecodeConfig func(value []byte) (*spanrill.RouteConfig, error)
 	DecodeEntry  func(spanrill.Item) (spanrill.EngineEntry, error)
@@ -135,8 +135,8 @@
 	return func(g *Gateway) { g.clock = c }
 }
 
-// WithDropped sets the source of the number of dropped log lines.
-func WithDropped(dropped func() uint64) Option {
+// WithDroppedLines sets the source of the number of dropped log lines.
+func WithDroppedLines(dropped func() uint64) Option {
 	return func(g *Gateway) { g.droppedLines = dropped }
 }
 
@@ -205,7 +205,7 @@
 		fleet.WithOnRestart(g.upstreamRestarted))
 	engines := g.fleet.Observe(g.adapter.Engines)
 	g.prober = probe.New(engines, g.clock, g.log, probe.WithLastHeard(g.fleet.LastHeard))
-	g.resolver = probe.NewAddressResolver(g.adapter.Names, g.clock, g.log, g.healthPath)
+	g.resolver = probe.NewAddressResolver(g.adapter.Identifier, g.clock, g.log, g.healthPath)
 	b := g.settings.Bounds
 	g.budgets = retry.NewBudgets(g.clock, retry.Limits{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow}, assumedDaemons,
 		retry.WithBorrow(func(ctx context.Context, service string, want float64) float64 {
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -211,7 +211,7 @@
 
 // models returns the engines' service.
 func (d *startDaemon) models() []spanrill.ServiceInfo {
-	return []spanrill.ServiceInfo{{Name: "s", Model: &spanrill.EngineModel{Layers: sizeLayers, Kinds: map[string]spanrill.KindModel{"l4": {Pace: 16}}}}}
+	return []spanrill.ServiceInfo{{Name: "s", Model: &spanrill.EngineModel{Layers: sizeLayers, Kinds: map[string]spanrill.AcceleratorKind{"l4": {StepFactor: 16}}}}}
 }
 
 // send delivers gossip to a running daemon.
--- a/layerengine.go
+++ b/layerengine.go
@@ -14,8 +14,8 @@
 	Leaving  bool
 	Layers   LayerRange // empty while no layers are loaded
 	Revision uint64     // of the entry in the store
-	Born     int64      `json:"Born" msgpack:"Born"`   // Unix time of the start in milliseconds, 0 if unknown
-	Beats    uint64     `json:"Beats" msgpack:"Beats"` // number of writes of the entry since the start, 0 if unknown
+	StartedAt     int64      `json:"Born" msgpack:"Born"`   // Unix time of the start in milliseconds, 0 if unknown
+	WriteCount    uint64     `json:"Beats" msgpack:"Beats"` // number of writes of the entry since the start, 0 if unknown
 }
 
 // EngineReport is the state that an engine returns on request. Its load figures lag behind.
@@ -27,30 +27,30 @@
 	Waiting  int
 	KVUsed   float64 // tokens times layers, as KVTotal
 	KVTotal  float64
-	Born     int64     // Unix time of the start in milliseconds, 0 if unknown
+	StartedAt     int64     // Unix time of the start in milliseconds, 0 if unknown
 	Pace     float64   // step time relative to its kind: over 1 is slower
-	Stalled  []Stalled // requests that wait for another engine
+	StalledRequests  []StalledRequest // requests that wait for another engine
 }
 
-// Stalled is a request of which the first engine reports that it waits for another engine.
-type Stalled struct {
+// StalledRequest is a request of which the first engine reports that it waits for another engine.
+type StalledRequest struct {
 	RequestID string
 	Addr      string // of the engine that it waits for
 }
 
-// PathPart is one engine of a request's path and the layers it runs.
-type PathPart struct {
+// PathStage is one engine of a request's path and the layers it runs.
+type PathStage struct {
 	ID     string
 	Addr   string
 	Layers LayerRange
 }
 
-// PlaceOrder tells an engine to load a range of layers.
-type PlaceOrder struct {
+// PlacementOrder tells an engine to load a range of layers.
+type PlacementOrder struct {
 	Layers   LayerRange
 	Term     uint64 // fencing token of the lease
 	Sequence uint64 // number of orders that the engine has accepted so far
-	Cut      bool   // requests on layers that the engine unloads are cancelled, not waited for
+	CancelRunning      bool   // requests on layers that the engine unloads are cancelled, not waited for
 }
 
 // OrderState is an engine's answer to an order.
@@ -90,8 +90,8 @@
 	// Report asks an engine for its state.
 	Report(ctx context.Context, addr string) (EngineReport, error)
 	// Place sends an order. After an error the order may still be carried out.
-	Place(ctx context.Context, addr, id string, o PlaceOrder) (OrderState, error)
-	// Repath moves a running request to another path with the same first engine. An
+	Place(ctx context.Context, addr, id string, o PlacementOrder) (OrderState, error)
+	// Reroute moves a running request to another path with the same first engine. An
 	// error means that the request continues on its old path, or no longer exists.
-	Repath(ctx context.Context, addr, requestID string, path []PathPart) error
+	Reroute(ctx context.Context, addr, requestID string, path []PathStage) error
 }
--- a/notice.go
+++ b/notice.go
@@ -4,9 +4,9 @@
 type Notice struct {
 	Leaving bool   // it is shutting down and wants no new requests
 	Rest    Millis // how long it wants no requests from this daemon, or 0
-	// Unreadable is the value of a request for rest that is not a valid time, or "". The
+	// UnreadableRest is the value of a request for rest that is not a valid time, or "". The
 	// length of the rest is unknown then.
-	Unreadable string
+	UnreadableRest string
 	// Limit is the request rate limit that the upstream sent, if any.
 	Limit RateLimit
 	// UnreadableLimit is an invalid value of the limit, or "".
--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -92,7 +92,7 @@
 		Name: s.Name, Leaving: s.Leaving, Loading: s.Loading, Running: s.Running, Waiting: s.Waiting,
 		Slots: s.Slots, Model: s.Model, Version: s.Version, From: s.Layers.From, To: s.Layers.To,
 		Generation: s.Generation, StepMicros: s.StepMicros, TokenNanos: s.TokenNanos,
-		MemLayers: s.MemLayers, Age: s.AgeMillis,
+		MemLayers: s.MaxLayers, Age: s.AgeMillis,
 	}
 }
 
@@ -103,7 +103,7 @@
 		Slots: r.Slots, Model: r.Model, Version: r.Version,
 		Layers:     spanrill.LayerRange{From: r.From, To: r.To},
 		Generation: r.Generation, StepMicros: r.StepMicros, TokenNanos: r.TokenNanos,
-		MemLayers: r.MemLayers, AgeMillis: r.Age,
+		MaxLayers: r.MemLayers, AgeMillis: r.Age,
 	}
 }
 
--- a/relaytypes.go
+++ b/relaytypes.go
@@ -5,30 +5,30 @@
 // CallerRequest is what routing reads from the headers of a caller's request.
 type CallerRequest struct {
 	ID           string // differs for each attempt of the caller
-	Key          string // API key, "" if none was sent
+	APIKey          string // API key, "" if none was sent
 	Deadline     Millis // how long the caller waits from now, or 0 if unknown
-	LastEvent    string // last event that the caller has received, or ""
+	LastEventID    string // last event that the caller has received, or ""
 	PromptTokens int
 	MaxTokens    int // upper limit of generated tokens
-	GuessTokens  int // the caller's estimate of generated tokens, or 0
+	ExpectedTokens  int // the caller's estimate of generated tokens, or 0
 }
 
-// UpstreamSend is what spanrill adds to a request that it forwards to an upstream.
-type UpstreamSend struct {
+// UpstreamRequest is what spanrill adds to a request that it forwards to an upstream.
+type UpstreamRequest struct {
 	EngineID  string // the only engine that may run the request
 	Account   string // "" if the route needs no key
 	Remaining Millis // time left for the upstream
-	LastEvent string // continue after this event, or ""
+	LastEventID string // continue after this event, or ""
 	Priority  int
-	Path      []PathPart // nil for a plain service
+	Path      []PathStage // nil for a plain service
 }
 
-// UpstreamHead is what routing reads from the headers of an upstream's answer.
-type UpstreamHead struct {
+// UpstreamResponse is what routing reads from the headers of an upstream's answer.
+type UpstreamResponse struct {
 	RequestID string
 	Signed    bool   // the answer is signed by the upstream that ran the request
 	NotRun    bool   // the upstream reports that it has not run the request
-	AtFault   string // address of the engine because of which a path could not run
+	FailedAddr   string // address of the engine because of which a path could not run
 	Load      string // load figures reported by the upstream, or ""
 }
 
@@ -36,14 +36,14 @@
 type HeaderCodec interface {
 	// ReadRequest decodes the headers of a caller's request.
 	ReadRequest(h *fasthttp.RequestHeader) (CallerRequest, error)
-	// WriteSend turns a copy of the caller's headers into those for an upstream.
-	WriteSend(h *fasthttp.RequestHeader, s UpstreamSend)
-	// ReadHead decodes the headers of an upstream's answer.
-	ReadHead(h *fasthttp.ResponseHeader) UpstreamHead
+	// WriteRequest turns a copy of the caller's headers into those for an upstream.
+	WriteRequest(h *fasthttp.RequestHeader, s UpstreamRequest)
+	// ReadResponse decodes the headers of an upstream's answer.
+	ReadResponse(h *fasthttp.ResponseHeader) UpstreamResponse
 	// ReadNotice decodes what an upstream reports about itself in the headers of any answer.
 	ReadNotice(h *fasthttp.ResponseHeader) Notice
-	// CopyHead copies the headers of an upstream's answer for the caller.
-	CopyHead(to, from *fasthttp.ResponseHeader)
+	// CopyResponse copies the headers of an upstream's answer for the caller.
+	CopyResponse(to, from *fasthttp.ResponseHeader)
 	// WriteRefusal sets the headers of an error answer of spanrill's own.
 	WriteRefusal(h *fasthttp.ResponseHeader, requestID string, retryAfter Millis)
 }
--- a/route.go
+++ b/route.go
@@ -24,8 +24,8 @@
 	return repeatNames[r]
 }
 
-// Share is one service of a route that splits its requests, and its weight.
-type Share struct {
+// WeightedService is one service of a route that splits its requests, and its weight.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -35,13 +35,13 @@
 	Name        string
 	Host        string
 	Prefix      string // starts and ends with a slash
-	Shares      []Share
+	Shares      []WeightedService
 	Repeat      Repeat
 	Stream      bool   // the answer is an event stream
 	Chained     bool   // each engine of the service holds a part of a model
-	Open        bool   // needs no API key
+	AuthExempt        bool   // needs no API key
 	Timeout     Millis // maximum time from arrival to answer
-	Target      Millis // latency objective of an answer, or of a stream's first event
+	LatencyTarget      Millis // latency objective of an answer, or of a stream's first event
 	PauseTarget Millis // objective for the longest pause between events
 	Priority    int    // 0 is the most urgent
 	MaxAttempts int    // maximum number of upstreams that one request is sent to
@@ -55,12 +55,12 @@
 	Model          *EngineModel // nil for a plain service
 }
 
-// KindModel describes one kind of accelerator.
-type KindModel struct {
+// AcceleratorKind describes one kind of accelerator.
+type AcceleratorKind struct {
 	Name       string
 	MemoryMB   float64 // shared by layers and KV cache
-	Pace       float64 // multiplies the time of a step
-	ReadFactor float64 // multiplies the time of a prefill
+	StepFactor       float64 // multiplies the time of a step
+	PrefillFactor float64 // multiplies the time of a prefill
 }
 
 // EngineModel holds the operator's figures for the engines of one service, from which placement
@@ -70,27 +70,27 @@
 	Layers       int
 	LayerMB      float64
 	Slots        int     // maximum number of requests in one batch
-	TokenBytes   float64 // KV cache of one token over all layers
-	ActBytes     float64 // activations sent between two engines for each token
+	KVTokenBytes   float64 // KV cache of one token over all layers
+	ActivationBytes     float64 // activations sent between two engines for each token
 	StepMillis   float64 // of one pass over all layers, at a step factor of 1
-	PerSequence  float64 // milliseconds added for each request in the batch
-	ContextPerK  float64 // milliseconds added for 1,000 tokens of context
-	ReadPerMilli float64 // prompt tokens prefilled in a millisecond, over all layers
-	PipeMbps     float64 // bandwidth between two availability zones, shared by all requests
+	StepMillisPerRequest  float64 // milliseconds added for each request in the batch
+	StepMillisPerKContext  float64 // milliseconds added for 1,000 tokens of context
+	PrefillTokensPerMilli float64 // prompt tokens prefilled in a millisecond, over all layers
+	ZoneLinkMbps     float64 // bandwidth between two availability zones, shared by all requests
 	LoadSeconds  float64 // to load all layers
-	LoadsAtOnce  int     // maximum number of concurrent loads at full speed
-	UsualPrompt  float64 // mean tokens
-	UsualAnswer  float64 // mean tokens
-	EventTokens  int     // in one event of a stream, 0 if unknown
-	Kinds        map[string]KindModel
-	Delays       map[ZonePair]float64 // one way, milliseconds
+	ConcurrentLoads  int     // maximum number of concurrent loads at full speed
+	MeanPromptTokens  float64 // mean tokens
+	MeanAnswerTokens  float64 // mean tokens
+	TokensPerEvent  int     // in one event of a stream, 0 if unknown
+	Kinds        map[string]AcceleratorKind
+	ZoneDelayMillis       map[ZonePair]float64 // one way, milliseconds
 }
 
 // ZonePair is an unordered pair of availability zones: A is not after B in the order of names.
 type ZonePair struct{ A, B string }
 
-// PairOf returns the pair of two availability zones.
-func PairOf(a, b string) ZonePair {
+// ZonePairOf returns the pair of two availability zones.
+func ZonePairOf(a, b string) ZonePair {
 	if a > b {
 		a, b = b, a
 	}
@@ -123,5 +123,5 @@
 	Services []ServiceInfo
 	Accounts []Account
 	Limits   CallerLimits
-	Odd      []string // descriptions of implausible values, which were ignored
+	IgnoredValues      []string // descriptions of implausible values, which were ignored
 }
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -224,7 +224,7 @@
 	return spanrill.UpstreamStatus{
 		Name: e.name, Running: len(e.streams), Waiting: waiting, Slots: e.speed.Slots,
 		Kind: e.speed.Kind, StepMicros: int(e.speed.Step / time.Microsecond),
-		TokenNanos: int(e.speed.TokenLayer), MemLayers: e.speed.MemLayers,
+		TokenNanos: int(e.speed.TokenLayer), MaxLayers: e.speed.MemLayers,
 	}
 }
 
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -24,7 +24,7 @@
 	cached int      // positions taken from caches
 	pos    int
 	out    model.Activation
-	ran    []spanrill.RanRange
+	ran    []spanrill.StageRun
 }
 
 func (e *Engine) serveRun(ctx *fasthttp.RequestCtx) {
@@ -122,7 +122,7 @@
 func (g *generation) token(i int) spanrill.RunEvent {
 	t := model.Sample(g.out, g.req.Seed, i)
 	ev := spanrill.RunEvent{
-		Index: i, Token: t, Text: model.TokenText(t), Ran: g.ran,
+		Index: i, Token: t, Text: model.TokenText(t), StageRuns: g.ran,
 		PromptTokens: g.prompt, CachedTokens: g.cached,
 	}
 	if t == model.EndToken {
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -118,13 +118,13 @@
 		e.faults.FailOrders--
 		return false, e.refuse(spanrill.CodeBusy, "order fault")
 	}
-	if o.Term < e.terms[o.Duty] && !e.faults.IgnoreFences {
-		return false, e.refuse(spanrill.CodeFenced, "term %d is below %d", o.Term, e.terms[o.Duty])
+	if o.Term < e.terms[o.LeaseName] && !e.faults.IgnoreFences {
+		return false, e.refuse(spanrill.CodeFenced, "term %d is below %d", o.Term, e.terms[o.LeaseName])
 	}
 	if o.Layers.Len() > e.speed.MemLayers {
 		return false, e.refuse(spanrill.CodeBadRequest, "%d layers do not fit into %d", o.Layers.Len(), e.speed.MemLayers)
 	}
-	e.terms[o.Duty] = max(e.terms[o.Duty], o.Term)
+	e.terms[o.LeaseName] = max(e.terms[o.LeaseName], o.Term)
 	e.orders = append(e.orders, o)
 	e.load(o)
 	if e.faults.LoseOrderReply > 0 {
--- a/standin/engine/stage.go
+++ b/standin/engine/stage.go
@@ -29,7 +29,7 @@
 // stageReply answers a stageOp.
 type stageReply struct {
 	Act   model.Activation    `json:"act"`
-	Ran   []spanrill.RanRange `json:"ran,omitempty"`
+	Ran   []spanrill.StageRun `json:"ran,omitempty"`
 	Held  uint64              `json:"held"`
 	Error *spanrill.RunError  `json:"error,omitempty"`
 }
@@ -119,14 +119,14 @@
 	started := time.Now()
 	e.batch.run(weight(op), s.priority)
 	acts := e.fold(s, op)
-	proof := spanrill.RanRange{Engine: e.name, Layers: e.proofRange(s), Micros: time.Since(started).Microseconds()}
+	proof := spanrill.StageRun{Engine: e.name, Layers: e.proofRange(s), Micros: time.Since(started).Microseconds()}
 	reply := &stageReply{Act: acts[len(acts)-1]}
 	if len(s.rest) > 0 {
 		next := *op
 		next.Acts = acts
 		reply = e.call(s.rest[0], &next)
 	}
-	reply.Ran = append([]spanrill.RanRange{proof}, reply.Ran...)
+	reply.Ran = append([]spanrill.StageRun{proof}, reply.Ran...)
 	return reply
 }
 
@@ -219,15 +219,15 @@
 }
 
 // noteLink writes down what of a call's time was spent on the link.
-func noteLink(ran []spanrill.RanRange, whole time.Duration) {
+func noteLink(ran []spanrill.StageRun, whole time.Duration) {
 	if len(ran) == 0 {
 		return
 	}
 	link := whole.Microseconds()
 	for _, r := range ran {
-		link -= r.Micros + r.Link
+		link -= r.Micros + r.LinkMicros
 	}
-	ran[0].Link = max(0, link)
+	ran[0].LinkMicros = max(0, link)
 }
 
 func (e *Engine) post(addr string, op *stageOp) (*stageReply, error) {
--- a/state/fleet/active_test.go
+++ b/state/fleet/active_test.go
@@ -75,9 +75,9 @@
 	table, now := manyUpstreams(3)
 	table.HandleNotice("eaab", spanrill.Notice{Rest: 3000}, now.Now())
 	entry := *table.View().ByID("eaab").Entry()
-	entry.Revision, entry.Beats = 5, 1
+	entry.Revision, entry.WriteCount = 5, 1
 	old := entry
-	old.Revision, old.Beats = 4, 9
+	old.Revision, old.WriteCount = 4, 9
 	table.Merge(Update{Entries: []spanrill.EngineEntry{old}, Revision: 4, LastChange: 4}, now.Now())
 	table.Merge(Update{Entries: []spanrill.EngineEntry{entry}, Revision: 5, LastChange: 5}, now.Now())
 	refusing := false
--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -143,7 +143,7 @@
 func (t *Table) applyEntry(entry spanrill.EngineEntry) {
 	delete(t.unreadableNames, entry.ID)
 	t.removals.cancel(entry.ID)
-	if t.hasEnded(entry.ID, entry.Born) {
+	if t.hasEnded(entry.ID, entry.StartedAt) {
 		return
 	}
 	t.releaseHeld(entry.ID)
--- a/state/fleet/fleet_test.go
+++ b/state/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 }
 
 func removal(id string) spanrill.Change {
-	return spanrill.Change{Item: spanrill.Item{Name: id}, Gone: true}
+	return spanrill.Change{Item: spanrill.Item{Name: id}, Deleted: true}
 }
 
 // holdTime is how long a table of newTable holds an entry that may have expired.
--- a/state/fleet/incarnation.go
+++ b/state/fleet/incarnation.go
@@ -33,18 +33,18 @@
 	if fromOlderCopy(old, newer) {
 		return false
 	}
-	if old.Born > 0 && newer.Born > 0 {
-		return old.Born != newer.Born
+	if old.StartedAt > 0 && newer.StartedAt > 0 {
+		return old.StartedAt != newer.StartedAt
 	}
-	return newer.Revision > old.Revision && newer.Beats > 0 && newer.Beats < old.Beats
+	return newer.Revision > old.Revision && newer.WriteCount > 0 && newer.WriteCount < old.WriteCount
 }
 
 // incarnationID returns the id of an incarnation. With a start time all daemons use the same id;
 // otherwise the id contains the number of restarts detected by this daemon.
 func incarnationID(e *spanrill.EngineEntry, restarts int) string {
 	switch {
-	case e.Born > 0:
-		return e.ID + "/" + strconv.FormatInt(e.Born, 36)
+	case e.StartedAt > 0:
+		return e.ID + "/" + strconv.FormatInt(e.StartedAt, 36)
 	case restarts > 0:
 		return e.ID + restartSeparator + strconv.Itoa(restarts)
 	}
@@ -94,7 +94,7 @@
 // another one. The caller holds the lock.
 func (t *Table) endPrevious(entry spanrill.EngineEntry) {
 	if p := t.pastStarts[entry.ID]; p != nil {
-		if p.removedStart > 0 && entry.Born > 0 && p.removedStart != entry.Born {
+		if p.removedStart > 0 && entry.StartedAt > 0 && p.removedStart != entry.StartedAt {
 			p.addEnded(p.removedStart)
 			t.restarts.Add(1)
 		}
@@ -113,7 +113,7 @@
 func (t *Table) restart(u *Upstream, entry spanrill.EngineEntry, reason string) {
 	old := u.Entry()
 	p := t.pastStartsOf(entry.ID)
-	p.addEnded(old.Born)
+	p.addEnded(old.StartedAt)
 	p.restarts++
 	u.end()
 	next := t.newUpstream(entry, p.restarts)
@@ -128,7 +128,7 @@
 	t.restarts.Add(1)
 	events.UpstreamRestarted.Log(t.log, logrus.Fields{
 		"upstream": next.ID(), "before": u.ID(), "why": reason, "held": old.Layers, "revision": entry.Revision,
-		"born": entry.Born, "born_before": old.Born,
+		"born": entry.StartedAt, "born_before": old.StartedAt,
 	})
 }
 
@@ -162,18 +162,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	entry := *u.Entry()
-	if t.byName[entry.ID] != u || t.hasEnded(entry.ID, r.Born) {
+	if t.byName[entry.ID] != u || t.hasEnded(entry.ID, r.StartedAt) {
 		return
 	}
-	entry.Born, entry.Beats, entry.Layers = r.Born, 0, spanrill.LayerRange{}
+	entry.StartedAt, entry.WriteCount, entry.Layers = r.StartedAt, 0, spanrill.LayerRange{}
 	t.restart(u, entry, reason)
 	t.publishView()
 }
 
 // restartReason returns why a report belongs to another incarnation, or "" if it doesn't.
 func (u *Upstream) restartReason(r *spanrill.EngineReport, sent, now spanrill.Millis) string {
-	if born := u.Entry().Born; born > 0 && r.Born > 0 {
-		if born != r.Born {
+	if born := u.Entry().StartedAt; born > 0 && r.StartedAt > 0 {
+		if born != r.StartedAt {
 			return "its report tells another start"
 		}
 		return ""
--- a/state/fleet/incarnation_test.go
+++ b/state/fleet/incarnation_test.go
@@ -11,7 +11,7 @@
 // startItem returns an entry with a start time, a write count and a number of layers.
 func startItem(t *testing.T, id string, revision uint64, born int64, beats uint64, layers int) spanrill.Item {
 	t.Helper()
-	value, err := json.Marshal(spanrill.EngineEntry{Service: "s", Addr: "1:1", Born: born, Beats: beats, Layers: spanrill.LayerRange{To: layers}})
+	value, err := json.Marshal(spanrill.EngineEntry{Service: "s", Addr: "1:1", StartedAt: born, WriteCount: beats, Layers: spanrill.LayerRange{To: layers}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 	case "outage":
 		table.RecordStoreFailure()
 	case "report":
-		table.HandleReport("1:1", &spanrill.EngineReport{Born: o.born, Sequence: o.count}, now+o.at)
+		table.HandleReport("1:1", &spanrill.EngineReport{StartedAt: o.born, Sequence: o.count}, now+o.at)
 	}
 }
 
--- a/state/fleet/notice.go
+++ b/state/fleet/notice.go
@@ -44,7 +44,7 @@
 // shorter rest or no rest doesn't end one that was requested before.
 func (r *rest) extend(n spanrill.Notice, now spanrill.Millis) *rest {
 	length := min(n.Rest, maxRestTime)
-	if n.Unreadable != "" {
+	if n.UnreadableRest != "" {
 		length = max(length, unreadableRestTime)
 	}
 	next := rest{from: now, until: now + length}
@@ -114,11 +114,11 @@
 
 // recordRest applies the request for rest in a notice, if there is one. The caller holds the lock.
 func (t *Table) recordRest(u *Upstream, n spanrill.Notice) {
-	if n.Unreadable != "" {
+	if n.UnreadableRest != "" {
 		t.noticeCounts.unreadable.Add(1)
-		events.RestUnreadable.Log(t.log, logrus.Fields{"upstream": u.ID(), "value": n.Unreadable})
+		events.RestUnreadable.Log(t.log, logrus.Fields{"upstream": u.ID(), "value": n.UnreadableRest})
 	}
-	if n.Rest <= 0 && n.Unreadable == "" {
+	if n.Rest <= 0 && n.UnreadableRest == "" {
 		return
 	}
 	now := t.clock.Now()
--- a/state/fleet/notice_test.go
+++ b/state/fleet/notice_test.go
@@ -22,8 +22,8 @@
 		{"the incident", map[spanrill.Millis]spanrill.Notice{0: notice(3000)}, []spanrill.Millis{405, 543, 886, 1395}, 3000},
 		{"a shorter rest later changes nothing", map[spanrill.Millis]spanrill.Notice{0: notice(3000), 200: notice(500)}, []spanrill.Millis{800, 2999}, 3000},
 		{"a longer rest later applies", map[spanrill.Millis]spanrill.Notice{0: notice(1000), 200: notice(3000)}, []spanrill.Millis{1500, 3199}, 3200},
-		{"an invalid time", map[spanrill.Millis]spanrill.Notice{0: {Unreadable: "soon"}}, []spanrill.Millis{1, 999}, unreadableRestTime},
-		{"a valid and an invalid time", map[spanrill.Millis]spanrill.Notice{0: {Rest: 2000, Unreadable: "soon"}}, []spanrill.Millis{1999}, 2000},
+		{"an invalid time", map[spanrill.Millis]spanrill.Notice{0: {UnreadableRest: "soon"}}, []spanrill.Millis{1, 999}, unreadableRestTime},
+		{"a valid and an invalid time", map[spanrill.Millis]spanrill.Notice{0: {Rest: 2000, UnreadableRest: "soon"}}, []spanrill.Millis{1999}, 2000},
 		{"a thousand years", map[spanrill.Millis]spanrill.Notice{0: notice(1 << 45)}, []spanrill.Millis{1, maxRestTime - 1}, maxRestTime},
 		{"no rest", map[spanrill.Millis]spanrill.Notice{0: notice(0)}, nil, 0},
 	} {
@@ -118,7 +118,7 @@
 // after its entry was removed.
 func TestNoticesAfterRestartOfRemovedUpstream(t *testing.T) {
 	entry := func(born int64, beats, revision uint64) spanrill.EngineEntry {
-		return spanrill.EngineEntry{ID: "a", Service: "s", Addr: "1:1", Born: born, Beats: beats, Revision: revision}
+		return spanrill.EngineEntry{ID: "a", Service: "s", Addr: "1:1", StartedAt: born, WriteCount: beats, Revision: revision}
 	}
 	for _, c := range []struct {
 		name        string
--- a/state/fleet/removals_test.go
+++ b/state/fleet/removals_test.go
@@ -32,7 +32,7 @@
 	switch _, exists := s.items[name]; {
 	case exists && s.random.Intn(3) == 0:
 		delete(s.items, name)
-		s.changes = append(s.changes, spanrill.Change{Item: item, Gone: true})
+		s.changes = append(s.changes, spanrill.Change{Item: item, Deleted: true})
 		return
 	case s.random.Intn(8) == 0:
 		item.Value = []byte("bad")
@@ -125,7 +125,7 @@
 	table := New(now, decodeFakeStore)
 	table.Listed([]spanrill.Item{{Name: "stays", Revision: 1}}, 1, now.Now())
 	for i := range uint64(maxKeptRemovals + 1) {
-		table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: fmt.Sprint("e", i), Revision: i + 2}, Gone: true}}, i+2, now.Now())
+		table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: fmt.Sprint("e", i), Revision: i + 2}, Deleted: true}}, i+2, now.Now())
 	}
 	for _, c := range []struct{ after, want uint64 }{{0, 0}, {1, 0}, {maxKeptRemovals, 0}, {maxKeptRemovals + 2, maxKeptRemovals + 2}, {maxKeptRemovals + 9, 0}} {
 		if k := table.UpdateSince(c.after); k.Since != c.want || k.Since == 0 && len(k.Entries) != 1 {
--- a/state/fleet/removed.go
+++ b/state/fleet/removed.go
@@ -83,7 +83,7 @@
 func (t *Table) remove(id, reason string) {
 	u := t.byName[id]
 	u.removed.Store(true)
-	if born := u.Entry().Born; born > 0 {
+	if born := u.Entry().StartedAt; born > 0 {
 		t.pastStartsOf(id).removedStart = born
 	}
 	t.recentlyRemoved[u.ID()] = removedUpstream{upstream: u, removedAt: t.clock.Now()}
--- a/state/fleet/restored.go
+++ b/state/fleet/restored.go
@@ -59,10 +59,10 @@
 	if spanrill.EraOf(entry.Revision) <= spanrill.EraOf(known.Revision) {
 		return false
 	}
-	if known.Born > 0 && entry.Born > 0 && known.Born != entry.Born {
-		return entry.Born < known.Born
+	if known.StartedAt > 0 && entry.StartedAt > 0 && known.StartedAt != entry.StartedAt {
+		return entry.StartedAt < known.StartedAt
 	}
-	return entry.Beats > 0 && entry.Beats < known.Beats
+	return entry.WriteCount > 0 && entry.WriteCount < known.WriteCount
 }
 
 // noteRemoval records the removal of an entry. The caller holds the lock.
--- a/state/fleet/restored_test.go
+++ b/state/fleet/restored_test.go
@@ -19,7 +19,7 @@
 func listItems(t *testing.T, era uint64, entries ...listedEntry) (items []spanrill.Item) {
 	t.Helper()
 	for _, e := range entries {
-		value, err := json.Marshal(spanrill.EngineEntry{Service: "s", Addr: e.addr, Leaving: e.leaving, Beats: e.beats, Born: e.born})
+		value, err := json.Marshal(spanrill.EngineEntry{Service: "s", Addr: e.addr, Leaving: e.leaving, WriteCount: e.beats, StartedAt: e.born})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/state/fleet/update.go
+++ b/state/fleet/update.go
@@ -181,10 +181,10 @@
 	t.confirm(sent)
 	for _, c := range changes {
 		switch {
-		case c.Gone && !remaining[c.Name]:
+		case c.Deleted && !remaining[c.Name]:
 			t.entryGone(c.Name, lastConfirmed, sent)
 			t.removals.add(c.Name, at)
-		case c.Gone || c.Revision <= t.revision: // the entry exists again, or the change is known from a peer
+		case c.Deleted || c.Revision <= t.revision: // the entry exists again, or the change is known from a peer
 		default:
 			if entry, ok := t.decodeItem(c.Item); ok {
 				t.applyEntry(entry)
@@ -207,7 +207,7 @@
 func remainingNames(changes []spanrill.Change) map[string]bool {
 	names := map[string]bool{}
 	for _, c := range changes {
-		names[c.Name] = !c.Gone
+		names[c.Name] = !c.Deleted
 	}
 	return names
 }
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -55,7 +55,7 @@
 func (t *Table) Version() int64 { return t.config.Version }
 
 // Odd describes the values of the configuration that cannot be true.
-func (t *Table) Odd() []string { return t.config.Odd }
+func (t *Table) Odd() []string { return t.config.IgnoredValues }
 
 // Limits returns the bounds on what callers may send.
 func (t *Table) Limits() spanrill.CallerLimits { return t.config.Limits }
--- a/state/routes/routes_test.go
+++ b/state/routes/routes_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestChoose(t *testing.T) {
-	r := &spanrill.Route{Shares: []spanrill.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
+	r := &spanrill.Route{Shares: []spanrill.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	for _, c := range []struct {
 		draw float64
 		want string
--- a/upstream.go
+++ b/upstream.go
@@ -88,7 +88,7 @@
 	TokenNanos int        `json:"token_nanos,omitempty"`   // time added for each position and layer
 	CacheSeq   uint64     `json:"cache_seq,omitempty"`     // sequence number of the newest cache event
 	AgeMillis  Millis     `json:"age_millis,omitempty"`    // age of the load figures
-	MemLayers  int        `json:"memory_layers,omitempty"` // number of layers that fit in memory
+	MaxLayers  int        `json:"memory_layers,omitempty"` // number of layers that fit in memory
 }
 
 // StageRef is one stage of a chain: an engine and the layers that it has to run.
@@ -114,12 +114,12 @@
 	Chain     []StageRef `json:"chain"`
 }
 
-// RanRange is a stage's record of having run its layers for one token.
-type RanRange struct {
+// StageRun is a stage's record of having run its layers for one token.
+type StageRun struct {
 	Engine string     `json:"engine"`
 	Layers LayerRange `json:"layers"`
 	Micros int64      `json:"micros"` // time in the stage, including queueing
-	Link   int64      `json:"link"`   // time on the link into the stage, in microseconds
+	LinkMicros   int64      `json:"link"`   // time on the link into the stage, in microseconds
 }
 
 // Finish tells why a generation ended.
@@ -137,7 +137,7 @@
 	Index        int        `json:"index"`
 	Token        uint32     `json:"token"`
 	Text         string     `json:"text"`
-	Ran          []RanRange `json:"ran,omitempty"`
+	StageRuns          []StageRun `json:"ran,omitempty"`
 	PromptTokens int        `json:"prompt_tokens,omitempty"`
 	CachedTokens int        `json:"cached_tokens,omitempty"`
 	Finish       Finish     `json:"finish,omitempty"`
@@ -201,7 +201,7 @@
 // Order tells an engine which state to reach. It is idempotent.
 type Order struct {
 	Kind     OrderKind  `json:"kind"`
-	Duty     string     `json:"duty"` // the lease that authorizes the order
+	LeaseName     string     `json:"duty"` // the lease that authorizes the order
 	Term     uint64     `json:"term"` // fencing token: an engine refuses one lower than it has seen
 	Model    string     `json:"model"`
 	Version  string     `json:"version"`
@@ -224,14 +224,14 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// NothingListens reports whether an error means that the other end refused a connection: its
+// IsConnectionRefused reports whether an error means that the other end refused a connection: its
 // host is reachable, and no process listens at the address.
-func NothingListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// OwnLack reports whether an error means that this machine could not open a connection because
+// IsLocalResourceError reports whether an error means that this machine could not open a connection because
 // it lacks file descriptors, ports, buffers or memory. Such an error says nothing about the other
 // end.
-func OwnLack(err error) bool {
+func IsLocalResourceError(err error) bool {
 	for _, errno := range [...]error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, errno) {
 			return true
