--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -14,24 +14,24 @@
 	"spanrill/state/load"
 )
 
-// Status is what a daemon says of itself on its admin address.
+// Status is what a daemon reports about itself on its admin address.
 type Status struct {
 	Name      string           `json:"name"`
 	Zone      string           `json:"availability_zone"`
 	Ready     bool             `json:"ready"`
-	Why       string           `json:"why,omitempty"` // why it is not ready
+	NotReadyReason       string           `json:"why,omitempty"` // why it is not ready
 	Revision  uint64           `json:"revision"`
 	EditID    string           `json:"edit_id"`
 	InFlight  int64            `json:"in_flight"`
-	Policy    string           `json:"routing_policy"`
-	Placement uint64           `json:"placement_term,omitempty"` // term of the placement lease, if held
+	RoutingPolicy    string           `json:"routing_policy"`
+	PlacementTerm uint64           `json:"placement_term,omitempty"` // term of the placement lease, if held
 	Running   int              `json:"running"`
 	Waiting   int              `json:"waiting"`
-	Peers     []string         `json:"peers"` // daemons alive, this one included
+	Peers     []string         `json:"peers"` // live daemons, including this one
 	Upstreams []UpstreamStatus `json:"upstreams"`
 }
 
-// UpstreamStatus is what a daemon knows of one upstream.
+// UpstreamStatus is what a daemon knows about one upstream.
 type UpstreamStatus struct {
 	Name     string              `json:"name"`
 	Addr     string              `json:"addr"`
@@ -41,21 +41,21 @@
 	Layers   spanrill.LayerRange `json:"layers"`
 	InFlight int64               `json:"in_flight"`
 	Load     float64             `json:"load"`
-	Slow     float64             `json:"slow"`
+	Slowdown     float64             `json:"slow"`
 	Leaving  bool                `json:"leaving"`
 	Ejected  bool                `json:"ejected"`
 }
 
-// adminRoutes serves operators.
+// handleAdmin serves the requests of operators.
 //
-//	GET  /healthz   the process runs
-//	GET  /readyz    the daemon should get requests
+//	GET  /healthz   200 while the process runs
+//	GET  /readyz    200 if the daemon should get requests
 //	GET  /metrics   counters
 //	GET  /status    a Status
 //	GET  /requests  the generations that ended last
-//	GET  /explain   why a request of an account would go where
+//	GET  /explain   the routing decision for an account's request
 //	POST /drain     starts a planned stop
-func (d *Daemon) adminRoutes(ctx *fasthttp.RequestCtx) {
+func (d *Daemon) handleAdmin(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
 	case path == "/healthz":
@@ -82,7 +82,7 @@
 }
 
 func (d *Daemon) serveReady(ctx *fasthttp.RequestCtx) {
-	if err := d.ready(); err != nil {
+	if err := d.readyError(); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
 	}
@@ -97,14 +97,14 @@
 }
 
 func (d *Daemon) serveAdmin(context.Context) error {
-	server := &fasthttp.Server{Handler: d.adminRoutes, NoDefaultServerHeader: true}
+	server := &fasthttp.Server{Handler: d.handleAdmin, NoDefaultServerHeader: true}
 	if err := server.Serve(d.admin); err != nil {
-		return fmt.Errorf("serve operators: %w", err)
+		return fmt.Errorf("serve admin interface: %w", err)
 	}
 	return nil
 }
 
-// Stages returns the engines that the daemon knows, as stages of chains.
+// Stages returns the engines known to the daemon, as stages of chains.
 func (d *Daemon) Stages() []spanrill.StageRef {
 	var stages []spanrill.StageRef
 	for _, u := range d.table.Upstreams() {
@@ -118,7 +118,7 @@
 // Recent returns the generations that ended last, newest first.
 func (d *Daemon) Recent() []callerapi.Finished { return d.api.Recent() }
 
-// serveExplain answers for the query arguments account and model.
+// serveExplain explains the routing for the query arguments account and model.
 func (d *Daemon) serveExplain(ctx *fasthttp.RequestCtx) {
 	account, model := string(ctx.QueryArgs().Peek("account")), string(ctx.QueryArgs().Peek("model"))
 	snapshot := d.follower.Current()
@@ -131,13 +131,13 @@
 		ctx.Error("no client account "+account, fasthttp.StatusNotFound)
 		return
 	}
-	use := grant.Model(model)
-	if use == nil {
+	modelGrant := grant.Model(model)
+	if modelGrant == nil {
 		ctx.Error("client account "+account+" has no model "+model, fasthttp.StatusNotFound)
 		return
 	}
-	m := use.Model()
-	index := d.table.View().Model(load.ModelKey{Model: m.Name, Version: m.Version, Site: use.Site().Name})
+	m := modelGrant.Model()
+	index := d.table.View().Model(load.ModelKey{Model: m.Name, Version: m.Version, Site: modelGrant.Site().Name})
 	if index == nil {
 		ctx.Error("no engine holds model "+model, fasthttp.StatusNotFound)
 		return
@@ -145,21 +145,21 @@
 	serveJSON(ctx, d.router.Explain(index, &routing.Query{Layers: m.Layers}))
 }
 
-// Status returns what the daemon says of itself.
+// Status returns the daemon's status.
 func (d *Daemon) Status() Status {
 	s := Status{
 		Name: d.settings.Name, Zone: d.settings.Zone, Revision: d.follower.Revision(),
-		InFlight: d.api.InFlight(), Policy: d.router.Policy().Name(),
+		InFlight: d.api.InFlight(), RoutingPolicy: d.router.Policy().Name(),
 	}
 	if head := d.follower.Head(); head != nil {
 		s.EditID = head.EditID
 	}
-	if err := d.ready(); err != nil {
-		s.Why = err.Error()
+	if err := d.readyError(); err != nil {
+		s.NotReadyReason = err.Error()
 	}
-	s.Ready = s.Why == ""
+	s.Ready = s.NotReadyReason == ""
 	if l := d.lease.Load(); l != nil {
-		s.Placement, _ = l.Held()
+		s.PlacementTerm, _ = l.Held()
 	}
 	s.Running, s.Waiting = d.gate.Depth()
 	for _, m := range d.peers.list.Live() {
@@ -169,7 +169,7 @@
 	for _, u := range d.table.Upstreams() {
 		us := UpstreamStatus{
 			Name: u.Name(), Addr: u.Addr(), Zone: u.Zone(), Service: u.Service(),
-			InFlight: u.InFlight(), Load: u.Load(now), Slow: u.Slowdown(now),
+			InFlight: u.InFlight(), Load: u.Load(now), Slowdown: u.Slowdown(now),
 			Leaving: d.table.Leaving(u), Ejected: u.Ejected(now),
 		}
 		if r := u.Report(); r != nil {
