--- a/coordination/chainrouting/search.go
+++ b/coordination/chainrouting/search.go
@@ -153,7 +153,9 @@
 	return s.random()*(*weight) < free
 }
 
-func (s *search) kind(u *fleet.Upstream) spanrill.AcceleratorKind { return s.model.Kinds[u.Entry().Kind] }
+func (s *search) kind(u *fleet.Upstream) spanrill.AcceleratorKind {
+	return s.model.Kinds[u.Entry().Kind]
+}
 
 // capacityTokens returns for how many tokens an engine has memory beside its layers.
 func (s *search) capacityTokens(u *fleet.Upstream) float64 {
--- a/coordination/layoutrun/placer_test.go
+++ b/coordination/layoutrun/placer_test.go
@@ -64,7 +64,9 @@
 	return spanrill.OrderBegun, nil
 }
 
-func (c *fakeEngines) Reroute(context.Context, string, string, []spanrill.PathStage) error { return nil }
+func (c *fakeEngines) Reroute(context.Context, string, string, []spanrill.PathStage) error {
+	return nil
+}
 
 // newStablePlacer returns a placer over n empty engines that have been there for long enough
 // for a first layout, and its table.
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -16,19 +16,19 @@
 
 // Status is what a daemon reports about itself on its admin address.
 type Status struct {
-	Name      string           `json:"name"`
-	Zone      string           `json:"availability_zone"`
-	Ready     bool             `json:"ready"`
-	NotReadyReason       string           `json:"why,omitempty"` // why it is not ready
-	Revision  uint64           `json:"revision"`
-	EditID    string           `json:"edit_id"`
-	InFlight  int64            `json:"in_flight"`
-	RoutingPolicy    string           `json:"routing_policy"`
-	PlacementTerm uint64           `json:"placement_term,omitempty"` // term of the placement lease, if held
-	Running   int              `json:"running"`
-	Waiting   int              `json:"waiting"`
-	Peers     []string         `json:"peers"` // live daemons, including this one
-	Upstreams []UpstreamStatus `json:"upstreams"`
+	Name           string           `json:"name"`
+	Zone           string           `json:"availability_zone"`
+	Ready          bool             `json:"ready"`
+	NotReadyReason string           `json:"why,omitempty"` // why it is not ready
+	Revision       uint64           `json:"revision"`
+	EditID         string           `json:"edit_id"`
+	InFlight       int64            `json:"in_flight"`
+	RoutingPolicy  string           `json:"routing_policy"`
+	PlacementTerm  uint64           `json:"placement_term,omitempty"` // term of the placement lease, if held
+	Running        int              `json:"running"`
+	Waiting        int              `json:"waiting"`
+	Peers          []string         `json:"peers"` // live daemons, including this one
+	Upstreams      []UpstreamStatus `json:"upstreams"`
 }
 
 // UpstreamStatus is what a daemon knows about one upstream.
@@ -41,7 +41,7 @@
 	Layers   spanrill.LayerRange `json:"layers"`
 	InFlight int64               `json:"in_flight"`
 	Load     float64             `json:"load"`
-	Slowdown     float64             `json:"slow"`
+	Slowdown float64             `json:"slow"`
 	Leaving  bool                `json:"leaving"`
 	Ejected  bool                `json:"ejected"`
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -59,7 +59,7 @@
 	Config       spanrill.Collection
 	Upstreams    spanrill.Collection
 	Engines      spanrill.LayerEngines
-	Identifier        spanrill.Identifier
+	Identifier   spanrill.Identifier
 	Codec        spanrill.HeaderCodec
 	DecodeConfig func(value []byte) (*spanrill.RouteConfig, error)
 	DecodeEntry  func(spanrill.Item) (spanrill.EngineEntry, error)
--- a/layerengine.go
+++ b/layerengine.go
@@ -5,31 +5,31 @@
 // EngineEntry is the record that an upstream writes of itself in the platform's store. Messages
 // between daemons and the JSON that the command line tool prints contain it under its field names.
 type EngineEntry struct {
-	ID       string // the name of the entry, which may stay the same after a restart
-	Service  string
-	Addr     string
-	Zone     string
-	Kind     string // accelerator, or "" for a plain service
-	Slots    int
-	Leaving  bool
-	Layers   LayerRange // empty while no layers are loaded
-	Revision uint64     // of the entry in the store
-	StartedAt     int64      `json:"Born" msgpack:"Born"`   // Unix time of the start in milliseconds, 0 if unknown
-	WriteCount    uint64     `json:"Beats" msgpack:"Beats"` // number of writes of the entry since the start, 0 if unknown
+	ID         string // the name of the entry, which may stay the same after a restart
+	Service    string
+	Addr       string
+	Zone       string
+	Kind       string // accelerator, or "" for a plain service
+	Slots      int
+	Leaving    bool
+	Layers     LayerRange // empty while no layers are loaded
+	Revision   uint64     // of the entry in the store
+	StartedAt  int64      `json:"Born" msgpack:"Born"`   // Unix time of the start in milliseconds, 0 if unknown
+	WriteCount uint64     `json:"Beats" msgpack:"Beats"` // number of writes of the entry since the start, 0 if unknown
 }
 
 // EngineReport is the state that an engine returns on request. Its load figures lag behind.
 type EngineReport struct {
-	Layers   LayerRange
-	Busy     bool // an order is being carried out
-	Sequence uint64
-	Running  int
-	Waiting  int
-	KVUsed   float64 // tokens times layers, as KVTotal
-	KVTotal  float64
-	StartedAt     int64     // Unix time of the start in milliseconds, 0 if unknown
-	Pace     float64   // step time relative to its kind: over 1 is slower
-	StalledRequests  []StalledRequest // requests that wait for another engine
+	Layers          LayerRange
+	Busy            bool // an order is being carried out
+	Sequence        uint64
+	Running         int
+	Waiting         int
+	KVUsed          float64 // tokens times layers, as KVTotal
+	KVTotal         float64
+	StartedAt       int64            // Unix time of the start in milliseconds, 0 if unknown
+	Pace            float64          // step time relative to its kind: over 1 is slower
+	StalledRequests []StalledRequest // requests that wait for another engine
 }
 
 // StalledRequest is a request of which the first engine reports that it waits for another engine.
@@ -47,10 +47,10 @@
 
 // PlacementOrder tells an engine to load a range of layers.
 type PlacementOrder struct {
-	Layers   LayerRange
-	Term     uint64 // fencing token of the lease
-	Sequence uint64 // number of orders that the engine has accepted so far
-	CancelRunning      bool   // requests on layers that the engine unloads are cancelled, not waited for
+	Layers        LayerRange
+	Term          uint64 // fencing token of the lease
+	Sequence      uint64 // number of orders that the engine has accepted so far
+	CancelRunning bool   // requests on layers that the engine unloads are cancelled, not waited for
 }
 
 // OrderState is an engine's answer to an order.
--- a/refusal.go
+++ b/refusal.go
@@ -44,11 +44,11 @@
 	ReasonClaimsFull       // the claims object of the key's slot is full
 	ReasonConfigStale      // the configuration was not confirmed recently enough
 	ReasonUpstreamsStale   // the entries of upstreams are outdated, other daemons have newer ones
-	ReasonChainsFull           // all chains are at capacity
+	ReasonChainsFull       // all chains are at capacity
 	ReasonSuspected        // upstreams terminated while running the request, which is withheld for a while
 	ReasonUpstreamsRest    // every upstream that could take it has asked for rest
 	ReasonUpstreamsLimited // every upstream that could take it has exhausted its rate limit
-	ReasonCrashesUpstreams    // too many upstreams terminated while running the request
+	ReasonCrashesUpstreams // too many upstreams terminated while running the request
 	ReasonInternal         // an internal error of this daemon
 	reasonCount
 )
@@ -99,11 +99,11 @@
 	ReasonClaimsFull:       {"claims_full", 503, kindUnavailable},
 	ReasonConfigStale:      {"configuration_stale", 503, kindUnavailable},
 	ReasonUpstreamsStale:   {"upstreams_stale", 503, kindUnavailable},
-	ReasonChainsFull:           {"no_room", 503, kindUnavailable},
+	ReasonChainsFull:       {"no_room", 503, kindUnavailable},
 	ReasonSuspected:        {"suspected", 503, kindUnavailable},
 	ReasonUpstreamsRest:    {"upstreams_rest", 503, kindUnavailable},
 	ReasonUpstreamsLimited: {"upstreams_limited", 503, kindUnavailable},
-	ReasonCrashesUpstreams:    {"ends_upstreams", 503, kindUnavailable},
+	ReasonCrashesUpstreams: {"ends_upstreams", 503, kindUnavailable},
 	ReasonInternal:         {"internal_error", 500, kindServer},
 }
 
--- a/relaytypes.go
+++ b/relaytypes.go
@@ -4,32 +4,32 @@
 
 // CallerRequest is what routing reads from the headers of a caller's request.
 type CallerRequest struct {
-	ID           string // differs for each attempt of the caller
-	APIKey          string // API key, "" if none was sent
-	Deadline     Millis // how long the caller waits from now, or 0 if unknown
+	ID             string // differs for each attempt of the caller
+	APIKey         string // API key, "" if none was sent
+	Deadline       Millis // how long the caller waits from now, or 0 if unknown
 	LastEventID    string // last event that the caller has received, or ""
-	PromptTokens int
-	MaxTokens    int // upper limit of generated tokens
-	ExpectedTokens  int // the caller's estimate of generated tokens, or 0
+	PromptTokens   int
+	MaxTokens      int // upper limit of generated tokens
+	ExpectedTokens int // the caller's estimate of generated tokens, or 0
 }
 
 // UpstreamRequest is what spanrill adds to a request that it forwards to an upstream.
 type UpstreamRequest struct {
-	EngineID  string // the only engine that may run the request
-	Account   string // "" if the route needs no key
-	Remaining Millis // time left for the upstream
+	EngineID    string // the only engine that may run the request
+	Account     string // "" if the route needs no key
+	Remaining   Millis // time left for the upstream
 	LastEventID string // continue after this event, or ""
-	Priority  int
-	Path      []PathStage // nil for a plain service
+	Priority    int
+	Path        []PathStage // nil for a plain service
 }
 
 // UpstreamResponse is what routing reads from the headers of an upstream's answer.
 type UpstreamResponse struct {
-	RequestID string
-	Signed    bool   // the answer is signed by the upstream that ran the request
-	NotRun    bool   // the upstream reports that it has not run the request
-	FailedAddr   string // address of the engine because of which a path could not run
-	Load      string // load figures reported by the upstream, or ""
+	RequestID  string
+	Signed     bool   // the answer is signed by the upstream that ran the request
+	NotRun     bool   // the upstream reports that it has not run the request
+	FailedAddr string // address of the engine because of which a path could not run
+	Load       string // load figures reported by the upstream, or ""
 }
 
 // HeaderCodec translates the headers of requests and answers.
--- a/route.go
+++ b/route.go
@@ -32,19 +32,19 @@
 
 // Route describes how the requests of one host and path prefix are served.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // starts and ends with a slash
-	Shares      []WeightedService
-	Repeat      Repeat
-	Stream      bool   // the answer is an event stream
-	Chained     bool   // each engine of the service holds a part of a model
-	AuthExempt        bool   // needs no API key
-	Timeout     Millis // maximum time from arrival to answer
-	LatencyTarget      Millis // latency objective of an answer, or of a stream's first event
-	PauseTarget Millis // objective for the longest pause between events
-	Priority    int    // 0 is the most urgent
-	MaxAttempts int    // maximum number of upstreams that one request is sent to
+	Name          string
+	Host          string
+	Prefix        string // starts and ends with a slash
+	Shares        []WeightedService
+	Repeat        Repeat
+	Stream        bool   // the answer is an event stream
+	Chained       bool   // each engine of the service holds a part of a model
+	AuthExempt    bool   // needs no API key
+	Timeout       Millis // maximum time from arrival to answer
+	LatencyTarget Millis // latency objective of an answer, or of a stream's first event
+	PauseTarget   Millis // objective for the longest pause between events
+	Priority      int    // 0 is the most urgent
+	MaxAttempts   int    // maximum number of upstreams that one request is sent to
 }
 
 // ServiceInfo describes a service that routes refer to.
@@ -57,32 +57,32 @@
 
 // AcceleratorKind describes one kind of accelerator.
 type AcceleratorKind struct {
-	Name       string
-	MemoryMB   float64 // shared by layers and KV cache
-	StepFactor       float64 // multiplies the time of a step
+	Name          string
+	MemoryMB      float64 // shared by layers and KV cache
+	StepFactor    float64 // multiplies the time of a step
 	PrefillFactor float64 // multiplies the time of a prefill
 }
 
 // EngineModel holds the operator's figures for the engines of one service, from which placement
 // and routing compute times and memory.
 type EngineModel struct {
-	Name         string // of the model served
-	Layers       int
-	LayerMB      float64
-	Slots        int     // maximum number of requests in one batch
-	KVTokenBytes   float64 // KV cache of one token over all layers
-	ActivationBytes     float64 // activations sent between two engines for each token
-	StepMillis   float64 // of one pass over all layers, at a step factor of 1
+	Name                  string // of the model served
+	Layers                int
+	LayerMB               float64
+	Slots                 int     // maximum number of requests in one batch
+	KVTokenBytes          float64 // KV cache of one token over all layers
+	ActivationBytes       float64 // activations sent between two engines for each token
+	StepMillis            float64 // of one pass over all layers, at a step factor of 1
 	StepMillisPerRequest  float64 // milliseconds added for each request in the batch
-	StepMillisPerKContext  float64 // milliseconds added for 1,000 tokens of context
+	StepMillisPerKContext float64 // milliseconds added for 1,000 tokens of context
 	PrefillTokensPerMilli float64 // prompt tokens prefilled in a millisecond, over all layers
-	ZoneLinkMbps     float64 // bandwidth between two availability zones, shared by all requests
-	LoadSeconds  float64 // to load all layers
-	ConcurrentLoads  int     // maximum number of concurrent loads at full speed
-	MeanPromptTokens  float64 // mean tokens
-	MeanAnswerTokens  float64 // mean tokens
-	TokensPerEvent  int     // in one event of a stream, 0 if unknown
-	Kinds        map[string]AcceleratorKind
+	ZoneLinkMbps          float64 // bandwidth between two availability zones, shared by all requests
+	LoadSeconds           float64 // to load all layers
+	ConcurrentLoads       int     // maximum number of concurrent loads at full speed
+	MeanPromptTokens      float64 // mean tokens
+	MeanAnswerTokens      float64 // mean tokens
+	TokensPerEvent        int     // in one event of a stream, 0 if unknown
+	Kinds                 map[string]AcceleratorKind
 	ZoneDelayMillis       map[ZonePair]float64 // one way, milliseconds
 }
 
@@ -118,10 +118,10 @@
 // RouteConfig is one version of the configuration of routes. It must not be modified after
 // decoding.
 type RouteConfig struct {
-	Version  int64 // increases, not always by one
-	Routes   []Route
-	Services []ServiceInfo
-	Accounts []Account
-	Limits   CallerLimits
-	IgnoredValues      []string // descriptions of implausible values, which were ignored
+	Version       int64 // increases, not always by one
+	Routes        []Route
+	Services      []ServiceInfo
+	Accounts      []Account
+	Limits        CallerLimits
+	IgnoredValues []string // descriptions of implausible values, which were ignored
 }
--- a/upstream.go
+++ b/upstream.go
@@ -116,10 +116,10 @@
 
 // StageRun is a stage's record of having run its layers for one token.
 type StageRun struct {
-	Engine string     `json:"engine"`
-	Layers LayerRange `json:"layers"`
-	Micros int64      `json:"micros"` // time in the stage, including queueing
-	LinkMicros   int64      `json:"link"`   // time on the link into the stage, in microseconds
+	Engine     string     `json:"engine"`
+	Layers     LayerRange `json:"layers"`
+	Micros     int64      `json:"micros"` // time in the stage, including queueing
+	LinkMicros int64      `json:"link"`   // time on the link into the stage, in microseconds
 }
 
 // Finish tells why a generation ended.
@@ -137,7 +137,7 @@
 	Index        int        `json:"index"`
 	Token        uint32     `json:"token"`
 	Text         string     `json:"text"`
-	StageRuns          []StageRun `json:"ran,omitempty"`
+	StageRuns    []StageRun `json:"ran,omitempty"`
 	PromptTokens int        `json:"prompt_tokens,omitempty"`
 	CachedTokens int        `json:"cached_tokens,omitempty"`
 	Finish       Finish     `json:"finish,omitempty"`
@@ -200,13 +200,13 @@
 
 // Order tells an engine which state to reach. It is idempotent.
 type Order struct {
-	Kind     OrderKind  `json:"kind"`
-	LeaseName     string     `json:"duty"` // the lease that authorizes the order
-	Term     uint64     `json:"term"` // fencing token: an engine refuses one lower than it has seen
-	Model    string     `json:"model"`
-	Version  string     `json:"version"`
-	Layers   LayerRange `json:"layers"`
-	LayerNum int        `json:"layer_num"`
+	Kind      OrderKind  `json:"kind"`
+	LeaseName string     `json:"duty"` // the lease that authorizes the order
+	Term      uint64     `json:"term"` // fencing token: an engine refuses one lower than it has seen
+	Model     string     `json:"model"`
+	Version   string     `json:"version"`
+	Layers    LayerRange `json:"layers"`
+	LayerNum  int        `json:"layer_num"`
 }
 
 // CallError is the error of one call to an upstream.
