--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -90,7 +90,7 @@
 		}
 		answer, err := d.attempt(ctx, u, req)
 		if err == nil {
-			d.budget.Success()
+			d.budget.RecordSuccess()
 			return answer, nil
 		}
 		attemptOutcome := outcomeOf(err)
@@ -113,11 +113,11 @@
 	answer, err := d.services.Call(ctx, u.Addr(), req)
 	now := d.clock.Now()
 	if err == nil {
-		u.Succeed(now)
+		u.RecordSuccess(now)
 		d.meters.ServiceCall.Update((now - started).Duration().Seconds())
 		return answer, nil
 	}
-	if u.Fail(now) {
+	if u.RecordFailure(now) {
 		events.UpstreamEjected.Log(d.log, logrus.Fields{"upstream": u.Name(), "cause": err})
 	}
 	return nil, err
--- /dev/null
+++ b/state/fleet/conflict.go
@@ -0,0 +1,111 @@
+package fleet
+
+import (
+	"github.com/sirupsen/logrus"
+
+	"spanrill"
+	"spanrill/events"
+)
+
+// A conflictingEntry has the address of another upstream that is known and answers. Either another
+// process listens there now, or the entry is wrong: the store may have applied a write of a dead
+// process late, or another writer wrote it. The entries don't show which is the case, so the process
+// at the address is asked for its name, and nothing changes until it has answered.
+//
+// Using the newest entry instead failed: an engine that had just started was replaced by a dead
+// one whose late write arrived after a network partition, and counted as removed until its own entry
+// changed again, 1.6 s later in one trace.
+type conflictingEntry struct {
+	entry    spanrill.EngineEntry
+	rejected bool // the address has answered with another name
+}
+
+// AddressConflict is an address that more than one entry has.
+type AddressConflict struct {
+	Addr    string
+	Service string // of the conflicting entry
+	Name    string // of the conflicting entry
+}
+
+// AddressConflicts returns the unresolved conflicts.
+func (t *Table) AddressConflicts() []AddressConflict {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var unresolved []AddressConflict
+	for name, c := range t.conflicts {
+		if !c.rejected {
+			unresolved = append(unresolved, AddressConflict{Addr: c.entry.Addr, Service: c.entry.Service, Name: name})
+		}
+	}
+	return unresolved
+}
+
+// ResolveAddress resolves the conflicts at an address whose process has answered with a name.
+func (t *Table) ResolveAddress(addr, name string) {
+	defer t.notifyRestarts()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for id, c := range t.conflicts {
+		if c.entry.Addr != addr || c.rejected {
+			continue
+		}
+		c.rejected = id != name
+		events.AddressClaimed.Log(t.log, logrus.Fields{"upstream": id, "addr": addr, "answered": name, "taken": !c.rejected})
+		if !c.rejected {
+			t.admitConflicting(id)
+			t.publishView()
+		}
+	}
+}
+
+// admitConflicting adds the upstream of a conflicting entry, which replaces the upstream that had
+// its address. The caller holds the lock.
+func (t *Table) admitConflicting(name string) {
+	entry := t.conflicts[name].entry
+	delete(t.conflicts, name)
+	t.addUpstream(entry)
+}
+
+// inConflict reports whether an entry has the address of another upstream that is in use, and
+// records the conflict if so. The caller holds the lock.
+func (t *Table) inConflict(entry spanrill.EngineEntry) bool {
+	if t.addrHolder(entry) == nil {
+		delete(t.conflicts, entry.ID)
+		return false
+	}
+	c := t.conflicts[entry.ID]
+	if c == nil || c.entry.Addr != entry.Addr {
+		c = &conflictingEntry{}
+		t.conflicts[entry.ID] = c
+	}
+	if c.entry.Revision <= entry.Revision {
+		c.entry = entry
+	}
+	return true
+}
+
+// addrHolder returns another upstream at the address of an entry, or nil if there is none, or if it
+// is dead or its entry is held. The caller holds the lock.
+func (t *Table) addrHolder(entry spanrill.EngineEntry) *Upstream {
+	u := t.byAddr[entry.Addr]
+	if u == nil || u.Name() == entry.ID || u.Dead() {
+		return nil
+	}
+	if _, lapsed := t.held[u.Name()]; lapsed {
+		return nil
+	}
+	return u
+}
+
+// admitResolved admits the conflicting entries whose address has become free, and reports whether
+// there were any. The caller holds the lock.
+func (t *Table) admitResolved() bool {
+	admitted := false
+	for name, c := range t.conflicts {
+		if t.addrHolder(c.entry) == nil {
+			t.admitConflicting(name)
+			admitted = true
+		}
+	}
+	return admitted
+}
