--- a/cli/spanrillcmd/root.go
+++ b/cli/spanrillcmd/root.go
@@ -66,7 +66,7 @@
 		return exitBadInput
 	case errors.As(err, &conflict):
 		return exitConflict
-	case errors.Is(err, config.ErrUnsettled):
+	case errors.Is(err, config.ErrUnknownOutcome):
 		return exitUnsettled
 	case errors.Is(err, spanrill.ErrUnavailable):
 		return exitUnavailable
--- a/cli/spanrilldcmd/gateway.go
+++ b/cli/spanrilldcmd/gateway.go
@@ -96,7 +96,7 @@
 				return
 			case <-hups:
 				_, err := settings.LoadGateway(path)
-				events.SettingsRead.Log(log, logrus.Fields{"file": path, "error": err})
+				events.SettingsReloaded.Log(log, logrus.Fields{"file": path, "error": err})
 			}
 		}
 	}()
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -114,7 +114,7 @@
 	now := d.clock.Now()
 	if err == nil {
 		u.RecordSuccess(now)
-		d.meters.ServiceCall.Update((now - started).Duration().Seconds())
+		d.meters.ServiceCallTime.Update((now - started).Duration().Seconds())
 		return answer, nil
 	}
 	if u.RecordFailure(now) {
@@ -142,7 +142,7 @@
 	refusal := spanrill.NewRefusal(reason, "service call failed: %v", err).WithOutcome(requestOutcome)
 	switch {
 	case attemptOutcome != spanrill.OutcomeNotRun && !req.Repeatable:
-		events.CallUncertain.Log(d.log, logrus.Fields{"path": req.Path, "cause": err})
+		events.CallOutcomeUnknown.Log(d.log, logrus.Fields{"path": req.Path, "cause": err})
 		return refusal
 	case ctx.Err() != nil || attempt >= d.maxAttempts:
 		return refusal.WithRetryAfter(spanrill.Second)
@@ -150,7 +150,7 @@
 		return spanrill.NewRefusal(spanrill.ReasonRetryBudget, "retry budget spent: %v", err).
 			WithOutcome(requestOutcome).WithRetryAfter(spanrill.Second)
 	}
-	d.meters.Retried(retryReason(attemptOutcome))
+	d.meters.CountRetry(retryReason(attemptOutcome))
 	return nil
 }
 
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -233,7 +233,7 @@
 	if err := e.syncConfig(ctx, m, news.Revision); err != nil {
 		return err
 	}
-	e.state.Config.Prove(news.Revision, sent-news.ProofAge)
+	e.state.Config.ConfirmUnchanged(news.Revision, sent-news.ProofAge)
 	return e.syncEntries(ctx, m, &news, sent)
 }
 
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -112,8 +112,8 @@
 	if err != nil {
 		panic(err)
 	}
-	d.config.Take(routes.New(config), value, revision)
-	d.config.Prove(revision, at)
+	d.config.Update(routes.New(config), value, revision)
+	d.config.ConfirmUnchanged(revision, at)
 }
 
 // A daemon that cannot read the store takes a newer configuration from a peer, and with it the
@@ -127,7 +127,7 @@
 	if got := here.config.Table().Version(); got != 5 {
 		t.Fatalf("active version %d, want 5", got)
 	}
-	if got := here.config.ProvedAt(); got != asked-400 {
+	if got := here.config.ConfirmedAt(); got != asked-400 {
 		t.Fatalf("proved at %d, want %d: 400 ms before the request", got, asked-400)
 	}
 }
@@ -137,10 +137,10 @@
 	c, here, there, _ := pair(1)
 	there.take(4, 40, c.Now())
 	here.take(5, 50, c.Now()-3000)
-	proved := here.config.ProvedAt()
+	proved := here.config.ConfirmedAt()
 	here.exchange.Round(context.Background())
-	if here.config.Table().Version() != 5 || here.config.ProvedAt() != proved {
-		t.Fatalf("version %d, proved at %d", here.config.Table().Version(), here.config.ProvedAt())
+	if here.config.Table().Version() != 5 || here.config.ConfirmedAt() != proved {
+		t.Fatalf("version %d, proved at %d", here.config.Table().Version(), here.config.ConfirmedAt())
 	}
 }
 
--- a/coordination/exchange/fetch.go
+++ b/coordination/exchange/fetch.go
@@ -17,14 +17,14 @@
 // usually have the same one, so fetches run one at a time: several large messages at once would
 // fill a slow link.
 func (e *Exchange) syncConfig(ctx context.Context, m peermsg.Member, revision uint64) error {
-	if e.state.Config.Seen(revision) {
+	if e.state.Config.Handled(revision) {
 		return nil
 	}
 	if err := e.acquireFetch(ctx); err != nil {
 		return err
 	}
 	defer e.releaseFetch()
-	if e.state.Config.Seen(revision) {
+	if e.state.Config.Handled(revision) {
 		return nil
 	}
 	return e.fetchConfig(ctx, m)
@@ -97,7 +97,7 @@
 		events.ConfigRejected.Log(e.log, logrus.Fields{"peer": m.Name, "revision": c.Revision, "error": err})
 		return err
 	}
-	if e.state.Config.Take(routes.New(config), value, c.Revision) {
+	if e.state.Config.Update(routes.New(config), value, c.Revision) {
 		events.ConfigFromPeer.Log(e.log, logrus.Fields{"peer": m.Name, "revision": c.Revision, "config": config.Version})
 	}
 	return nil
--- a/coordination/exchange/loans.go
+++ b/coordination/exchange/loans.go
@@ -46,7 +46,7 @@
 		return 0 // the next daemon is asked; retries lent in a late answer expire unused
 	}
 	if math.IsNaN(loan.Retries) || loan.Retries < 0 || loan.Retries > want {
-		events.BadLoan.Log(e.log, logrus.Fields{"peer": m.Name, "service": service, "want": want, "loan": loan.Retries})
+		events.LoanInvalid.Log(e.log, logrus.Fields{"peer": m.Name, "service": service, "want": want, "loan": loan.Retries})
 		return 0
 	}
 	return loan.Retries
--- a/coordination/exchange/suspects.go
+++ b/coordination/exchange/suspects.go
@@ -31,6 +31,6 @@
 		marks[i] = suspect.Mark{Content: suspect.Content(m.Content), Upstream: m.Upstream, Age: m.Age, Fresh: m.Fresh, Trial: m.Trial}
 	}
 	if added := e.state.Suspects.Merge(marks); added > 0 {
-		events.SuspectsHeard.Log(e.log, logrus.Fields{"marks": len(marks), "news": added})
+		events.SuspectsReceived.Log(e.log, logrus.Fields{"marks": len(marks), "news": added})
 	}
 }
--- a/coordination/exchange/tree.go
+++ b/coordination/exchange/tree.go
@@ -31,7 +31,7 @@
 		e.lastAddedAt.Store(int64(e.clock.Now()))
 	}
 	if settled := e.Settled(); settled != e.wasSettled.Swap(settled) && settled {
-		events.FleetKnown.Log(e.log, logrus.Fields{"daemons": 1 + others})
+		events.FleetSizeKnown.Log(e.log, logrus.Fields{"daemons": 1 + others})
 	}
 	var out []recipient
 	if others > fanout {
--- a/coordination/layoutrun/executor.go
+++ b/coordination/layoutrun/executor.go
@@ -115,7 +115,7 @@
 	}
 	term, state, err := x.callPlace(ctx, report)
 	if errors.Is(err, errLeaseLost) {
-		x.log(events.OrderWaits, logrus.Fields{"why": "lease lost"})
+		x.log(events.OrderDelayed, logrus.Fields{"why": "lease lost"})
 		return false
 	}
 	x.sent++
--- a/coordination/layoutrun/pace.go
+++ b/coordination/layoutrun/pace.go
@@ -85,7 +85,7 @@
 // handleSlowChange logs that an engine has become slow or has recovered, and has the chains
 // derived again.
 func (p *Placer) handleSlowChange(u *fleet.Upstream) {
-	event := events.UpstreamBack
+	event := events.UpstreamRecovered
 	if u.Slow() {
 		event = events.UpstreamSlow
 	}
--- a/coordination/layoutrun/placer.go
+++ b/coordination/layoutrun/placer.go
@@ -158,7 +158,7 @@
 	if len(moves) == 0 {
 		return
 	}
-	events.LayoutMade.Log(p.log, logrus.Fields{"service": s.Name, "engines": len(engines), "moves": len(moves), "first": moves[0].String(), "why": moves[0].Reason, "view": p.table.View().Version()})
+	events.LayoutPlanned.Log(p.log, logrus.Fields{"service": s.Name, "engines": len(engines), "moves": len(moves), "first": moves[0].String(), "why": moves[0].Reason, "view": p.table.View().Version()})
 	for _, m := range moves {
 		p.startOrder(ctx, s, m)
 	}
--- a/coordination/layoutrun/verify.go
+++ b/coordination/layoutrun/verify.go
@@ -79,7 +79,7 @@
 		return nil
 	}
 	v.lost, v.leaving = lost, leaves
-	events.UpstreamDoubted.Log(p.log, logrus.Fields{
+	events.UpstreamVerified.Log(p.log, logrus.Fields{
 		"upstream": u.ID(), "lost": lost, "leaves": leaves, "error": err,
 		"waiting": report.Waiting, "kv_used": report.KVUsed, "kv_total": report.KVTotal,
 	})
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -314,7 +314,7 @@
 	defer l.mu.Unlock()
 	if l.term != r.Term {
 		l.acquiredAt = l.clock.Now()
-		events.LeaseTaken.Log(l.log, logrus.Fields{"duty": l.duty, "term": r.Term})
+		events.LeaseAcquired.Log(l.log, logrus.Fields{"duty": l.duty, "term": r.Term})
 	}
 	l.term, l.expiresAt = r.Term, sent+r.Duration
 	l.restore.highestTerm = max(l.restore.highestTerm, r.Term)
@@ -356,6 +356,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), handBackTimeout.Duration())
 	defer cancel()
 	if _, err := l.store.Put(ctx, l.key(), value, v); err == nil {
-		events.LeaseHanded.Log(l.log, logrus.Fields{"duty": l.duty, "term": term})
+		events.LeaseHandedBack.Log(l.log, logrus.Fields{"duty": l.duty, "term": term})
 	}
 }
--- a/coordination/membership/state.go
+++ b/coordination/membership/state.go
@@ -84,7 +84,7 @@
 	case to == left:
 		return events.PeerLeft
 	case to == suspected:
-		return events.PeerSuspect
+		return events.PeerSuspected
 	case to == dead:
 		return events.PeerLost
 	case from == suspected:
@@ -99,7 +99,7 @@
 
 func newEventLimiters(clock spanrill.Clock) map[events.Event]*events.Limiter {
 	limiters := map[events.Event]*events.Limiter{}
-	for _, e := range []events.Event{events.PeerLeft, events.PeerSuspect, events.PeerLost, events.PeerReturned, events.PeerJoined} {
+	for _, e := range []events.Event{events.PeerLeft, events.PeerSuspected, events.PeerLost, events.PeerReturned, events.PeerJoined} {
 		limiters[e] = events.NewLimiter(clock, maxEventsPerSecond)
 	}
 	return limiters
--- a/coordination/pipeline/generation.go
+++ b/coordination/pipeline/generation.go
@@ -79,9 +79,9 @@
 	case !g.runner.budget.Take():
 		return g.refuse(spanrill.ReasonRetryBudget, "the chain failed and the retry budget is spent: %v", f.cause)
 	}
-	g.runner.meters.Retried(f.reason)
+	g.runner.meters.CountRetry(f.reason)
 	if len(g.generated) > 0 {
-		g.runner.meters.Resumed.Inc()
+		g.runner.meters.StreamsResumed.Inc()
 		events.StreamResumed.Log(g.runner.log, logrus.Fields{
 			"request": g.req.ID, "after_token": len(g.generated), "cause": f.cause,
 		})
@@ -188,10 +188,10 @@
 func (g *generation) deliver(ev *spanrill.RunEvent, chain []*load.Upstream, lastToken *spanrill.Millis) error {
 	now := g.runner.clock.Now()
 	if len(g.generated) == 0 {
-		g.runner.meters.FirstToken.Update((now - g.started).Duration().Seconds())
+		g.runner.meters.TimeToFirstToken.Update((now - g.started).Duration().Seconds())
 		g.result.cachedTokens = ev.CachedTokens
 	} else {
-		g.runner.meters.BetweenTokens.Update((now - *lastToken).Duration().Seconds())
+		g.runner.meters.TimeBetweenTokens.Update((now - *lastToken).Duration().Seconds())
 	}
 	*lastToken = now
 	g.result.promptTokens = ev.PromptTokens
--- a/coordination/placement/placer.go
+++ b/coordination/placement/placer.go
@@ -143,7 +143,7 @@
 	}
 	fields := logrus.Fields{"upstream": m.Engine, "model": m.Model.Name, "layers": m.Layers, "term": term, "why": m.Reason}
 	if !site.ChecksFence(m.Engine) && !p.lease.HeldFor(orderTimeout+orderTimeout/2) {
-		events.OrderWaits.Log(p.log, fields)
+		events.OrderDelayed.Log(p.log, fields)
 		return
 	}
 	u := p.table.Upstream(m.Engine)
--- a/coordination/probe/identify.go
+++ b/coordination/probe/identify.go
@@ -53,7 +53,7 @@
 	defer cancel()
 	name, err := n.identifier.Identify(ctx, c.Addr, healthPath)
 	if err != nil {
-		events.AddressSilent.Log(n.log, logrus.Fields{"upstream": c.Name, "addr": c.Addr, "error": err})
+		events.AddressConflictUnanswered.Log(n.log, logrus.Fields{"upstream": c.Name, "addr": c.Addr, "error": err})
 		return err
 	}
 	table.ResolveAddress(c.Addr, name)
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -261,7 +261,7 @@
 // recordResult sets the state of an engine from the result of a query and logs changes.
 func (p *Prober) recordResult(u *fleet.Upstream, q *query) {
 	if spanrill.IsLocalResourceError(q.err) {
-		events.ConnectionsLacking.Log(p.log, logrus.Fields{"upstream": u.ID(), "addr": u.Addr(), "error": q.err})
+		events.LocalResourcesExhausted.Log(p.log, logrus.Fields{"upstream": u.ID(), "addr": u.Addr(), "error": q.err})
 		return // without descriptors, this daemon would take all engines for dead
 	}
 	dead := q.err != nil
@@ -275,7 +275,7 @@
 	if !u.SetDead(dead) {
 		return
 	}
-	event, fields := events.UpstreamBack, logrus.Fields{"upstream": u.ID(), "addr": u.Addr()}
+	event, fields := events.UpstreamRecovered, logrus.Fields{"upstream": u.ID(), "addr": u.Addr()}
 	if dead {
 		event = events.UpstreamEjected
 		fields["why"], fields["error"] = "did not answer a probe", q.err
--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -131,7 +131,7 @@
 	if !g.mayRepeat(failure) {
 		return g.giveUpRefusal(failure)
 	}
-	g.relay.Meters.Retried(failure.retry)
+	g.relay.Meters.CountRetry(failure.retry)
 	g.logRetry(failed, failure.retry.String(), failure.outcome, failure.cause)
 	return nil
 }
@@ -154,7 +154,7 @@
 	if g.relay.Budgets.Of(g.service.Name).TakeOrBorrow(g.ctx, use) {
 		return true
 	}
-	g.relay.Meters.Refused(spanrill.ReasonRetryBudget)
+	g.relay.Meters.CountRefusal(spanrill.ReasonRetryBudget)
 	return false
 }
 
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -127,7 +127,7 @@
 func (r *Relay) reportTerminatedUpstreams() {
 	now := r.Clock.Now()
 	for _, attempt := range r.brokenAttempts.take(now) {
-		r.Meters.EndedUnder.Inc()
+		r.Meters.UpstreamCrashes.Inc()
 		verdict := r.Suspects.RecordLoss(attempt.content, suspect.Loss{
 			Upstream: nameHash(attempt.upstream), At: attempt.brokeAt, Fresh: attempt.streamedFor <= suspect.FreshTime,
 		})
@@ -137,7 +137,7 @@
 				"content": attempt.content.String(), "request": attempt.request, "losses": verdict.Losses(), "proved": verdict.Proved(),
 			})
 		}
-		r.failureLog.Log(events.UpstreamEndedUnder, r.Log, func() logrus.Fields {
+		r.failureLog.Log(events.UpstreamCrashed, r.Log, func() logrus.Fields {
 			return logrus.Fields{
 				"upstream": attempt.upstream.ID(), "addr": attempt.upstream.Addr(), "request": attempt.request, "content": attempt.content.String(),
 				"ran_ms": attempt.streamedFor, "found_after_ms": now - attempt.brokeAt,
--- a/coordination/relay/callers.go
+++ b/coordination/relay/callers.go
@@ -49,7 +49,7 @@
 		defer c.mu.Unlock()
 		delete(c.conns, id)
 		if caller.left {
-			c.meters.CallerGone.Update(float64(c.clock.Now()-caller.lastSeen) / float64(spanrill.Second))
+			c.meters.CallerGoneDelay.Update(float64(c.clock.Now()-caller.lastSeen) / float64(spanrill.Second))
 		}
 	}
 }
--- a/coordination/relay/continuation.go
+++ b/coordination/relay/continuation.go
@@ -88,11 +88,11 @@
 	}
 	if !r.Budgets.Of(g.service.Name).TakeOrBorrow(g.ctx, g.retryUse()) {
 		path.Release()
-		r.Meters.Refused(spanrill.ReasonRetryBudget)
+		r.Meters.CountRefusal(spanrill.ReasonRetryBudget)
 		g.logNoOtherPath(errNoBudget)
 		return false
 	}
-	r.Meters.Retried(retryReason(cause))
+	r.Meters.CountRetry(retryReason(cause))
 	g.launchContinuation(path, cause)
 	return true
 }
@@ -295,7 +295,7 @@
 }
 
 func (g *generation) logContinuation(c *continuation) {
-	g.relay.failureLog.Log(events.StreamContinues, g.relay.Log, func() logrus.Fields {
+	g.relay.failureLog.Log(events.ContinuationSent, g.relay.Log, func() logrus.Fields {
 		f := g.logFields()
 		f["why"], f["path"], f["running"], f["begun"] = c.cause, c.path.String(), g.path != nil, g.begun
 		f["silent_ms"], f["budget_left"] = g.relay.Clock.Now()-g.lastEventAt, g.relay.Budgets.Of(g.service.Name).Remaining()
@@ -307,7 +307,7 @@
 }
 
 func (g *generation) logNotAccepted(c *continuation) {
-	g.relay.failureLog.Log(events.StreamNotAccepted, g.relay.Log, func() logrus.Fields {
+	g.relay.failureLog.Log(events.ContinuationRejected, g.relay.Log, func() logrus.Fields {
 		f := g.logFields()
 		f["path"], f["error"], f["outcome"], f["running"] = c.path.String(), c.failure, c.failure.outcome.String(), g.path != nil
 		return f
--- a/coordination/relay/log.go
+++ b/coordination/relay/log.go
@@ -77,7 +77,7 @@
 		return
 	}
 	g.noOtherPathLogged = true
-	g.relay.routineLog.Log(events.RequestWaits, g.relay.Log, func() logrus.Fields {
+	g.relay.routineLog.Log(events.NoOtherPath, g.relay.Log, func() logrus.Fields {
 		f := g.logFields()
 		f["why"], f["considered"], f["running"] = err, consideredChains(err), g.path != nil
 		return f
@@ -114,7 +114,7 @@
 }
 
 func (q *request) logCallerLeft(sent bool) {
-	q.relay.routineLog.Log(events.CallerGone, q.relay.Log, func() logrus.Fields {
+	q.relay.routineLog.Log(events.CallerLeft, q.relay.Log, func() logrus.Fields {
 		f := q.logFields()
 		f["sent"] = sent
 		return f
--- a/coordination/relay/maysend.go
+++ b/coordination/relay/maysend.go
@@ -26,7 +26,7 @@
 	q.sends++
 	if q.trial.RecordSent() {
 		q.relay.OnSuspected(q.content)
-		events.RequestTried.Log(q.relay.Log, logrus.Fields{"content": q.content.String(), "request": q.head.ID})
+		events.RequestTrialSent.Log(q.relay.Log, logrus.Fields{"content": q.content.String(), "request": q.head.ID})
 	}
 }
 
--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -39,7 +39,7 @@
 		if last.isFinal() || q.ctx.Err() != nil || !q.mayRetry(&last) {
 			break
 		}
-		q.relay.Meters.Retried(last.retry)
+		q.relay.Meters.CountRetry(last.retry)
 		q.logRetry(u, last.retry.String(), last.outcome, last.err)
 	}
 	q.answerPlain(&last)
@@ -86,7 +86,7 @@
 	if q.relay.Budgets.Of(q.service.Name).TakeOrBorrow(q.ctx, use) {
 		return true
 	}
-	q.relay.Meters.Refused(spanrill.ReasonRetryBudget)
+	q.relay.Meters.CountRefusal(spanrill.ReasonRetryBudget)
 	return false
 }
 
@@ -153,9 +153,9 @@
 		q.http.SetConnectionClose()
 	}
 	q.recordServed()
-	r.Meters.Ended(spanrill.OutcomeRan)
+	r.Meters.CountOutcome(spanrill.OutcomeRan)
 	if !q.route.Chained {
-		r.Meters.ServiceCall.Update(float64(r.Clock.Now()-q.start) / float64(spanrill.Second))
+		r.Meters.ServiceCallTime.Update(float64(r.Clock.Now()-q.start) / float64(spanrill.Second))
 	}
 	q.logEnded(a.resp.StatusCode(), logrus.Fields{"upstream": a.upstream.ID(), "bytes": len(a.resp.Body())})
 }
--- a/coordination/relay/refuse.go
+++ b/coordination/relay/refuse.go
@@ -21,8 +21,8 @@
 // is never sent with one of these.
 func (q *request) refuse(refusal *spanrill.Refusal) {
 	r := q.relay
-	r.Meters.Refused(refusal.Reason())
-	r.Meters.Ended(refusal.Outcome())
+	r.Meters.CountRefusal(refusal.Reason())
+	r.Meters.CountOutcome(refusal.Outcome())
 	status := statusOf(refusal)
 	if q.hasRun.Load() && promisesNotRun(status) {
 		r.Meters.RefusedAfterRun.Inc()
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -209,7 +209,7 @@
 	if refusal := q.matchRoute(); refusal != nil {
 		return refusal
 	}
-	q.service = q.table.Service(routes.Choose(q.route, r.Random.Float64()))
+	q.service = q.table.Service(routes.ChooseService(q.route, r.Random.Float64()))
 	if q.service == nil {
 		return spanrill.NewRefusal(spanrill.ReasonNoUpstream, "route %s has no service", q.route.Name).WithRetryAfter(notReadyRetryAfter)
 	}
--- a/coordination/relay/stream.go
+++ b/coordination/relay/stream.go
@@ -85,12 +85,12 @@
 	g, now := b.g, b.g.relay.Clock.Now()
 	seconds := float64(now-b.lastEventAt) / float64(spanrill.Second)
 	if g.begun {
-		g.relay.Meters.BetweenTokens.Update(seconds)
+		g.relay.Meters.TimeBetweenTokens.Update(seconds)
 		b.longestPause = max(b.longestPause, now-b.lastEventAt)
 		g.firstEngine.RecordEventGap((now - b.lastEventAt) / spanrill.Millis(count))
 	} else {
 		b.firstEventDelay = now - g.start
-		g.relay.Meters.FirstToken.Update(float64(now-g.start) / float64(spanrill.Second))
+		g.relay.Meters.TimeToFirstToken.Update(float64(now-g.start) / float64(spanrill.Second))
 		g.firstEngine.RecordLag(now, float64(now-g.sentAt)/g.expectedFirstEvent()/slowFirstEventFactor)
 		g.begun = true
 		for _, p := range g.path.Parts() {
@@ -165,8 +165,8 @@
 	g.adoptContinuation()
 	b.framer.dropPartial()
 	b.resumed++
-	g.relay.Meters.Resumed.Inc()
-	g.relay.failureLog.Log(events.StreamTaken, g.relay.Log, func() logrus.Fields {
+	g.relay.Meters.StreamsResumed.Inc()
+	g.relay.failureLog.Log(events.ContinuationAdopted, g.relay.Log, func() logrus.Fields {
 		f := g.logFields()
 		f["path"], f["behind_event"], f["silent_ms"], f["why"] = g.path.String(), b.framer.lastID, g.relay.Clock.Now()-b.lastEventAt, cause
 		return f
@@ -200,7 +200,7 @@
 		if g.head.LastEventID == "" {
 			g.relay.eventTokens.recordAnswer(g.service.Name, b.events)
 		}
-		g.relay.Meters.Ended(spanrill.OutcomeRan)
+		g.relay.Meters.CountOutcome(spanrill.OutcomeRan)
 	}
 	b.logEnd(whole)
 	g.release()
--- a/coordination/relay/watch.go
+++ b/coordination/relay/watch.go
@@ -234,7 +234,7 @@
 	if silent < logSilenceAfter || silent >= logSilenceAfter+g.watchGap() {
 		return
 	}
-	g.relay.failureLog.Log(events.RequestQuiet, g.relay.Log, func() logrus.Fields {
+	g.relay.failureLog.Log(events.PathSilent, g.relay.Log, func() logrus.Fields {
 		f := g.logFields()
 		f["silent_ms"], f["begun"], f["path"], f["tokens"] = silent, g.begun, g.path.String(), g.firstEngine.Tokens()
 		for id, r := range reports {
@@ -276,7 +276,7 @@
 	next, err := r.Router.Replace(g.service.Name, g.service.Model, g.path, g.pathNeed(true), sameZone)
 	if err != nil {
 		if !sameZone {
-			g.logMove(events.MoveFailed, g.path, err)
+			g.logMove(events.RequestMoveFailed, g.path, err)
 		}
 		return false
 	}
@@ -285,7 +285,7 @@
 	defer cancel()
 	if err := r.Engines.Reroute(ctx, g.firstEngine.Addr(), g.head.ID, next.Wire()); err != nil {
 		g.failedMoves++
-		g.logMove(events.MoveFailed, next, err)
+		g.logMove(events.RequestMoveFailed, next, err)
 		next.Release()
 		return false
 	}
--- a/coordination/suspect/keeper.go
+++ b/coordination/suspect/keeper.go
@@ -97,7 +97,7 @@
 	k.loaded = k.loaded && k.era() == k.loadedEra
 	if err := k.writeIfChanged(ctx); err != nil {
 		k.retryAt = k.clock.Now() + errorBackoff
-		events.SuspectsNotKept.Log(k.log, logrus.Fields{"error": err})
+		events.SuspectsStoreFailed.Log(k.log, logrus.Fields{"error": err})
 	}
 }
 
@@ -123,7 +123,7 @@
 		return fmt.Errorf("write marks: %w", err)
 	}
 	k.version, k.writtenDigest = version, digest
-	events.SuspectsKept.Log(k.log, logrus.Fields{"marks": len(marks)})
+	events.SuspectsStored.Log(k.log, logrus.Fields{"marks": len(marks)})
 	return nil
 }
 
@@ -138,12 +138,12 @@
 	}
 	var stored storedMarks
 	if err := json.Unmarshal(object.Value, &stored); err != nil {
-		events.SuspectsNotKept.Log(k.log, logrus.Fields{"error": fmt.Errorf("decode marks: %w", err)}) // the next write replaces it
+		events.SuspectsStoreFailed.Log(k.log, logrus.Fields{"error": fmt.Errorf("decode marks: %w", err)}) // the next write replaces it
 	}
 	marks := k.decode(stored)
 	added := k.ledger.Merge(marks)
 	k.loaded, k.version, k.writtenDigest = true, object.Version, k.digestOf(marks)
-	events.SuspectsRead.Log(k.log, logrus.Fields{"marks": len(stored.Marks), "news": added})
+	events.SuspectsLoaded.Log(k.log, logrus.Fields{"marks": len(stored.Marks), "news": added})
 	return nil
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -130,7 +130,7 @@
 		return fmt.Errorf("build peers: %w", err)
 	}
 	d.follower = config.NewFollower(d.platform, config.WithClock(d.clock), config.WithLogger(d.log),
-		config.WithJitter(d.jitter), config.WithOnChange(d.configChanged), config.WithWatches(d.peers.watchesStore))
+		config.WithJitter(d.jitter), config.WithOnChange(d.configChanged), config.WithWatchesHead(d.peers.watchesStore))
 	engines, services := engineapi.New(d.http), serviceapi.New(d.http)
 	d.engines = engines
 	d.observer = observe.New(d.platform, engines, services, d.table, d.clock, observe.WithLogger(d.log),
@@ -254,7 +254,7 @@
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
-	events.PartFailed.Log(d.log, logrus.Fields{"part": name, "error": err})
+	events.ComponentFailed.Log(d.log, logrus.Fields{"part": name, "error": err})
 	select {
 	case failed <- fmt.Errorf("part %s: %w", name, err):
 	default:
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -26,7 +26,7 @@
 	limit := d.clock.Now() + d.settings.Drain.Finish
 	for d.api.InFlight() > 0 {
 		if d.clock.Now() > limit {
-			events.DaemonDrainLate.Log(d.log, logrus.Fields{"in_flight": d.api.InFlight()})
+			events.DaemonDrainTimedOut.Log(d.log, logrus.Fields{"in_flight": d.api.InFlight()})
 			return
 		}
 		<-d.clock.After(drainPoll)
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -31,7 +31,7 @@
 	}
 	current := s.g.config
 	if spanrill.EraOf(at) == spanrill.EraOf(current.Revision()) {
-		current.Prove(current.Revision(), sent)
+		current.ConfirmUnchanged(current.Revision(), sent)
 	}
 }
 
@@ -46,14 +46,14 @@
 		return
 	}
 	previous := g.config.Table()
-	if g.config.Take(routes.New(config), item.Value, item.Revision) {
-		events.ConfigInForce.Log(g.log, logrus.Fields{
+	if g.config.Update(routes.New(config), item.Value, item.Revision) {
+		events.ConfigActivated.Log(g.log, logrus.Fields{
 			"config": config.Version, "revision": item.Revision, "routes": len(config.Routes),
 			"services": len(config.Services), "accounts": len(config.Accounts), "bytes": len(item.Value),
 		})
 		g.logWithdrawnKeys(previous)
 	}
-	g.config.Prove(item.Revision, sent)
+	g.config.ConfirmUnchanged(item.Revision, sent)
 }
 
 // logWithdrawnKeys logs how many keys a new configuration has removed.
@@ -61,8 +61,8 @@
 	if previous == nil {
 		return
 	}
-	if withdrawn := previous.KeysNotIn(g.config.Table()); withdrawn > 0 {
-		events.KeyWithdrawn.Log(g.log, logrus.Fields{"keys": withdrawn, "config": g.config.Table().Version()})
+	if withdrawn := previous.CountKeysNotIn(g.config.Table()); withdrawn > 0 {
+		events.KeysWithdrawn.Log(g.log, logrus.Fields{"keys": withdrawn, "config": g.config.Table().Version()})
 	}
 }
 
@@ -73,8 +73,8 @@
 		return
 	}
 	g.reportedTable = table
-	for _, value := range table.Odd() {
-		events.ConfigOdd.Log(g.log, logrus.Fields{"value": value, "config": table.Version()})
+	for _, value := range table.ImplausibleValues() {
+		events.ConfigImplausible.Log(g.log, logrus.Fields{"value": value, "config": table.Version()})
 	}
 }
 
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -217,8 +217,8 @@
 		Suspects: suspect.New(d),
 	}, d, log, rng.New(seed+1000))
 	g.configs = follow.New(d, d, g.fleet)
-	g.upstreams = follow.New(d, d, g.fleet, follow.WithDue(func() spanrill.Millis { return 0 }), follow.WithAt(g.fleet.Revision),
-		follow.WithJitter(g.random.Float64), follow.WithLongestPause(g.maxRetryPause), follow.WithLogger(log, "upstreams"))
+	g.upstreams = follow.New(d, d, g.fleet, follow.WithPollDelay(func() spanrill.Millis { return 0 }), follow.WithKnownRevision(g.fleet.Revision),
+		follow.WithJitter(g.random.Float64), follow.WithMaxRetryDelay(g.maxRetryPause), follow.WithLogger(log, "upstreams"))
 	d.Gateway = g
 	return d
 }
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -131,7 +131,7 @@
 
 // storeUnresponsive reports whether the store has not answered this daemon for unresponsiveAfter.
 func (g *Gateway) storeUnresponsive() bool {
-	return max(g.configs.Unanswered(), g.upstreams.Unanswered()) > unresponsiveAfter
+	return max(g.configs.UnresponsiveFor(), g.upstreams.UnresponsiveFor()) > unresponsiveAfter
 }
 
 // firstAskDelay returns how long after its start a daemon lists the store, unless a peer has
@@ -241,7 +241,7 @@
 const (
 	// secondCallTime is what a second store call takes without faults: the pause before it, a
 	// new connection, and the answer.
-	secondCallTime = follow.FirstPause + 2*maxStoreLatency
+	secondCallTime = follow.InitialRetryDelay + 2*maxStoreLatency
 	// minCallTimeout is what a store call may take in any case: 60 times its usual answer
 	// time of 4 ms.
 	minCallTimeout spanrill.Millis = 250
@@ -333,7 +333,7 @@
 
 // storeSilent reports whether store calls of this daemon have failed or hung for storeSilence.
 func (g *Gateway) storeSilent() bool {
-	return max(g.configs.Unanswered(), g.upstreams.Unanswered()) > storeSilence
+	return max(g.configs.UnresponsiveFor(), g.upstreams.UnresponsiveFor()) > storeSilence
 }
 
 // storeSilence is how long store calls fail or hang before other daemons are told: 75 times the
@@ -347,7 +347,7 @@
 	if g.exchange.AggregationRounds() > 1 && g.askRank() >= rankedDaemons {
 		return maxUnrankedPause
 	}
-	return follow.LongestPause
+	return follow.MaxRetryDelay
 }
 
 // maxUnrankedPause is a third of the time for which a confirmation of the configuration is valid.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -257,15 +257,15 @@
 
 // buildFollowers builds the followers of the store's collections.
 func (g *Gateway) buildFollowers(config, upstreams spanrill.Collection) {
-	jitter, patience := follow.WithJitter(g.random.Float64), follow.WithLongestPause(g.maxRetryPause)
+	jitter, patience := follow.WithJitter(g.random.Float64), follow.WithMaxRetryDelay(g.maxRetryPause)
 	g.startedAt = g.clock.Now()
 	g.askStoreAt = g.startedAt + firstAskDelay(g.isSeed(), g.random.Float64())
 	g.maxCallerWait = randomCallerWait(g.random.Float64())
-	first := follow.WithFirst(g.firstListDue)
-	g.configs = follow.New(config, g.clock, configSink{g}, follow.WithDue(g.configDue), follow.WithAt(g.config.Revision), first, jitter, patience,
+	first := follow.WithListDelay(g.firstListDue)
+	g.configs = follow.New(config, g.clock, configSink{g}, follow.WithPollDelay(g.configDue), follow.WithKnownRevision(g.config.Revision), first, jitter, patience,
 		follow.WithLogger(g.log, "configuration"))
-	g.upstreams = follow.New(upstreams, g.clock, g.fleet, follow.WithDue(g.upstreamsDue), follow.WithAt(g.fleet.Revision), first, jitter, patience,
-		follow.WithLimit(g.upstreamsCallTimeout), follow.WithBehind(g.configs), follow.WithLogger(g.log, "upstreams"))
+	g.upstreams = follow.New(upstreams, g.clock, g.fleet, follow.WithPollDelay(g.upstreamsDue), follow.WithKnownRevision(g.fleet.Revision), first, jitter, patience,
+		follow.WithFirstCallTimeout(g.upstreamsCallTimeout), follow.WithPrimary(g.configs), follow.WithLogger(g.log, "upstreams"))
 }
 
 // assumedDaemons is the fleet size that is assumed until peers are known. It is more than
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -79,7 +79,7 @@
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
-	events.PartFailed.Log(g.log, logrus.Fields{"part": name, "error": err})
+	events.ComponentFailed.Log(g.log, logrus.Fields{"part": name, "error": err})
 	select {
 	case failed <- fmt.Errorf("part %s: %w", name, err):
 	default:
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -37,7 +37,7 @@
 		}
 		<-g.clock.After(drainPoll)
 	}
-	events.DaemonDrainLate.Log(g.log, logrus.Fields{"in_flight": g.relay.InFlight()})
+	events.DaemonDrainTimedOut.Log(g.log, logrus.Fields{"in_flight": g.relay.InFlight()})
 }
 
 // close closes all listeners and upstream connections.
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -64,22 +64,22 @@
 	// Tokens counts tokens delivered to callers.
 	Tokens *metrics.Counter
 	// StreamsResumed counts streams that continued on another chain.
-	Resumed *metrics.Counter
+	StreamsResumed *metrics.Counter
 	// CallersLeft counts callers that left before their answer was complete.
 	CallersLeft *metrics.Counter
 	// CallerGoneDelay is the time for which work went on for a caller that left: from the last check
 	// at which it was still connected to the end of all work for it, in seconds.
-	CallerGone *metrics.Histogram
+	CallerGoneDelay *metrics.Histogram
 	// RefusedAfterRun counts refusals that state that the request has not run although an upstream
 	// answered that it has. It must stay at zero.
 	RefusedAfterRun *metrics.Counter
 	// UpstreamCrashes counts requests under which an upstream crashed.
-	EndedUnder *metrics.Counter
+	UpstreamCrashes *metrics.Counter
 	// UpstreamRefusals counts refusals by upstreams, whatever the outcome of the request.
 	UpstreamRefusals *metrics.Counter
 	// ConnectionsClosedAtOnce counts new connections that the other side closed before anything was
 	// sent, because an upstream has more connections than it accepts.
-	ClosedAtOnce *metrics.Counter
+	ConnectionsClosedAtOnce *metrics.Counter
 	// FramesRefused counts frames from peers that were refused.
 	FramesRefused *metrics.Counter
 	// PeerBytesSent counts bytes sent to peers.
@@ -89,11 +89,11 @@
 	// SilentConnections counts open connections that were closed because nothing more arrived.
 	SilentConnections *metrics.Counter
 	// TimeToFirstToken is the time to the first token, in seconds.
-	FirstToken *metrics.Histogram
+	TimeToFirstToken *metrics.Histogram
 	// TimeBetweenTokens is the time between two tokens, in seconds.
-	BetweenTokens *metrics.Histogram
+	TimeBetweenTokens *metrics.Histogram
 	// ServiceCallTime is the duration of a call of a plain service, in seconds.
-	ServiceCall *metrics.Histogram
+	ServiceCallTime *metrics.Histogram
 	// QueueWait is the time a request waited before it started, in seconds.
 	QueueWait *metrics.Histogram
 }
@@ -105,20 +105,20 @@
 		set: s, refusals: map[spanrill.Reason]*metrics.Counter{},
 		Requests:          s.NewCounter("spanrill_requests_total"),
 		Tokens:            s.NewCounter("spanrill_tokens_total"),
-		Resumed:           s.NewCounter("spanrill_streams_resumed_total"),
+		StreamsResumed:           s.NewCounter("spanrill_streams_resumed_total"),
 		CallersLeft:       s.NewCounter("spanrill_callers_left_total"),
-		CallerGone:        s.NewHistogram("spanrill_caller_gone_seconds"),
+		CallerGoneDelay:        s.NewHistogram("spanrill_caller_gone_seconds"),
 		RefusedAfterRun:   s.NewCounter("spanrill_refused_after_run_total"),
-		EndedUnder:        s.NewCounter("spanrill_upstream_ends_under_requests_total"),
+		UpstreamCrashes:        s.NewCounter("spanrill_upstream_ends_under_requests_total"),
 		UpstreamRefusals:  s.NewCounter("spanrill_upstream_refusals_total"),
-		ClosedAtOnce:      s.NewCounter("spanrill_connections_closed_at_once_total"),
+		ConnectionsClosedAtOnce:      s.NewCounter("spanrill_connections_closed_at_once_total"),
 		FramesRefused:     s.NewCounter("spanrill_peer_frames_refused_total"),
 		PeerBytesSent:     s.NewCounter("spanrill_peer_bytes_sent_total"),
 		PeerBytesReceived: s.NewCounter("spanrill_peer_bytes_received_total"),
 		SilentConnections: s.NewCounter("spanrill_silent_connections_total"),
-		FirstToken:        s.NewHistogram("spanrill_first_token_seconds"),
-		BetweenTokens:     s.NewHistogram("spanrill_between_tokens_seconds"),
-		ServiceCall:       s.NewHistogram("spanrill_service_call_seconds"),
+		TimeToFirstToken:        s.NewHistogram("spanrill_first_token_seconds"),
+		TimeBetweenTokens:     s.NewHistogram("spanrill_between_tokens_seconds"),
+		ServiceCallTime:       s.NewHistogram("spanrill_service_call_seconds"),
 		QueueWait:         s.NewHistogram("spanrill_queue_wait_seconds"),
 	}
 	for _, r := range spanrill.Reasons() {
@@ -134,7 +134,7 @@
 }
 
 // CountRefusal counts a refusal by its reason.
-func (m *Meters) Refused(r spanrill.Reason) {
+func (m *Meters) CountRefusal(r spanrill.Reason) {
 	if c := m.refusals[r]; c != nil {
 		c.Inc()
 	}
@@ -144,13 +144,13 @@
 func (m *Meters) Refusals(r spanrill.Reason) uint64 { return m.refusals[r].Get() }
 
 // CountRetry counts a retry by its reason.
-func (m *Meters) Retried(r Retry) { m.retries[r].Inc() }
+func (m *Meters) CountRetry(r Retry) { m.retries[r].Inc() }
 
 // Retries returns the number of retries for the reason.
 func (m *Meters) Retries(r Retry) uint64 { return m.retries[r].Get() }
 
 // CountOutcome counts the end of a request by its outcome.
-func (m *Meters) Ended(o spanrill.Outcome) { m.outcomes[o].Inc() }
+func (m *Meters) CountOutcome(o spanrill.Outcome) { m.outcomes[o].Inc() }
 
 // Gauge registers a gauge. Each call of Write calls f for its value.
 func (m *Meters) Gauge(name string, f func() float64) { m.set.NewGauge(name, f) }
--- a/protocol/callerapi/call.go
+++ b/protocol/callerapi/call.go
@@ -89,8 +89,8 @@
 }
 
 func (c *call) count(r *spanrill.Refusal) {
-	c.server.Meters.Refused(r.Reason())
-	c.server.Meters.Ended(r.Outcome())
+	c.server.Meters.CountRefusal(r.Reason())
+	c.server.Meters.CountOutcome(r.Outcome())
 	events.RequestRefused.Log(c.server.Log, logrus.Fields{
 		"request": c.id, "reason": r.Reason().Code(), "outcome": r.Outcome().String(), "detail": r.Detail(),
 	})
--- a/protocol/callerapi/inference.go
+++ b/protocol/callerapi/inference.go
@@ -161,7 +161,7 @@
 	}
 	in.release(result.Tokens())
 	in.setOutcome(spanrill.OutcomeRan)
-	in.server.Meters.Ended(spanrill.OutcomeRan)
+	in.server.Meters.CountOutcome(spanrill.OutcomeRan)
 	in.ctx.Response.Header.Set(HeaderChain, chainText(result.Chain()))
 	in.writeJSON(in.completion(answer.text.String(), result))
 }
--- a/protocol/callerapi/service.go
+++ b/protocol/callerapi/service.go
@@ -87,7 +87,7 @@
 	}
 	c.ctx.Response.Header.Set(HeaderRequestID, c.id)
 	c.setOutcome(outcome)
-	c.server.Meters.Ended(outcome)
+	c.server.Meters.CountOutcome(outcome)
 	c.ctx.SetStatusCode(answer.Status)
 	c.ctx.SetBody(answer.Body)
 }
--- a/protocol/callerapi/stream.go
+++ b/protocol/callerapi/stream.go
@@ -103,7 +103,7 @@
 		w.fail(sink.failed)
 		return
 	}
-	in.server.Meters.Ended(spanrill.OutcomeRan)
+	in.server.Meters.CountOutcome(spanrill.OutcomeRan)
 	w.end(sink.result)
 }
 
--- a/scene/scene.go
+++ b/scene/scene.go
@@ -252,13 +252,13 @@
 	docs[config.Name{Kind: config.KindTemplate, Name: a.Name}] = config.Template{
 		Name: a.Name,
 		Models: []config.ModelUse{{
-			Model: s.spec.Model.Name, Priority: config.Lit(a.Priority), Site: config.Text(Site), MaxTokens: config.Lit(4096),
+			Model: s.spec.Model.Name, Priority: config.IntLiteral(a.Priority), Site: config.StringLiteral(Site), MaxTokens: config.IntLiteral(4096),
 		}},
 		Services: []config.ServiceUse{{
-			Service: "readings", Site: config.Text(Site), Calls: []config.Call{{Method: "POST", Path: "/readings"}},
+			Service: "readings", Site: config.StringLiteral(Site), Calls: []config.Call{{Method: "POST", Path: "/readings"}},
 		}},
 		Limits: config.Limits{
-			RequestsPerSecond: config.Lit(a.Requests), InFlight: config.Lit(a.InFlight), Weight: config.Lit(a.Weight),
+			RequestsPerSecond: config.IntLiteral(a.Requests), InFlight: config.IntLiteral(a.InFlight), Weight: config.IntLiteral(a.Weight),
 		},
 	}
 	docs[config.Name{Kind: config.KindAccount, Name: a.Name}] = config.Account{
--- a/state/config/documents.go
+++ b/state/config/documents.go
@@ -161,8 +161,8 @@
 	param string
 }
 
-// Lit returns a literal integer.
-func Lit(n int) Int { return Int{value: n} }
+// IntLiteral returns a literal integer.
+func IntLiteral(n int) Int { return Int{value: n} }
 
 // Param returns the parameter's name, or "" for a literal.
 func (i Int) Param() string { return i.param }
@@ -192,8 +192,8 @@
 	param string
 }
 
-// Text returns a literal string.
-func Text(s string) String { return String{value: s} }
+// StringLiteral returns a literal string.
+func StringLiteral(s string) String { return String{value: s} }
 
 // Param returns the parameter's name, or "" for a literal.
 func (s String) Param() string { return s.param }
--- a/state/config/edit.go
+++ b/state/config/edit.go
@@ -41,7 +41,7 @@
 
 // ErrUnknownOutcome means that the editor could not determine whether the edit was accepted. Once
 // the platform answers again, Editor.Accepted tells by the edit's id.
-var ErrUnsettled = errors.New("the edit may or may not have been accepted")
+var ErrUnknownOutcome = errors.New("the edit may or may not have been accepted")
 
 // HashDocument returns the hash of a document in canonical form, or "" if doc is nil.
 func HashDocument(doc json.RawMessage) string {
@@ -226,7 +226,7 @@
 }
 
 func unknownOutcomeError(next *Head, err error) error {
-	return fmt.Errorf("edit %s: %w: %v", next.EditID, ErrUnsettled, err)
+	return fmt.Errorf("edit %s: %w: %v", next.EditID, ErrUnknownOutcome, err)
 }
 
 // resolveConflict determines after a conflict whether an earlier write of next took effect. It
@@ -269,7 +269,7 @@
 }
 
 // Accepted reports whether an edit is among the recent accepted ones.
-func (e *Editor) Settle(ctx context.Context, editID string) (bool, error) {
+func (e *Editor) Accepted(ctx context.Context, editID string) (bool, error) {
 	head, _, err := ReadHead(ctx, e.store)
 	if err != nil {
 		return false, fmt.Errorf("check edit %s: %w", editID, err)
--- a/state/config/follow.go
+++ b/state/config/follow.go
@@ -19,7 +19,7 @@
 	store    spanrill.ObjectStore
 	clock    spanrill.Clock
 	log      logrus.FieldLogger
-	watches  func() bool
+	watchesHead  func() bool
 	jitter   func(spanrill.Millis) spanrill.Millis
 	onChange func(*Snapshot)
 
@@ -52,8 +52,8 @@
 
 // WithWatchesHead sets a function that reports whether this daemon watches the platform's head. A
 // daemon that does not learns of edits from its peers and polls the head every 30 s.
-func WithWatches(watches func() bool) FollowerOption {
-	return func(f *Follower) { f.watches = watches }
+func WithWatchesHead(watches func() bool) FollowerOption {
+	return func(f *Follower) { f.watchesHead = watches }
 }
 
 // WithJitter sets a function that randomizes pauses, so that daemons do not act at once.
@@ -79,7 +79,7 @@
 func NewFollower(store spanrill.ObjectStore, opts ...FollowerOption) *Follower {
 	f := &Follower{
 		store: store, clock: clock.NewSystem(), log: logrus.StandardLogger(),
-		watches:  func() bool { return true },
+		watchesHead:  func() bool { return true },
 		jitter:   func(d spanrill.Millis) spanrill.Millis { return d },
 		onChange: func(*Snapshot) {},
 		ready:    make(chan struct{}),
@@ -144,7 +144,7 @@
 		}
 		f.logPlatformState(ctx, nil)
 		backoff, known = minBackoff, version
-		if !f.watches() {
+		if !f.watchesHead() {
 			f.sleep(ctx, f.jitter(pollInterval))
 			known = ""
 		}
@@ -235,7 +235,7 @@
 	f.current.Store(next)
 	f.onChange(next.snapshot)
 	f.readyOnce.Do(func() { close(f.ready) })
-	events.ConfigInForce.Log(f.log, logrus.Fields{"revision": next.head.Revision, "edit": next.head.EditID})
+	events.ConfigActivated.Log(f.log, logrus.Fields{"revision": next.head.Revision, "edit": next.head.EditID})
 }
 
 func (f *Follower) sleep(ctx context.Context, d spanrill.Millis) {
@@ -255,5 +255,5 @@
 		events.PlatformLost.Log(f.log, logrus.Fields{"error": err})
 		return
 	}
-	events.PlatformFound.Log(f.log, nil)
+	events.PlatformRecovered.Log(f.log, nil)
 }
--- a/state/config/writeback.go
+++ b/state/config/writeback.go
@@ -45,10 +45,10 @@
 		return "", nil
 	}
 	if err != nil {
-		events.ConfigHealFails.Log(f.log, logrus.Fields{"error": err})
+		events.ConfigWriteBackFailed.Log(f.log, logrus.Fields{"error": err})
 		return "", fmt.Errorf("write edits back: %w", err)
 	}
-	events.ConfigHealed.Log(f.log, logrus.Fields{"revision": next.Revision})
+	events.ConfigWrittenBack.Log(f.log, logrus.Fields{"revision": next.Revision})
 	return "", f.Offer(ctx, next)
 }
 
--- a/state/fleet/conflict.go
+++ b/state/fleet/conflict.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		c.rejected = id != name
-		events.AddressClaimed.Log(t.log, logrus.Fields{"upstream": id, "addr": addr, "answered": name, "taken": !c.rejected})
+		events.AddressConflictChecked.Log(t.log, logrus.Fields{"upstream": id, "addr": addr, "answered": name, "taken": !c.rejected})
 		if !c.rejected {
 			t.admitConflicting(id)
 			t.publishView()
--- a/state/fleet/notice.go
+++ b/state/fleet/notice.go
@@ -107,7 +107,7 @@
 	defer u.addToActive()
 	if n.Leaving && !u.notices.leaving.Swap(true) {
 		t.noticeCounts.leaving.Add(1)
-		events.UpstreamSaysLeaving.Log(t.log, logrus.Fields{"upstream": u.ID(), "entry_leaving": u.Entry().Leaving, "entry_gone": u.Removed()})
+		events.UpstreamAnnouncedLeaving.Log(t.log, logrus.Fields{"upstream": u.ID(), "entry_leaving": u.Entry().Leaving, "entry_gone": u.Removed()})
 		t.publishView()
 	}
 }
@@ -124,7 +124,7 @@
 	now := t.clock.Now()
 	t.noticeCounts.rests.Add(1)
 	u.notices.requestRest(n, now)
-	events.UpstreamRests.Log(t.log, logrus.Fields{"upstream": u.ID(), "rest_ms": n.Rest, "left_ms": u.RestRemaining(now)})
+	events.UpstreamResting.Log(t.log, logrus.Fields{"upstream": u.ID(), "rest_ms": n.Rest, "left_ms": u.RestRemaining(now)})
 }
 
 // upstreamAt returns the upstream at an address, including one that was removed recently and may
--- a/state/fleet/removed.go
+++ b/state/fleet/removed.go
@@ -54,7 +54,7 @@
 		h.heldSince = sent // no daemon had an answer for a while: the entry may have expired
 	}
 	t.holdEntry(id, h)
-	events.UpstreamHeld.Log(t.log, logrus.Fields{"upstream": id, "ms_since_outage": sinceFailure, "proof_age_ms": t.clock.Now() - lastConfirmed})
+	events.UpstreamEntryKept.Log(t.log, logrus.Fields{"upstream": id, "ms_since_outage": sinceFailure, "proof_age_ms": t.clock.Now() - lastConfirmed})
 }
 
 // removedUpstream is an upstream whose entry was removed.
@@ -91,7 +91,7 @@
 	t.noteRemoval(id)
 	t.clearAddr(u)
 	delete(t.held, id)
-	t.logLimits.removed.Log(events.UpstreamGone, t.log, func() logrus.Fields {
+	t.logLimits.removed.Log(events.UpstreamRemoved, t.log, func() logrus.Fields {
 		return logrus.Fields{"upstream": u.ID(), "why": reason}
 	})
 }
--- a/state/fleet/unreadable.go
+++ b/state/fleet/unreadable.go
@@ -37,7 +37,7 @@
 	}
 	u.revisions[item.Name] = item.Revision
 	u.count.Add(1)
-	events.UpstreamBadItem.Log(t.log, logrus.Fields{"upstream": item.Name, "revision": item.Revision, "bytes": len(item.Value), "error": err})
+	events.UpstreamEntryUnreadable.Log(t.log, logrus.Fields{"upstream": item.Name, "revision": item.Revision, "bytes": len(item.Value), "error": err})
 }
 
 // setUnreadable removes the upstream of an entry that cannot be decoded. The caller holds the lock.
--- a/state/follow/follow.go
+++ b/state/follow/follow.go
@@ -61,7 +61,7 @@
 
 // UnresponsiveFor returns the time since the first call that the store has not answered, or 0 if it
 // has answered the last one. It is safe for concurrent use.
-func (f *Follower) Unanswered() spanrill.Millis {
+func (f *Follower) UnresponsiveFor() spanrill.Millis {
 	since := f.unansweredSince.Load()
 	if since == answered {
 		return 0
@@ -73,32 +73,32 @@
 type Option func(*Follower)
 
 // WithWatchTimeout sets how long a watch waits for changes.
-func WithWait(d spanrill.Millis) Option {
+func WithWatchTimeout(d spanrill.Millis) Option {
 	return func(f *Follower) { f.watchTimeout = d }
 }
 
 // WithBatchDelay sets a pause after each call that returned changes, so that changes in quick
 // succession are fetched by one call.
-func WithSettle(d spanrill.Millis) Option {
+func WithBatchDelay(d spanrill.Millis) Option {
 	return func(f *Follower) { f.batchDelay = d }
 }
 
 // WithPollDelay makes the follower poll for changes, instead of waiting for them, each time that
 // delay returns 0. Otherwise the follower pauses for that time and calls delay again.
-func WithDue(delay func() spanrill.Millis) Option {
+func WithPollDelay(delay func() spanrill.Millis) Option {
 	return func(f *Follower) { f.pollDelay, f.watchTimeout = delay, 0 }
 }
 
 // WithKnownRevision sets a function that returns the revision up to which the sink has all data
 // from another source, so that the follower does not request it again.
-func WithAt(revision func() uint64) Option {
+func WithKnownRevision(revision func() uint64) Option {
 	return func(f *Follower) { f.knownRevision = revision }
 }
 
 // WithListDelay makes the follower list the collection for the first time only once delay returns
 // 0, and not at all if the sink has it from another source by then. Otherwise the follower pauses
 // for that time and calls delay again.
-func WithFirst(delay func() spanrill.Millis) Option {
+func WithListDelay(delay func() spanrill.Millis) Option {
 	return func(f *Follower) { f.listDelay = delay }
 }
 
@@ -108,20 +108,20 @@
 // In an outage of 8 s a daemon makes 19 to 22 calls if both followers call, and 10 to 13 with a
 // primary; the second collection is then read at most 40 ms after the first one
 // (TestPrimaryReducesCallsInOutage).
-func WithBehind(primary *Follower) Option {
+func WithPrimary(primary *Follower) Option {
 	return func(f *Follower) { f.primary = primary }
 }
 
 // WithMaxRetryDelay sets a function that returns the longest pause between failed calls. In a large
 // fleet not every daemon has to find at once that the store answers again.
-func WithLongestPause(delay func() spanrill.Millis) Option {
+func WithMaxRetryDelay(delay func() spanrill.Millis) Option {
 	return func(f *Follower) { f.maxRetryDelay = delay }
 }
 
 // WithFirstCallTimeout sets a function that returns the timeout of a call that follows an answer.
 // The connection may have gone silent, and the timeout leaves time for a second call. Calls after a
 // failed one have only the source's own timeout, since the source may just be slow.
-func WithLimit(timeout func() spanrill.Millis) Option {
+func WithFirstCallTimeout(timeout func() spanrill.Millis) Option {
 	return func(f *Follower) { f.firstCallTimeout = timeout }
 }
 
@@ -142,12 +142,12 @@
 	maxRetryDoublings = 4
 	// InitialRetryDelay is the pause after the first failed call: 25 times the store's usual
 	// response time, so that a store that answers again is found at once.
-	FirstPause spanrill.Millis = 100
+	InitialRetryDelay spanrill.Millis = 100
 	// primaryCheckInterval is how often a follower checks whether the primary's calls still fail.
 	primaryCheckInterval spanrill.Millis = 20
 	// MaxRetryDelay bounds the pause between failed calls. It is a fraction of the age that the
 	// configuration may have for requests with a key.
-	LongestPause spanrill.Millis = 400
+	MaxRetryDelay spanrill.Millis = 400
 )
 
 // New returns a follower that has not read anything yet.
@@ -155,7 +155,7 @@
 	f := &Follower{
 		source: source, clock: clock, sink: sink, log: logrus.StandardLogger(),
 		watchTimeout: defaultWait, jitter: func() float64 { return 0 }, knownRevision: func() uint64 { return 0 },
-		maxRetryDelay: func() spanrill.Millis { return LongestPause },
+		maxRetryDelay: func() spanrill.Millis { return MaxRetryDelay },
 		listDelay:     func() spanrill.Millis { return 0 },
 	}
 	f.unansweredSince.Store(answered)
@@ -210,7 +210,7 @@
 	f.unansweredSince.Store(answered)
 	if f.outageLogged {
 		f.outageLogged = false
-		events.PlatformFound.Log(f.log, logrus.Fields{"collection": f.name, "tries": f.failures})
+		events.PlatformRecovered.Log(f.log, logrus.Fields{"collection": f.name, "tries": f.failures})
 	}
 	f.failures = 0
 	f.failing.Store(false)
@@ -274,6 +274,6 @@
 		f.outageLogged = true
 		events.PlatformLost.Log(f.log, logrus.Fields{"collection": f.name, "error": err})
 	}
-	pause := min(f.maxRetryDelay(), FirstPause<<min(f.failures-1, maxRetryDoublings))
+	pause := min(f.maxRetryDelay(), InitialRetryDelay<<min(f.failures-1, maxRetryDoublings))
 	return pause/2 + spanrill.Millis(float64(pause)*f.jitter()/2)
 }
--- a/state/follow/follow_test.go
+++ b/state/follow/follow_test.go
@@ -95,7 +95,7 @@
 	f.Step(context.Background())
 	src.err = spanrill.ErrUnavailable
 	for range 20 {
-		if pause := f.Step(context.Background()); pause <= 0 || pause > LongestPause {
+		if pause := f.Step(context.Background()); pause <= 0 || pause > MaxRetryDelay {
 			t.Fatalf("pause of %d ms is out of range", pause)
 		}
 	}
@@ -110,7 +110,7 @@
 	c := clock.NewManual()
 	src, to := &source{clock: c, revision: 5}, &sink{}
 	due, known := spanrill.Millis(70), uint64(0)
-	f := New(src, c, to, WithLogger(discardLogger(), "test"), WithDue(func() spanrill.Millis { return due }), WithAt(func() uint64 { return known }))
+	f := New(src, c, to, WithLogger(discardLogger(), "test"), WithPollDelay(func() spanrill.Millis { return due }), WithKnownRevision(func() uint64 { return known }))
 	f.Step(context.Background())
 	if pause := f.Step(context.Background()); pause != 70 || len(src.calls) != 1 {
 		t.Fatalf("pause of %d ms, calls %v", pause, src.calls)
@@ -123,23 +123,23 @@
 }
 
 // The time without an answer counts from the first failed call, and is 0 after an answer.
-func TestUnanswered(t *testing.T) {
+func TestUnresponsiveFor(t *testing.T) {
 	c := clock.NewManual()
 	src := &source{clock: c, revision: 5, callTime: 4}
 	f := New(src, c, &sink{}, WithLogger(discardLogger(), "test"))
 	f.Step(context.Background())
-	if d := f.Unanswered(); d != 0 {
+	if d := f.UnresponsiveFor(); d != 0 {
 		t.Fatalf("%d ms after an answer, want 0", d)
 	}
 	src.err, src.callTime = spanrill.ErrUnavailable, 1000
 	f.Step(context.Background())
 	f.Step(context.Background())
-	if d := f.Unanswered(); d != 2000 {
+	if d := f.UnresponsiveFor(); d != 2000 {
 		t.Fatalf("%d ms after two failed calls of 1000 ms, want 2000", d)
 	}
 	src.err = nil
 	f.Step(context.Background())
-	if d := f.Unanswered(); d != 0 {
+	if d := f.UnresponsiveFor(); d != 0 {
 		t.Fatalf("%d ms after the store has answered again, want 0", d)
 	}
 }
@@ -165,7 +165,7 @@
 func TestFirstCallTimeout(t *testing.T) {
 	c := clock.NewManual()
 	src := &hangingSource{source: &source{clock: c, revision: 5}}
-	f := New(src, c, &sink{}, WithLogger(discardLogger(), "test"), WithLimit(func() spanrill.Millis { return 1 }))
+	f := New(src, c, &sink{}, WithLogger(discardLogger(), "test"), WithFirstCallTimeout(func() spanrill.Millis { return 1 }))
 	for range 4 {
 		f.Step(context.Background())
 	}
@@ -193,7 +193,7 @@
 			src := &source{clock: k, revision: 9}
 			wait, known := spanrill.Millis(30), uint64(0)
 			f := New(src, k, &sink{}, WithLogger(discardLogger(), "test"),
-				WithFirst(func() spanrill.Millis { return wait }), WithAt(func() uint64 { return known }))
+				WithListDelay(func() spanrill.Millis { return wait }), WithKnownRevision(func() uint64 { return known }))
 			if pause := f.Step(context.Background()); pause != wait || len(src.calls) != 0 {
 				t.Fatalf("pause of %d ms, calls %v", pause, src.calls)
 			}
--- a/state/follow/primary_test.go
+++ b/state/follow/primary_test.go
@@ -23,12 +23,12 @@
 	first, second := &source{clock: c, revision: 5}, &source{clock: c, revision: 5}
 	build := func(src *source, opts ...Option) *Follower {
 		return New(src, c, &sink{}, append(opts, WithLogger(discardLogger(), "test"), WithJitter(random.Float64),
-			WithLongestPause(func() spanrill.Millis { return pause }), WithDue(func() spanrill.Millis { return 0 }))...)
+			WithMaxRetryDelay(func() spanrill.Millis { return pause }), WithPollDelay(func() spanrill.Millis { return 0 }))...)
 	}
 	primary := build(first)
 	opts := []Option{}
 	if usePrimary {
-		opts = append(opts, WithBehind(primary))
+		opts = append(opts, WithPrimary(primary))
 	}
 	followers := []*Follower{primary, build(second, opts...)}
 	next, recovered := [2]spanrill.Millis{}, [2]spanrill.Millis{}
--- a/state/load/table.go
+++ b/state/load/table.go
@@ -88,7 +88,7 @@
 	}
 	for name := range t.upstreams {
 		if _, ok := byName[name]; !ok {
-			events.UpstreamGone.Log(t.log, logrus.Fields{"upstream": name})
+			events.UpstreamRemoved.Log(t.log, logrus.Fields{"upstream": name})
 			delete(t.upstreams, name)
 		}
 	}
--- a/state/routes/current.go
+++ b/state/routes/current.go
@@ -36,7 +36,7 @@
 func (c *Current) Revision() uint64 { return c.revision.Load() }
 
 // Handled reports whether Update has already accepted or ignored this or a later revision.
-func (c *Current) Seen(revision uint64) bool {
+func (c *Current) Handled(revision uint64) bool {
 	return revision <= max(c.revision.Load(), c.ignored.Load())
 }
 
@@ -52,7 +52,7 @@
 func (c *Current) Ready() <-chan struct{} { return c.ready }
 
 // Update replaces the version if the given one is newer, and reports whether it did.
-func (c *Current) Take(t *Table, raw []byte, revision uint64) bool {
+func (c *Current) Update(t *Table, raw []byte, revision uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.table.Load()
@@ -71,7 +71,7 @@
 
 // ConfirmUnchanged records that the newest version in the store had the revision at that time. It
 // has no effect if this is not the revision held, or if a later confirmation is known.
-func (c *Current) Prove(revision uint64, at spanrill.Millis) {
+func (c *Current) ConfirmUnchanged(revision uint64, at spanrill.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.table.Load() == nil || revision != c.revision.Load() {
@@ -83,7 +83,7 @@
 }
 
 // ConfirmedAt returns the time of the latest confirmation, on this process's clock.
-func (c *Current) ProvedAt() spanrill.Millis { return spanrill.Millis(c.confirmedAt.Load()) }
+func (c *Current) ConfirmedAt() spanrill.Millis { return spanrill.Millis(c.confirmedAt.Load()) }
 
 // Age returns the time since the latest confirmation.
-func (c *Current) Age() spanrill.Millis { return c.clock.Now() - c.ProvedAt() }
+func (c *Current) Age() spanrill.Millis { return c.clock.Now() - c.ConfirmedAt() }
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -55,7 +55,7 @@
 
 // ImplausibleValues describes the values of the configuration that cannot be true and were treated
 // as missing.
-func (t *Table) Odd() []string { return t.config.IgnoredValues }
+func (t *Table) ImplausibleValues() []string { return t.config.IgnoredValues }
 
 // Limits returns the limits on what callers may send.
 func (t *Table) Limits() spanrill.CallerLimits { return t.config.Limits }
@@ -90,7 +90,7 @@
 
 // ChooseService returns a service of the route according to the weights of its shares. The draw is a
 // random number from 0 to 1.
-func Choose(r *spanrill.Route, draw float64) string {
+func ChooseService(r *spanrill.Route, draw float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
@@ -109,7 +109,7 @@
 }
 
 // CountKeysNotIn returns the number of keys in the table that the other table lacks.
-func (t *Table) KeysNotIn(other *Table) int {
+func (t *Table) CountKeysNotIn(other *Table) int {
 	n := 0
 	for key := range t.accounts {
 		if _, ok := other.accounts[key]; !ok {
--- a/state/routes/routes_test.go
+++ b/state/routes/routes_test.go
@@ -59,11 +59,11 @@
 		draw float64
 		want string
 	}{{0, "a"}, {0.89, "a"}, {0.9, "b"}, {0.999, "b"}, {1, "b"}} {
-		if got := Choose(r, c.draw); got != c.want {
+		if got := ChooseService(r, c.draw); got != c.want {
 			t.Errorf("draw %v: %s, want %s", c.draw, got, c.want)
 		}
 	}
-	if got := Choose(&spanrill.Route{}, 0.5); got != "" {
+	if got := ChooseService(&spanrill.Route{}, 0.5); got != "" {
 		t.Errorf("a route without services: %q", got)
 	}
 }
@@ -79,7 +79,7 @@
 	}{
 		{3, 30, true}, {2, 20, false}, {3, 30, false}, {2, 31, false}, {5, 50, true}, {4, 40, false},
 	} {
-		if got := c.Take(newTable(step.version), nil, step.revision); got != step.want {
+		if got := c.Update(newTable(step.version), nil, step.revision); got != step.want {
 			t.Errorf("version %d at revision %d accepted: %t, want %t", step.version, step.revision, got, step.want)
 		}
 	}
@@ -91,17 +91,17 @@
 	manual := clock.NewManual()
 	manual.Advance(10_000)
 	c := NewCurrent(manual)
-	c.Prove(1, manual.Now())
+	c.ConfirmUnchanged(1, manual.Now())
 	if c.Age() < 10_000 {
 		t.Fatal("a revision is confirmed although none is held")
 	}
-	c.Take(newTable(1), nil, 7)
-	c.Prove(6, manual.Now())
+	c.Update(newTable(1), nil, 7)
+	c.ConfirmUnchanged(6, manual.Now())
 	if c.Age() < 10_000 {
 		t.Fatal("a confirmation of another revision is accepted")
 	}
-	c.Prove(7, manual.Now()-300)
-	c.Prove(7, manual.Now()-900)
+	c.ConfirmUnchanged(7, manual.Now()-300)
+	c.ConfirmUnchanged(7, manual.Now()-900)
 	if got := c.Age(); got != 300 {
 		t.Fatalf("the age is %d ms, want 300", got)
 	}
--- a/transport/httpcall/before_test.go
+++ b/transport/httpcall/before_test.go
@@ -107,7 +107,7 @@
 			if !errors.As(err, &call) || call.Outcome() != c.want {
 				t.Fatalf("error %v, want one with outcome %v", err, c.want)
 			}
-			if n := client.meters.ClosedAtOnce.Get(); (n == 1) != c.first {
+			if n := client.meters.ConnectionsClosedAtOnce.Get(); (n == 1) != c.first {
 				t.Errorf("%d connections are counted as closed at once", n)
 			}
 		})
--- a/transport/httpcall/client.go
+++ b/transport/httpcall/client.go
@@ -179,7 +179,7 @@
 	}
 	if !cn.reused && isRequest(ctx) && !cn.proveOpen() {
 		_ = cn.Close()
-		c.meters.ClosedAtOnce.Inc()
+		c.meters.ConnectionsClosedAtOnce.Inc()
 		return nil, &spanrill.CallError{Phase: spanrill.PhaseDial, Cause: fmt.Errorf("connect to %s: %w", addr, errClosedAtOnce)}
 	}
 	if onSilence != nil {
