--- a/events/events.go
+++ b/events/events.go
@@ -1,17 +1,16 @@
-// Package events lists every event that spanrill logs, each with a number
-// that never changes its meaning. docs/EVENTS.md is the catalogue for people,
-// and a test holds the two together.
+// Package events defines the events that spanrill logs. Each has a number whose meaning never
+// changes. docs/EVENTS.md documents them, and a test compares it with this package.
 //
 // # Usage
 //
-//	events.ConfigInForce.Log(log, logrus.Fields{"revision": 7})
+//	events.ConfigActivated.Log(log, logrus.Fields{"revision": 7})
 package events
 
 import (
 	"github.com/sirupsen/logrus"
 )
 
-// Event is a numbered kind of log line.
+// Event is a kind of log line with a fixed number, level and message.
 type Event struct {
 	number int
 	level  logrus.Level
@@ -24,10 +23,10 @@
 // Level returns the level at which the event is logged.
 func (e Event) Level() logrus.Level { return e.level }
 
-// Text returns the message.
+// Text returns the event's message.
 func (e Event) Text() string { return e.text }
 
-// Log writes the event with its fields.
+// Log writes the event with the given fields.
 func (e Event) Log(log logrus.FieldLogger, fields logrus.Fields) {
 	entry := log.WithField("event", e.number)
 	if entry.Logger.IsLevelEnabled(e.level) {
@@ -43,7 +42,7 @@
 	return e
 }
 
-// All returns every event in the order of its number.
+// All returns all events in the order in which they are defined below.
 func All() []Event { return append([]Event(nil), catalogue...) }
 
 // The process, 100 to 199.
@@ -52,32 +51,32 @@
 	DaemonReady     = define(101, logrus.InfoLevel, "daemon ready")
 	DaemonDraining  = define(102, logrus.InfoLevel, "daemon draining")
 	DaemonStopped   = define(103, logrus.InfoLevel, "daemon stopped")
-	DaemonDrainLate = define(104, logrus.WarnLevel, "drain took longer than allowed")
-	PartFailed      = define(105, logrus.ErrorLevel, "part of the daemon failed")
-	SettingsRead    = define(106, logrus.InfoLevel, "settings file read again")
-	NotAccepting    = define(107, logrus.WarnLevel, "new connections of callers cannot be taken")
-	Accepting       = define(108, logrus.InfoLevel, "new connections of callers are taken")
-	CallersWait     = define(109, logrus.InfoLevel, "callers come before it is known what the platform holds, and are held")
+	DaemonDrainTimedOut = define(104, logrus.WarnLevel, "drain took longer than allowed")
+	ComponentFailed      = define(105, logrus.ErrorLevel, "part of the daemon failed")
+	SettingsReloaded    = define(106, logrus.InfoLevel, "settings file read again")
+	AcceptFailed    = define(107, logrus.WarnLevel, "new connections of callers cannot be taken")
+	AcceptRecovered       = define(108, logrus.InfoLevel, "new connections of callers are taken")
+	CallersHeld     = define(109, logrus.InfoLevel, "callers come before it is known what the platform holds, and are held")
 )
 
 // Configuration, 200 to 299.
 var (
-	ConfigInForce   = define(200, logrus.InfoLevel, "configuration in force")
+	ConfigActivated   = define(200, logrus.InfoLevel, "configuration in force")
 	ConfigRejected  = define(201, logrus.ErrorLevel, "configuration rejected")
 	ConfigDiverged  = define(203, logrus.ErrorLevel, "platform holds a configuration that lost accepted edits")
-	ConfigHealed    = define(204, logrus.WarnLevel, "accepted edits written back to the platform")
-	ConfigHealFails = define(205, logrus.ErrorLevel, "accepted edits could not be written back")
+	ConfigWrittenBack    = define(204, logrus.WarnLevel, "accepted edits written back to the platform")
+	ConfigWriteBackFailed = define(205, logrus.ErrorLevel, "accepted edits could not be written back")
 	ConfigFromPeer  = define(206, logrus.InfoLevel, "configuration taken from a peer")
 	ConfigStale     = define(207, logrus.WarnLevel, "configuration can no longer be proved fresh")
 	ConfigFresh     = define(208, logrus.InfoLevel, "configuration proved fresh again")
-	KeyWithdrawn    = define(209, logrus.InfoLevel, "keys withdrawn by a configuration")
-	ConfigOdd       = define(210, logrus.WarnLevel, "configuration has a value that cannot be true, what is observed is used")
+	KeysWithdrawn    = define(209, logrus.InfoLevel, "keys withdrawn by a configuration")
+	ConfigImplausible       = define(210, logrus.WarnLevel, "configuration has a value that cannot be true, what is observed is used")
 )
 
 // The platform, 300 to 399.
 var (
 	PlatformLost  = define(300, logrus.WarnLevel, "platform does not answer")
-	PlatformFound = define(301, logrus.InfoLevel, "platform answers again")
+	PlatformRecovered = define(301, logrus.InfoLevel, "platform answers again")
 	HistoryGone   = define(302, logrus.WarnLevel, "platform has forgotten the changes asked for, listing again")
 	StoreRestored = define(303, logrus.WarnLevel, "platform store restored from an older copy")
 	ListOutdated  = define(304, logrus.WarnLevel, "ignored a collection list older than the known revision")
@@ -86,14 +85,14 @@
 // Membership and peers, 400 to 449.
 var (
 	PeerJoined   = define(400, logrus.InfoLevel, "peer joined")
-	PeerSuspect  = define(401, logrus.WarnLevel, "peer suspected")
+	PeerSuspected  = define(401, logrus.WarnLevel, "peer suspected")
 	PeerLost     = define(402, logrus.WarnLevel, "peer lost")
 	PeerReturned = define(403, logrus.InfoLevel, "peer returned")
 	PeerLeft     = define(404, logrus.InfoLevel, "peer left")
-	FleetKnown   = define(405, logrus.InfoLevel, "number of daemons is known")
+	FleetSizeKnown   = define(405, logrus.InfoLevel, "number of daemons is known")
 
 	RetriesBorrowed = define(406, logrus.InfoLevel, "retries were borrowed from other daemons")
-	BadLoan         = define(407, logrus.WarnLevel, "a daemon lends what it was not asked for")
+	LoanInvalid         = define(407, logrus.WarnLevel, "a daemon lends what it was not asked for")
 	PeerRefused     = define(410, logrus.WarnLevel, "peer refused")
 	FrameRefused    = define(411, logrus.WarnLevel, "frame refused")
 	PeerQueueFull   = define(412, logrus.WarnLevel, "message to peer dropped because its queue is full")
@@ -108,26 +107,26 @@
 var (
 	UpstreamFound   = define(500, logrus.InfoLevel, "upstream found")
 	UpstreamLeaving = define(501, logrus.InfoLevel, "upstream leaving")
-	UpstreamGone    = define(502, logrus.InfoLevel, "upstream gone")
+	UpstreamRemoved    = define(502, logrus.InfoLevel, "upstream gone")
 	UpstreamEjected = define(503, logrus.WarnLevel, "upstream ejected")
-	UpstreamBack    = define(504, logrus.InfoLevel, "upstream takes requests again")
-	UpstreamHeld    = define(505, logrus.InfoLevel, "entry of an upstream lapsed around an outage of the platform, kept for now")
-	UpstreamBadItem = define(506, logrus.ErrorLevel, "entry of an upstream cannot be read")
-	UpstreamDoubted = define(511, logrus.InfoLevel, "holder of the lease has asked an upstream that requests doubt")
+	UpstreamRecovered    = define(504, logrus.InfoLevel, "upstream takes requests again")
+	UpstreamEntryKept    = define(505, logrus.InfoLevel, "entry of an upstream lapsed around an outage of the platform, kept for now")
+	UpstreamEntryUnreadable = define(506, logrus.ErrorLevel, "entry of an upstream cannot be read")
+	UpstreamVerified = define(511, logrus.InfoLevel, "holder of the lease has asked an upstream that requests doubt")
 	UpstreamStalled = define(507, logrus.WarnLevel, "upstream found standing still by the requests that wait for it")
 	UpstreamSlow    = define(509, logrus.WarnLevel, "upstream reports that it is slow")
 
 	UpstreamRestarted = define(512, logrus.InfoLevel, "upstream has started again under its name, nothing of before holds")
-	AddressClaimed    = define(513, logrus.InfoLevel, "address that two entries name was asked which of them it is")
-	AddressSilent     = define(514, logrus.WarnLevel, "address that two entries name does not say which of them it is")
+	AddressConflictChecked    = define(513, logrus.InfoLevel, "address that two entries name was asked which of them it is")
+	AddressConflictUnanswered     = define(514, logrus.WarnLevel, "address that two entries name does not say which of them it is")
 
-	UpstreamRests       = define(515, logrus.InfoLevel, "upstream asks for rest")
-	UpstreamSaysLeaving = define(516, logrus.InfoLevel, "upstream says in an answer that it leaves")
+	UpstreamResting       = define(515, logrus.InfoLevel, "upstream asks for rest")
+	UpstreamAnnouncedLeaving = define(516, logrus.InfoLevel, "upstream says in an answer that it leaves")
 	RestUnreadable      = define(517, logrus.WarnLevel, "upstream asks for rest in words that are no time")
 	LimitSet            = define(519, logrus.InfoLevel, "upstream sets a rate limit for all daemons combined")
 	LimitRemoved        = define(520, logrus.InfoLevel, "upstream removes its rate limit")
 	LimitUnreadable     = define(521, logrus.WarnLevel, "upstream sends an invalid rate limit")
-	ConnectionsLacking  = define(518, logrus.WarnLevel, "this machine can make no connection for want of descriptors, ports or memory")
+	LocalResourcesExhausted  = define(518, logrus.WarnLevel, "this machine can make no connection for want of descriptors, ports or memory")
 
 	EntryQuarantined = define(522, logrus.InfoLevel, "removed upstream entry reappeared after the store was restored, quarantined")
 
@@ -140,7 +139,7 @@
 	StreamResumed      = define(601, logrus.InfoLevel, "stream resumed on another chain")
 	StreamFailed       = define(602, logrus.WarnLevel, "stream ended with an error")
 	TokenRejected      = define(603, logrus.ErrorLevel, "token rejected")
-	CallUncertain      = define(604, logrus.WarnLevel, "outcome of a call unknown")
+	CallOutcomeUnknown      = define(604, logrus.WarnLevel, "outcome of a call unknown")
 	ClaimUnsettled     = define(605, logrus.WarnLevel, "claim could not be settled")
 	RequestPanicked    = define(607, logrus.ErrorLevel, "request handler panicked")
 	RequestSent        = define(620, logrus.InfoLevel, "request sent to an upstream")
@@ -148,31 +147,31 @@
 	RequestRetried     = define(622, logrus.InfoLevel, "request is tried again")
 	RequestGivenUp     = define(623, logrus.WarnLevel, "request given up")
 	RequestMoved       = define(624, logrus.InfoLevel, "running request moved to another path")
-	MoveFailed         = define(625, logrus.WarnLevel, "running request could not be moved")
-	StreamTaken        = define(626, logrus.InfoLevel, "stream taken up on another path behind its last event")
-	CallerGone         = define(627, logrus.InfoLevel, "caller left, upstream cancelled")
-	RequestWaits       = define(628, logrus.InfoLevel, "request finds no other path for now")
-	RequestQuiet       = define(629, logrus.WarnLevel, "nothing has come from a path for long, although its engines answer")
-	StreamContinues    = define(631, logrus.InfoLevel, "request is sent on another path too, its running attempt stays until that is accepted")
-	StreamNotAccepted  = define(632, logrus.InfoLevel, "continuation on another path was not accepted")
-	UpstreamEndedUnder = define(633, logrus.WarnLevel, "upstream has ended under a request")
+	RequestMoveFailed         = define(625, logrus.WarnLevel, "running request could not be moved")
+	ContinuationAdopted        = define(626, logrus.InfoLevel, "stream taken up on another path behind its last event")
+	CallerLeft         = define(627, logrus.InfoLevel, "caller left, upstream cancelled")
+	NoOtherPath       = define(628, logrus.InfoLevel, "request finds no other path for now")
+	PathSilent       = define(629, logrus.WarnLevel, "nothing has come from a path for long, although its engines answer")
+	ContinuationSent    = define(631, logrus.InfoLevel, "request is sent on another path too, its running attempt stays until that is accepted")
+	ContinuationRejected  = define(632, logrus.InfoLevel, "continuation on another path was not accepted")
+	UpstreamCrashed = define(633, logrus.WarnLevel, "upstream has ended under a request")
 	RequestSuspected   = define(634, logrus.WarnLevel, "upstreams end under a request, it is kept from the others")
-	SuspectsHeard      = define(635, logrus.InfoLevel, "heard of upstreams that ended under requests of others")
-	SuspectsKept       = define(636, logrus.InfoLevel, "requests under which upstreams end are kept in the store")
-	SuspectsRead       = define(637, logrus.InfoLevel, "requests under which upstreams end were read from the store")
-	SuspectsNotKept    = define(638, logrus.WarnLevel, "requests under which upstreams end cannot be kept in the store")
-	RequestTried       = define(639, logrus.InfoLevel, "request that was kept from upstreams is tried at one")
+	SuspectsReceived      = define(635, logrus.InfoLevel, "heard of upstreams that ended under requests of others")
+	SuspectsStored       = define(636, logrus.InfoLevel, "requests under which upstreams end are kept in the store")
+	SuspectsLoaded       = define(637, logrus.InfoLevel, "requests under which upstreams end were read from the store")
+	SuspectsStoreFailed    = define(638, logrus.WarnLevel, "requests under which upstreams end cannot be kept in the store")
+	RequestTrialSent       = define(639, logrus.InfoLevel, "request that was kept from upstreams is tried at one")
 	LogsDropped        = define(630, logrus.WarnLevel, "log lines dropped because they were not read in time")
 )
 
 // Leases, orders and placement, 700 to 799.
 var (
-	LeaseTaken   = define(700, logrus.InfoLevel, "lease taken")
+	LeaseAcquired   = define(700, logrus.InfoLevel, "lease taken")
 	LeaseLost    = define(701, logrus.WarnLevel, "lease lost")
-	LeaseHanded  = define(702, logrus.InfoLevel, "lease handed back")
+	LeaseHandedBack  = define(702, logrus.InfoLevel, "lease handed back")
 	OrderGiven   = define(710, logrus.InfoLevel, "order given")
 	OrderRefused = define(711, logrus.WarnLevel, "order refused")
 	OrderFailed  = define(712, logrus.WarnLevel, "order failed")
-	OrderWaits   = define(713, logrus.InfoLevel, "order waits until earlier ones cannot arrive")
-	LayoutMade   = define(714, logrus.InfoLevel, "layout planned")
+	OrderDelayed   = define(713, logrus.InfoLevel, "order waits until earlier ones cannot arrive")
+	LayoutPlanned   = define(714, logrus.InfoLevel, "layout planned")
 )
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,9 +1,9 @@
-// Package meter counts what a daemon does, for Prometheus-style scrapers.
+// Package meter provides the metrics of a daemon in the Prometheus text format.
 //
 // # Usage
 //
 //	m := meter.New()
-//	m.Refused(spanrill.ReasonQueueFull)
+//	m.CountRefusal(spanrill.ReasonQueueFull)
 //	m.Write(w)
 package meter
 
@@ -16,34 +16,34 @@
 	"spanrill"
 )
 
-// Retry says why a request was tried again.
+// Retry is the reason for which a request was retried.
 type Retry uint8
 
 // The reasons for a retry.
 const (
-	// RetryRefused means that a stage refused before any work.
+	// RetryRefused means that a stage refused the request before it did any work.
 	RetryRefused Retry = iota
-	// RetryDial means that no connection to an upstream was made.
+	// RetryDial means that no connection to an upstream could be opened.
 	RetryDial
-	// RetryStageLost means that a stage failed while the chain ran.
+	// RetryStageLost means that a stage failed while the chain was running.
 	RetryStageLost
 	// RetryStalled means that no token came in time.
 	RetryStalled
 	// RetryBadToken means that a token failed its check.
 	RetryBadToken
-	// RetryCut means that the stream ended before the answer was whole.
+	// RetryCut means that the stream ended before the answer was complete.
 	RetryCut
-	// RetryWithheld means that nothing was sent: the upstream has asked for rest or leaves.
+	// RetryWithheld means that nothing was sent because the upstream asks for rest or is leaving.
 	RetryWithheld
 	retryCount
 )
 
 var retryNames = [retryCount]string{"refused", "dial", "stage_lost", "stalled", "bad_token", "cut", "withheld"}
 
-// String returns the name used in metrics.
+// String returns the value of the label in metrics.
 func (r Retry) String() string { return retryNames[r] }
 
-// RetryReasons returns every reason for a retry.
+// RetryReasons returns all reasons for a retry.
 func RetryReasons() []Retry {
 	all := make([]Retry, retryCount)
 	for r := range retryCount {
@@ -52,7 +52,7 @@
 	return all
 }
 
-// Meters holds the counters of one daemon.
+// Meters holds the metrics of one daemon.
 type Meters struct {
 	set      *metrics.Set
 	refusals map[spanrill.Reason]*metrics.Counter
@@ -63,63 +63,62 @@
 	Requests *metrics.Counter
 	// Tokens counts tokens delivered to callers.
 	Tokens *metrics.Counter
-	// Resumed counts streams that went on on another chain.
-	Resumed *metrics.Counter
-	// CallersLeft counts callers that left before their answer was whole.
+	// StreamsResumed counts streams that continued on another chain.
+	StreamsResumed *metrics.Counter
+	// CallersLeft counts callers that left before their answer was complete.
 	CallersLeft *metrics.Counter
-	// CallerGone is the time from the last look that found a caller that left
-	// still there to the end of all work for it, in seconds.
-	CallerGone *metrics.Histogram
-	// RefusedAfterRun counts refusals that promise that a request has not run,
-	// although an upstream had answered that it ran it. It must stay at zero.
+	// CallerGoneDelay is the time for which work went on for a caller that left: from the last check
+	// at which it was still connected to the end of all work for it, in seconds.
+	CallerGoneDelay *metrics.Histogram
+	// RefusedAfterRun counts refusals that state that the request has not run although an upstream
+	// answered that it has. It must stay at zero.
 	RefusedAfterRun *metrics.Counter
-	// EndedUnder counts requests under which an upstream has ended.
-	EndedUnder *metrics.Counter
-	// UpstreamRefusals counts requests that upstreams have refused, whatever became of
-	// them.
+	// UpstreamCrashes counts requests under which an upstream crashed.
+	UpstreamCrashes *metrics.Counter
+	// UpstreamRefusals counts refusals by upstreams, whatever the outcome of the request.
 	UpstreamRefusals *metrics.Counter
-	// ClosedAtOnce counts new connections that the other side has ended before anything was
-	// sent: an upstream has more than it takes.
-	ClosedAtOnce *metrics.Counter
-	// FramesRefused counts frames of peers that were refused.
+	// ConnectionsClosedAtOnce counts new connections that the other side closed before anything was
+	// sent, because an upstream has more connections than it accepts.
+	ConnectionsClosedAtOnce *metrics.Counter
+	// FramesRefused counts frames from peers that were refused.
 	FramesRefused *metrics.Counter
 	// PeerBytesSent counts bytes sent to peers.
 	PeerBytesSent *metrics.Counter
 	// PeerBytesReceived counts bytes received from peers.
 	PeerBytesReceived *metrics.Counter
-	// SilentConnections counts open connections that said nothing more and were given up.
+	// SilentConnections counts open connections that were closed because nothing more arrived.
 	SilentConnections *metrics.Counter
-	// FirstToken is the time to the first token, in seconds.
-	FirstToken *metrics.Histogram
-	// BetweenTokens is the time between two tokens, in seconds.
-	BetweenTokens *metrics.Histogram
-	// ServiceCall is the time of a call of a plain service, in seconds.
-	ServiceCall *metrics.Histogram
+	// TimeToFirstToken is the time to the first token, in seconds.
+	TimeToFirstToken *metrics.Histogram
+	// TimeBetweenTokens is the time between two tokens, in seconds.
+	TimeBetweenTokens *metrics.Histogram
+	// ServiceCallTime is the duration of a call of a plain service, in seconds.
+	ServiceCallTime *metrics.Histogram
 	// QueueWait is the time a request waited before it started, in seconds.
 	QueueWait *metrics.Histogram
 }
 
-// New returns counters that stand at zero.
+// New returns metrics without any values.
 func New() *Meters {
 	s := metrics.NewSet()
 	m := &Meters{
 		set: s, refusals: map[spanrill.Reason]*metrics.Counter{},
 		Requests:          s.NewCounter("spanrill_requests_total"),
 		Tokens:            s.NewCounter("spanrill_tokens_total"),
-		Resumed:           s.NewCounter("spanrill_streams_resumed_total"),
+		StreamsResumed:           s.NewCounter("spanrill_streams_resumed_total"),
 		CallersLeft:       s.NewCounter("spanrill_callers_left_total"),
-		CallerGone:        s.NewHistogram("spanrill_caller_gone_seconds"),
+		CallerGoneDelay:        s.NewHistogram("spanrill_caller_gone_seconds"),
 		RefusedAfterRun:   s.NewCounter("spanrill_refused_after_run_total"),
-		EndedUnder:        s.NewCounter("spanrill_upstream_ends_under_requests_total"),
+		UpstreamCrashes:        s.NewCounter("spanrill_upstream_ends_under_requests_total"),
 		UpstreamRefusals:  s.NewCounter("spanrill_upstream_refusals_total"),
-		ClosedAtOnce:      s.NewCounter("spanrill_connections_closed_at_once_total"),
+		ConnectionsClosedAtOnce:      s.NewCounter("spanrill_connections_closed_at_once_total"),
 		FramesRefused:     s.NewCounter("spanrill_peer_frames_refused_total"),
 		PeerBytesSent:     s.NewCounter("spanrill_peer_bytes_sent_total"),
 		PeerBytesReceived: s.NewCounter("spanrill_peer_bytes_received_total"),
 		SilentConnections: s.NewCounter("spanrill_silent_connections_total"),
-		FirstToken:        s.NewHistogram("spanrill_first_token_seconds"),
-		BetweenTokens:     s.NewHistogram("spanrill_between_tokens_seconds"),
-		ServiceCall:       s.NewHistogram("spanrill_service_call_seconds"),
+		TimeToFirstToken:        s.NewHistogram("spanrill_first_token_seconds"),
+		TimeBetweenTokens:     s.NewHistogram("spanrill_between_tokens_seconds"),
+		ServiceCallTime:       s.NewHistogram("spanrill_service_call_seconds"),
 		QueueWait:         s.NewHistogram("spanrill_queue_wait_seconds"),
 	}
 	for _, r := range spanrill.Reasons() {
@@ -134,29 +133,29 @@
 	return m
 }
 
-// Refused counts a refusal.
-func (m *Meters) Refused(r spanrill.Reason) {
+// CountRefusal counts a refusal by its reason.
+func (m *Meters) CountRefusal(r spanrill.Reason) {
 	if c := m.refusals[r]; c != nil {
 		c.Inc()
 	}
 }
 
-// Refusals returns how many requests were refused for the reason.
+// Refusals returns the number of refusals for the reason.
 func (m *Meters) Refusals(r spanrill.Reason) uint64 { return m.refusals[r].Get() }
 
-// Retried counts a retry.
-func (m *Meters) Retried(r Retry) { m.retries[r].Inc() }
+// CountRetry counts a retry by its reason.
+func (m *Meters) CountRetry(r Retry) { m.retries[r].Inc() }
 
-// Retries returns how many retries there were for the reason.
+// Retries returns the number of retries for the reason.
 func (m *Meters) Retries(r Retry) uint64 { return m.retries[r].Get() }
 
-// Ended counts the outcome of a request.
-func (m *Meters) Ended(o spanrill.Outcome) { m.outcomes[o].Inc() }
+// CountOutcome counts the end of a request by its outcome.
+func (m *Meters) CountOutcome(o spanrill.Outcome) { m.outcomes[o].Inc() }
 
-// Gauge registers a figure that is read when the counters are written.
+// Gauge registers a gauge. Each call of Write calls f for its value.
 func (m *Meters) Gauge(name string, f func() float64) { m.set.NewGauge(name, f) }
 
-// Write writes all counters in the Prometheus text format.
+// Write writes all metrics, and those of the process, in the Prometheus text format.
 func (m *Meters) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
