--- a/state/config/follow.go
+++ b/state/config/follow.go
@@ -16,12 +16,12 @@
 
 // Follower keeps a daemon's snapshot up to date with the newest accepted edit.
 type Follower struct {
-	store    spanrill.ObjectStore
-	clock    spanrill.Clock
-	log      logrus.FieldLogger
-	watchesHead  func() bool
-	jitter   func(spanrill.Millis) spanrill.Millis
-	onChange func(*Snapshot)
+	store       spanrill.ObjectStore
+	clock       spanrill.Clock
+	log         logrus.FieldLogger
+	watchesHead func() bool
+	jitter      func(spanrill.Millis) spanrill.Millis
+	onChange    func(*Snapshot)
 
 	current      atomic.Pointer[activeConfig]
 	mu           sync.Mutex // serializes updates
@@ -79,10 +79,10 @@
 func NewFollower(store spanrill.ObjectStore, opts ...FollowerOption) *Follower {
 	f := &Follower{
 		store: store, clock: clock.NewSystem(), log: logrus.StandardLogger(),
-		watchesHead:  func() bool { return true },
-		jitter:   func(d spanrill.Millis) spanrill.Millis { return d },
-		onChange: func(*Snapshot) {},
-		ready:    make(chan struct{}),
+		watchesHead: func() bool { return true },
+		jitter:      func(d spanrill.Millis) spanrill.Millis { return d },
+		onChange:    func(*Snapshot) {},
+		ready:       make(chan struct{}),
 	}
 	for _, o := range opts {
 		o(f)
