--- a/cli/spanrilldcmd/gateway.go
+++ b/cli/spanrilldcmd/gateway.go
@@ -70,7 +70,7 @@
 		return cli.Exit(err.Error(), exitBadSettings)
 	}
 	log.SetOutput(writer)
-	g, err := gateway.New(s, platform.New, gateway.WithLogger(log), gateway.WithDropped(writer.Dropped))
+	g, err := gateway.New(s, platform.New, gateway.WithLogger(log), gateway.WithDroppedLines(writer.Dropped))
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
@@ -96,7 +96,7 @@
 				return
 			case <-hups:
 				_, err := settings.LoadGateway(path)
-				events.SettingsRead.Log(log, logrus.Fields{"file": path, "error": err})
+				events.SettingsReloaded.Log(log, logrus.Fields{"file": path, "error": err})
 			}
 		}
 	}()
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -112,8 +112,8 @@
 	if err != nil {
 		panic(err)
 	}
-	d.config.Take(routes.New(config), value, revision)
-	d.config.Prove(revision, at)
+	d.config.Update(routes.New(config), value, revision)
+	d.config.ConfirmUnchanged(revision, at)
 }
 
 // A daemon that cannot read the store takes a newer configuration from a peer, and with it the
@@ -127,7 +127,7 @@
 	if got := here.config.Table().Version(); got != 5 {
 		t.Fatalf("active version %d, want 5", got)
 	}
-	if got := here.config.ProvedAt(); got != asked-400 {
+	if got := here.config.ConfirmedAt(); got != asked-400 {
 		t.Fatalf("proved at %d, want %d: 400 ms before the request", got, asked-400)
 	}
 }
@@ -137,10 +137,10 @@
 	c, here, there, _ := pair(1)
 	there.take(4, 40, c.Now())
 	here.take(5, 50, c.Now()-3000)
-	proved := here.config.ProvedAt()
+	proved := here.config.ConfirmedAt()
 	here.exchange.Round(context.Background())
-	if here.config.Table().Version() != 5 || here.config.ProvedAt() != proved {
-		t.Fatalf("version %d, proved at %d", here.config.Table().Version(), here.config.ProvedAt())
+	if here.config.Table().Version() != 5 || here.config.ConfirmedAt() != proved {
+		t.Fatalf("version %d, proved at %d", here.config.Table().Version(), here.config.ConfirmedAt())
 	}
 }
 
@@ -209,8 +209,8 @@
 			now, here, there, _ := pair(1)
 			held := spanrill.LayerRange{From: 4, To: 8}
 			list := func(d *daemon, at uint64, born int64, beats uint64) {
-				entry := spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Revision: at, Born: born, Beats: beats}
-				d.table.Merge(fleet.Knowledge{Entries: []spanrill.EngineEntry{entry}, At: at, Change: at}, now.Now())
+				entry := spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Revision: at, StartedAt: born, WriteCount: beats}
+				d.table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{entry}, Revision: at, LastChange: at}, now.Now())
 			}
 			list(there, 9, c.first, 7)
 			list(here, 9, c.first, 7)
@@ -236,14 +236,14 @@
 	here.exchange.Round(context.Background())
 	c.Advance(settleTime)
 	there.budgets.Of("s")
-	there.budgets.Round(nil, retry.Fleet{Heard: 2, Daemons: 2, Rounds: 1, Settled: true})
+	there.budgets.StartRound(nil, retry.Fleet{Known: 2, Daemons: 2, Rounds: 1, Complete: true})
 	spent := 0
-	for there.budgets.Of("s").Take(retry.Running) {
+	for there.budgets.Of("s").Take(retry.PriorityRunning) {
 		spent++
 	}
 	here.budgets.Of("s")
 	here.exchange.Round(context.Background())
-	if got, want := here.budgets.Of("s").Left(), (190-float64(spent))/2; got != want || spent == 0 {
+	if got, want := here.budgets.Of("s").Remaining(), (190-float64(spent))/2; got != want || spent == 0 {
 		t.Fatalf("%v retries left after a peer made %d, want %v", got, spent, want)
 	}
 }
@@ -318,12 +318,12 @@
 	wire.silent = true
 	for range 20 {
 		c.Advance(1000)
-		there.table.Prove(9, 9, c.Now())
+		there.table.ConfirmUnchanged(9, 9, c.Now())
 	}
 	wire.silent = false
-	before := there.table.AnsweredFor()
+	before := there.table.StoreAvailableFor()
 	here.exchange.Round(context.Background())
-	if got := here.table.AnsweredFor(); got > before+200 || got < before {
+	if got := here.table.StoreAvailableFor(); got > before+200 || got < before {
 		t.Fatalf("the store has answered for %d ms here, %d ms at the peer", got, before)
 	}
 }
--- a/coordination/exchange/fetch.go
+++ b/coordination/exchange/fetch.go
@@ -17,14 +17,14 @@
 // usually have the same one, so fetches run one at a time: several large messages at once would
 // fill a slow link.
 func (e *Exchange) syncConfig(ctx context.Context, m peermsg.Member, revision uint64) error {
-	if e.state.Config.Seen(revision) {
+	if e.state.Config.Handled(revision) {
 		return nil
 	}
 	if err := e.acquireFetch(ctx); err != nil {
 		return err
 	}
 	defer e.releaseFetch()
-	if e.state.Config.Seen(revision) {
+	if e.state.Config.Handled(revision) {
 		return nil
 	}
 	return e.fetchConfig(ctx, m)
@@ -33,7 +33,7 @@
 // syncEntries does the same for the entries of upstreams.
 func (e *Exchange) syncEntries(ctx context.Context, m peermsg.Member, news *peermsg.News, sent spanrill.Millis) error {
 	upToDate := func() bool {
-		return news.UpstreamsAt == 0 || e.state.Fleet.Prove(news.UpstreamsAt, news.UpstreamsChange, sent-news.UpstreamsAge)
+		return news.UpstreamsAt == 0 || e.state.Fleet.ConfirmUnchanged(news.UpstreamsAt, news.UpstreamsChange, sent-news.UpstreamsAge)
 	}
 	if upToDate() {
 		return nil
@@ -64,7 +64,7 @@
 func (e *Exchange) fetchEntries(ctx context.Context, m peermsg.Member) error {
 	sent := e.clock.Now()
 	var r peermsg.Entries
-	req := &peermsg.AskEntries{After: e.state.Fleet.At()}
+	req := &peermsg.AskEntries{After: e.state.Fleet.Revision()}
 	if err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindEntries), req, &r); err != nil {
 		return err
 	}
@@ -76,8 +76,8 @@
 	if err := peermsg.Decode(value, &list); err != nil {
 		return err
 	}
-	e.state.Fleet.Merge(fleet.Knowledge{
-		Entries: list.Entries, At: r.At, Change: r.Change, Unreadable: list.Unreadable, After: r.After, Gone: list.Gone,
+	e.state.Fleet.Merge(fleet.Update{
+		Entries: list.Entries, Revision: r.At, LastChange: r.Change, Unreadable: list.Unreadable, Since: r.After, Removed: list.Gone,
 	}, sent-r.Age)
 	return nil
 }
@@ -97,7 +97,7 @@
 		events.ConfigRejected.Log(e.log, logrus.Fields{"peer": m.Name, "revision": c.Revision, "error": err})
 		return err
 	}
-	if e.state.Config.Take(routes.New(config), value, c.Revision) {
+	if e.state.Config.Update(routes.New(config), value, c.Revision) {
 		events.ConfigFromPeer.Log(e.log, logrus.Fields{"peer": m.Name, "revision": c.Revision, "config": config.Version})
 	}
 	return nil
--- a/coordination/layoutrun/pace.go
+++ b/coordination/layoutrun/pace.go
@@ -52,8 +52,8 @@
 		if s.Model == nil {
 			continue
 		}
-		for _, u := range p.table.View().Of(s.Name) {
-			if u.Takes() && !u.Dead() && u.Layers().Len() > 0 {
+		for _, u := range p.table.View().ByService(s.Name) {
+			if u.AcceptsRequests() && !u.Dead() && u.Layers().Len() > 0 {
 				engines = append(engines, u)
 			}
 		}
@@ -85,10 +85,10 @@
 // handleSlowChange logs that an engine has become slow or has recovered, and has the chains
 // derived again.
 func (p *Placer) handleSlowChange(u *fleet.Upstream) {
-	event := events.UpstreamBack
+	event := events.UpstreamRecovered
 	if u.Slow() {
 		event = events.UpstreamSlow
 	}
 	event.Log(p.log, logrus.Fields{"upstream": u.ID(), "pace": u.Pace()})
-	p.table.Touch()
+	p.table.RefreshView()
 }
--- a/coordination/layoutrun/verify.go
+++ b/coordination/layoutrun/verify.go
@@ -46,7 +46,7 @@
 func (p *Placer) verify(ctx context.Context, u *fleet.Upstream, now spanrill.Millis, mayAct bool) (lost, leaves bool) {
 	id := u.ID()
 	v := p.verifications[id]
-	if !u.Removed() && !u.Dead() && !u.Refusing(now) && (v == nil || now-u.RefusedAt() > verifyWindow) {
+	if !u.Removed() && !u.Dead() && !u.RefusesPersistently(now) && (v == nil || now-u.LastRefusalAt() > verifyWindow) {
 		delete(p.verifications, id)
 		return false, false
 	}
@@ -69,17 +69,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v.querying = false
-	if spanrill.OwnLack(err) {
+	if spanrill.IsLocalResourceError(err) {
 		return err // the daemon lacks resources; says nothing about the engine
 	}
 	lost := err != nil
 	v.recordRoom(!lost && report.Waiting == 0 && report.KVUsed < fullThreshold*report.KVTotal, p.clock.Now())
-	leaves := v.hasRoom && u.RefusedAt() > v.roomSince+minRoomTime
+	leaves := v.hasRoom && u.LastRefusalAt() > v.roomSince+minRoomTime
 	if lost == v.lost && leaves == v.leaving {
 		return nil
 	}
 	v.lost, v.leaving = lost, leaves
-	events.UpstreamDoubted.Log(p.log, logrus.Fields{
+	events.UpstreamVerified.Log(p.log, logrus.Fields{
 		"upstream": u.ID(), "lost": lost, "leaves": leaves, "error": err,
 		"waiting": report.Waiting, "kv_used": report.KVUsed, "kv_total": report.KVTotal,
 	})
--- a/coordination/placement/placer.go
+++ b/coordination/placement/placer.go
@@ -117,7 +117,7 @@
 		h := p.recordState(u.Name(), r, now)
 		engines = append(engines, Engine{
 			Name: u.Name(), Model: r.Model, Version: r.Version, Layers: r.Layers, Slots: r.Slots,
-			StepMicros: float64(r.StepMicros), TokenMicros: float64(r.TokenNanos) / nanosPerMicro, MaxLayers: r.MemLayers,
+			StepMicros: float64(r.StepMicros), TokenMicros: float64(r.TokenNanos) / nanosPerMicro, MaxLayers: r.MaxLayers,
 			HeldFor: now - h.since, Busy: r.Loading || h.orderedAt > 0 && now-h.orderedAt < orderVisibleTime,
 		})
 	}
@@ -142,8 +142,8 @@
 		return
 	}
 	fields := logrus.Fields{"upstream": m.Engine, "model": m.Model.Name, "layers": m.Layers, "term": term, "why": m.Reason}
-	if !site.ChecksFence(m.Engine) && !p.lease.Settled(orderTimeout+orderTimeout/2) {
-		events.OrderWaits.Log(p.log, fields)
+	if !site.ChecksFence(m.Engine) && !p.lease.HeldFor(orderTimeout+orderTimeout/2) {
+		events.OrderDelayed.Log(p.log, fields)
 		return
 	}
 	u := p.table.Upstream(m.Engine)
@@ -153,7 +153,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
 	err := p.engines.Order(ctx, u.Addr(), spanrill.Order{
-		Kind: spanrill.OrderLoad, Duty: p.lease.Duty(), Term: term,
+		Kind: spanrill.OrderLoad, LeaseName: p.lease.Duty(), Term: term,
 		Model: m.Model.Name, Version: m.Model.Version, Layers: m.Layers, LayerNum: m.Model.Layers,
 	})
 	p.recordResult(m, fields, err)
@@ -168,7 +168,7 @@
 		p.states[m.Engine] = h
 		events.OrderGiven.Log(p.log, fields)
 	case errors.As(err, &refusal) && refusal.Code == spanrill.CodeFenced:
-		p.lease.GiveUp()
+		p.lease.Invalidate()
 		events.OrderRefused.Log(p.log, fields)
 	default:
 		fields["error"] = err
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -113,9 +113,9 @@
 	err := p.dial(ctx, u.Addr())
 	switch {
 	case err == nil:
-		u.Listens(p.clock.Now())
-	case spanrill.NothingListens(err):
-		u.NotListening()
+		u.RecordListening(p.clock.Now())
+	case spanrill.IsConnectionRefused(err):
+		u.RecordNotListening()
 	}
 }
 
@@ -255,27 +255,27 @@
 // connectionRefused reports whether the connection was refused by the other end.
 func connectionRefused(err error) bool {
 	var call *spanrill.CallError
-	return errors.As(err, &call) && call.Phase == spanrill.PhaseDial && !errors.Is(err, context.DeadlineExceeded) && !spanrill.OwnLack(err)
+	return errors.As(err, &call) && call.Phase == spanrill.PhaseDial && !errors.Is(err, context.DeadlineExceeded) && !spanrill.IsLocalResourceError(err)
 }
 
 // recordResult sets the state of an engine from the result of a query and logs changes.
 func (p *Prober) recordResult(u *fleet.Upstream, q *query) {
-	if spanrill.OwnLack(q.err) {
-		events.ConnectionsLacking.Log(p.log, logrus.Fields{"upstream": u.ID(), "addr": u.Addr(), "error": q.err})
+	if spanrill.IsLocalResourceError(q.err) {
+		events.LocalResourcesExhausted.Log(p.log, logrus.Fields{"upstream": u.ID(), "addr": u.Addr(), "error": q.err})
 		return // without descriptors, this daemon would take all engines for dead
 	}
 	dead := q.err != nil
-	if spanrill.NothingListens(q.err) {
-		u.NotListening()
+	if spanrill.IsConnectionRefused(q.err) {
+		u.RecordNotListening()
 	}
 	if !dead {
 		u.SetPace(q.report.Pace)
-		u.Heard(p.clock.Now())
+		u.RecordResponse(p.clock.Now())
 	}
 	if !u.SetDead(dead) {
 		return
 	}
-	event, fields := events.UpstreamBack, logrus.Fields{"upstream": u.ID(), "addr": u.Addr()}
+	event, fields := events.UpstreamRecovered, logrus.Fields{"upstream": u.ID(), "addr": u.Addr()}
 	if dead {
 		event = events.UpstreamEjected
 		fields["why"], fields["error"] = "did not answer a probe", q.err
--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -43,9 +43,9 @@
 
 // newRefusalError returns the sendError for an engine's answer that it did not run the request. The
 // engine at fault may be a later one of the path.
-func (g *generation) newRefusalError(first *fleet.Upstream, head spanrill.UpstreamHead, status int) *sendError {
+func (g *generation) newRefusalError(first *fleet.Upstream, head spanrill.UpstreamResponse, status int) *sendError {
 	atFault := first
-	if u := g.relay.Fleet.View().ByAddr(head.AtFault); u != nil && head.AtFault != "" {
+	if u := g.relay.Fleet.View().ByAddr(head.FailedAddr); u != nil && head.FailedAddr != "" {
 		atFault = u
 	}
 	return &sendError{
@@ -62,12 +62,12 @@
 	case failure.engineAtFault != nil:
 		g.recordRefusal(first, failure, now)
 	case failure.retry == meter.RetryBadToken:
-		first.Failed(now)
+		first.RecordFailure(now)
 	case failure.retry == meter.RetryWithheld:
 		g.avoid[first.ID()] = true
 	case g.ctx.Err() == nil && !errors.Is(failure, errStageDead):
 		g.avoid[first.ID()] = true
-		first.Failed(now)
+		first.RecordFailure(now)
 		first.Avoid(now + failedAvoidTime)
 		if failure.outcome != spanrill.OutcomeNotRun {
 			g.recordBrokenAttempt(first, 0)
@@ -80,8 +80,8 @@
 	if failure.retry == meter.RetryDial || failure.retry == meter.RetryWithheld {
 		g.uncountSend(first)
 	}
-	if spanrill.NothingListens(failure) {
-		first.NotListening()
+	if spanrill.IsConnectionRefused(failure) {
+		first.RecordNotListening()
 	}
 }
 
@@ -131,7 +131,7 @@
 	if !g.mayRepeat(failure) {
 		return g.giveUpRefusal(failure)
 	}
-	g.relay.Meters.Retried(failure.retry)
+	g.relay.Meters.CountRetry(failure.retry)
 	g.logRetry(failed, failure.retry.String(), failure.outcome, failure.cause)
 	return nil
 }
@@ -147,14 +147,14 @@
 	if g.sends >= g.route.MaxAttempts+maxExtraSends {
 		return false
 	}
-	use := retry.Waiting
+	use := retry.PriorityWaiting
 	if failure.outcome == spanrill.OutcomeNotRun && !g.mayHaveRun {
-		use = retry.Refusable
+		use = retry.PriorityRefusable
 	}
-	if g.relay.Budgets.Of(g.service.Name).TakeSoon(g.ctx, use) {
+	if g.relay.Budgets.Of(g.service.Name).TakeOrBorrow(g.ctx, use) {
 		return true
 	}
-	g.relay.Meters.Refused(spanrill.ReasonRetryBudget)
+	g.relay.Meters.CountRefusal(spanrill.ReasonRetryBudget)
 	return false
 }
 
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -50,7 +50,7 @@
 	switch {
 	case u.Ended():
 		return true, false
-	case u.ListenedAt() > a.brokeAt:
+	case u.LastListening() > a.brokeAt:
 		return false, true
 	case u.Removed() && u.Dead():
 		return !a.leaving, a.leaving // a leaving upstream terminates as planned
@@ -127,7 +127,7 @@
 func (r *Relay) reportTerminatedUpstreams() {
 	now := r.Clock.Now()
 	for _, attempt := range r.brokenAttempts.take(now) {
-		r.Meters.EndedUnder.Inc()
+		r.Meters.UpstreamCrashes.Inc()
 		verdict := r.Suspects.RecordLoss(attempt.content, suspect.Loss{
 			Upstream: nameHash(attempt.upstream), At: attempt.brokeAt, Fresh: attempt.streamedFor <= suspect.FreshTime,
 		})
@@ -137,7 +137,7 @@
 				"content": attempt.content.String(), "request": attempt.request, "losses": verdict.Losses(), "proved": verdict.Proved(),
 			})
 		}
-		r.failureLog.Log(events.UpstreamEndedUnder, r.Log, func() logrus.Fields {
+		r.failureLog.Log(events.UpstreamCrashed, r.Log, func() logrus.Fields {
 			return logrus.Fields{
 				"upstream": attempt.upstream.ID(), "addr": attempt.upstream.Addr(), "request": attempt.request, "content": attempt.content.String(),
 				"ran_ms": attempt.streamedFor, "found_after_ms": now - attempt.brokeAt,
@@ -169,14 +169,14 @@
 	}
 	reason := spanrill.ReasonSuspected
 	if v.Proved() {
-		reason = spanrill.ReasonEndsUpstreams
+		reason = spanrill.ReasonCrashesUpstreams
 	}
 	return spanrill.NewRefusal(reason, "%d upstreams have terminated while running this request", v.Losses()).WithRetryAfter(v.RetryAfter())
 }
 
 // isSuspectRefusal reports whether a refusal was made by checkSuspect.
 func isSuspectRefusal(refusal *spanrill.Refusal) bool {
-	return refusal.Reason() == spanrill.ReasonSuspected || refusal.Reason() == spanrill.ReasonEndsUpstreams
+	return refusal.Reason() == spanrill.ReasonSuspected || refusal.Reason() == spanrill.ReasonCrashesUpstreams
 }
 
 // recordServed records that an upstream has answered the request completely.
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -119,7 +119,7 @@
 func New(deps Dependencies, options Options) *Relay {
 	return &Relay{
 		Dependencies: deps, options: options, callers: newCallerConns(deps.Clock, deps.Meters), generations: newRunningGenerations(), brokenAttempts: &brokenAttempts{}, roomRetries: &roomRetryTimes{}, limitRetries: &limitRetryTimes{}, eventTokens: newEventTokenEstimator(),
-		startup:    newStartupHold(deps.Clock, deps.StoreUnresponsive, deps.Config.Ready(), deps.Fleet.Seen()),
+		startup:    newStartupHold(deps.Clock, deps.StoreUnresponsive, deps.Config.Ready(), deps.Fleet.Ready()),
 		routineLog: events.NewLimiter(deps.Clock, routineLinesPerSecond), failureLog: events.NewLimiter(deps.Clock, failureLinesPerSecond),
 	}
 }
@@ -209,7 +209,7 @@
 	if refusal := q.matchRoute(); refusal != nil {
 		return refusal
 	}
-	q.service = q.table.Service(routes.Choose(q.route, r.Random.Float64()))
+	q.service = q.table.Service(routes.ChooseService(q.route, r.Random.Float64()))
 	if q.service == nil {
 		return spanrill.NewRefusal(spanrill.ReasonNoUpstream, "route %s has no service", q.route.Name).WithRetryAfter(notReadyRetryAfter)
 	}
@@ -233,13 +233,13 @@
 		return q.unknownOrStale(spanrill.ReasonUnknownRoute, "no such route")
 	}
 	q.route = route
-	if route.Open || !q.table.HasAccounts() {
+	if route.AuthExempt || !q.table.HasAccounts() {
 		return nil
 	}
 	if !q.configFresh() {
 		return q.configStale()
 	}
-	if q.account, ok = q.table.Account(q.head.Key); !ok {
+	if q.account, ok = q.table.Account(q.head.APIKey); !ok {
 		return spanrill.NewRefusal(spanrill.ReasonBadKey, "missing or unknown key")
 	}
 	return nil
@@ -287,7 +287,7 @@
 		stop()
 		q.relay.inFlight.Add(-1)
 	}
-	q.relay.Budgets.Of(q.service.Name).Request()
+	q.relay.Budgets.Of(q.service.Name).RecordRequest()
 }
 
 // defaultTimeout applies to requests for which neither route nor caller set a timeout.
@@ -305,14 +305,14 @@
 }
 
 // upstreamRequest builds the request for one attempt. The caller releases it.
-func (q *request) upstreamRequest(send spanrill.UpstreamSend) *fasthttp.Request {
+func (q *request) upstreamRequest(send spanrill.UpstreamRequest) *fasthttp.Request {
 	if q.account != nil {
 		send.Account = q.account.Name
 	}
 	send.Remaining = q.remaining()
 	req := fasthttp.AcquireRequest()
 	q.http.Request.Header.CopyTo(&req.Header)
-	q.relay.Codec.WriteSend(&req.Header, send)
+	q.relay.Codec.WriteRequest(&req.Header, send)
 	req.SetBodyRaw(q.body)
 	return req
 }
--- a/coordination/relay/stream.go
+++ b/coordination/relay/stream.go
@@ -35,7 +35,7 @@
 const readSize = 4096
 
 func newEventBody(g *generation) *eventBody {
-	return &eventBody{g: g, framer: newFramer(g.head.LastEvent), readBuf: make([]byte, readSize), lastEventAt: g.relay.Clock.Now()}
+	return &eventBody{g: g, framer: newFramer(g.head.LastEventID), readBuf: make([]byte, readSize), lastEventAt: g.relay.Clock.Now()}
 }
 
 // Read returns events as they arrive.
@@ -85,13 +85,13 @@
 	g, now := b.g, b.g.relay.Clock.Now()
 	seconds := float64(now-b.lastEventAt) / float64(spanrill.Second)
 	if g.begun {
-		g.relay.Meters.BetweenTokens.Update(seconds)
+		g.relay.Meters.TimeBetweenTokens.Update(seconds)
 		b.longestPause = max(b.longestPause, now-b.lastEventAt)
-		g.firstEngine.NoteEventGap((now - b.lastEventAt) / spanrill.Millis(count))
+		g.firstEngine.RecordEventGap((now - b.lastEventAt) / spanrill.Millis(count))
 	} else {
 		b.firstEventDelay = now - g.start
-		g.relay.Meters.FirstToken.Update(float64(now-g.start) / float64(spanrill.Second))
-		g.firstEngine.NoteLag(now, float64(now-g.sentAt)/g.expectedFirstEvent()/slowFirstEventFactor)
+		g.relay.Meters.TimeToFirstToken.Update(float64(now-g.start) / float64(spanrill.Second))
+		g.firstEngine.RecordLag(now, float64(now-g.sentAt)/g.expectedFirstEvent()/slowFirstEventFactor)
 		g.begun = true
 		for _, p := range g.path.Parts() {
 			p.Upstream.Accepted(g.sentAt)
@@ -107,7 +107,7 @@
 	b.events += count
 	g.relay.Meters.Tokens.Add(count)
 	for _, p := range g.path.Parts() {
-		p.Upstream.Worked(now)
+		p.Upstream.RecordProgress(now)
 	}
 	if b.events%growInterval == 0 {
 		g.path.Grow(int64(g.head.PromptTokens + b.events*g.relay.eventTokens.tokensPerEvent(g.service)))
@@ -152,7 +152,7 @@
 	g.mayHaveRun = true
 	if g.ctx.Err() == nil {
 		g.avoid[g.firstEngine.ID()] = true
-		g.firstEngine.Failed(g.relay.Clock.Now())
+		g.firstEngine.RecordFailure(g.relay.Clock.Now())
 		g.recordBrokenAttempt(g.firstEngine, g.streamingTime())
 	}
 	g.release()
@@ -165,8 +165,8 @@
 	g.adoptContinuation()
 	b.framer.dropPartial()
 	b.resumed++
-	g.relay.Meters.Resumed.Inc()
-	g.relay.failureLog.Log(events.StreamTaken, g.relay.Log, func() logrus.Fields {
+	g.relay.Meters.StreamsResumed.Inc()
+	g.relay.failureLog.Log(events.ContinuationAdopted, g.relay.Log, func() logrus.Fields {
 		f := g.logFields()
 		f["path"], f["behind_event"], f["silent_ms"], f["why"] = g.path.String(), b.framer.lastID, g.relay.Clock.Now()-b.lastEventAt, cause
 		return f
@@ -196,11 +196,11 @@
 	whole := b.complete && len(b.ready) == 0
 	if whole {
 		g.recordServed()
-		g.firstEngine.Succeeded(g.relay.Clock.Now())
-		if g.head.LastEvent == "" {
+		g.firstEngine.RecordSuccess(g.relay.Clock.Now())
+		if g.head.LastEventID == "" {
 			g.relay.eventTokens.recordAnswer(g.service.Name, b.events)
 		}
-		g.relay.Meters.Ended(spanrill.OutcomeRan)
+		g.relay.Meters.CountOutcome(spanrill.OutcomeRan)
 	}
 	b.logEnd(whole)
 	g.release()
