--- a/cli/spanrillcmd/gatewaystatus_test.go
+++ b/cli/spanrillcmd/gatewaystatus_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(store.Close)
-	platformtest.Sample(store, 3)
+	platformtest.WriteSample(store, 3)
 	store.Set("servers", "i-bad", "not an entry")
 	client := platform.NewStore(addr, httpcall.New())
 	for _, c := range []struct{ name, lease, want string }{
--- a/cli/spanrillcmd/plan_test.go
+++ b/cli/spanrillcmd/plan_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(store.Close)
-	platformtest.Sample(store, 9)
+	platformtest.WriteSample(store, 9)
 	plans, err := readPlans(context.Background(), platform.NewStore(addr, httpcall.New()))
 	if err != nil || len(plans) != 1 {
 		t.Fatalf("%d plans, error %v", len(plans), err)
--- a/cli/spanrilldcmd/gateway.go
+++ b/cli/spanrilldcmd/gateway.go
@@ -26,7 +26,7 @@
 		Description: "spanrilld gateway --settings FILE          run until SIGTERM, then drain\n" +
 			"spanrilld gateway --settings FILE --check  check the settings and exit",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "settings", Required: true, Usage: "read settings from `FILE`", Sources: cli.EnvVars(platform.BootVariable)},
+			&cli.StringFlag{Name: "settings", Required: true, Usage: "read settings from `FILE`", Sources: cli.EnvVars(platform.SettingsPathVariable)},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
 		},
 		Action: runGateway,
--- a/gateway/fail_test.go
+++ b/gateway/fail_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	platformtest.Sample(store, 1)
+	platformtest.WriteSample(store, 1)
 	pid := os.Getpid()
 	ip := fmt.Sprintf("127.%d.%d.%d", 65+pid>>16&0x3f, pid>>8&0xff, 1+pid&0x7f) // used by this test process only
 	s := settings.DefaultGateway()
--- a/soak/bounds.go
+++ b/soak/bounds.go
@@ -191,7 +191,7 @@
 func (t *traffic) limits() (found []breach) {
 	daemons := map[string]*process{}
 	check := platformtest.LimitCheck{
-		Settle: limitSettle,
+		EnforcedAfter: limitSettle,
 		DaemonOf: func(request string) (string, bool) {
 			s, ok := t.requests[request]
 			if ok {
@@ -204,8 +204,8 @@
 			return t.excused(daemons[daemon], upstream, from.Add(-limitSettle), to)
 		},
 	}
-	for _, v := range check.Find(t.arrivals) {
-		found = append(found, breach{t.requests[v.Last.ID], fmt.Sprintf("%s had set a limit of %v a second, and got %d requests in %v; allowed %d", v.Upstream, v.Limit, v.Got, limitWindow, v.Allowed)})
+	for _, v := range check.FindViolations(t.arrivals) {
+		found = append(found, breach{t.requests[v.Last.ID], fmt.Sprintf("%s had set a limit of %v a second, and got %d requests in %v; allowed %d", v.Upstream, v.Limit, v.Received, limitWindow, v.Allowed)})
 	}
 	return found
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -112,7 +112,7 @@
 			add(b.by, rule, b.what)
 		}
 	}
-	for _, what := range r.world.fleet.Bad() {
+	for _, what := range r.world.fleet.Violations() {
 		all = append(all, Violation{Rule: ruleLayers, What: what})
 	}
 	for _, p := range r.daemons {
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -110,7 +110,7 @@
 	r.disturbStore(s.For)
 	switch s.Kind {
 	case StoreForgets:
-		w.store.Forget()
+		w.store.DropHistory()
 		return nil
 	case StoreLoses:
 		w.store.SetFaults(platformtest.StoreFaults{LoseWrites: 1 + s.Way})
@@ -214,9 +214,9 @@
 		u.engine.Restart(0)
 		return nil
 	case UpstreamLeaves:
-		u.engine.SetFaults(platformtest.EngineFaults{Leave: true})
+		u.engine.SetFaults(platformtest.EngineFaults{AnnounceLeaving: true})
 		if s.Way%2 == 0 {
-			u.engine.Enter("draining")
+			u.engine.WriteEntry("draining")
 		}
 		wait(ctx, leaveTime)
 	}
@@ -251,7 +251,7 @@
 	case UpstreamBreaks:
 		f.BreakAfter = 1 + 4*s.Way
 	case UpstreamMute:
-		f.Mute = true
+		f.MuteReports = true
 	}
 	u.engine.SetFaults(f)
 	wait(ctx, s.For)
--- a/soak/world.go
+++ b/soak/world.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("link to an upstream: %w", err)
 	}
-	w.fleet.Behind(e, addr)
+	w.fleet.SetEngineAddr(e, addr)
 	return &upstream{engine: e, link: link}, nil
 }
 
