--- a/coordination/pipeline/generation.go
+++ b/coordination/pipeline/generation.go
@@ -46,7 +46,7 @@
 		g.result.attempts++
 		f := g.attempt(chain)
 		if f == nil {
-			g.runner.budget.Success()
+			g.runner.budget.RecordSuccess()
 			return g.result, nil
 		}
 		if refusal := g.afterFailure(f); refusal != nil {
@@ -79,9 +79,9 @@
 	case !g.runner.budget.Take():
 		return g.refuse(spanrill.ReasonRetryBudget, "the chain failed and the retry budget is spent: %v", f.cause)
 	}
-	g.runner.meters.Retried(f.reason)
+	g.runner.meters.CountRetry(f.reason)
 	if len(g.generated) > 0 {
-		g.runner.meters.Resumed.Inc()
+		g.runner.meters.StreamsResumed.Inc()
 		events.StreamResumed.Log(g.runner.log, logrus.Fields{
 			"request": g.req.ID, "after_token": len(g.generated), "cause": f.cause,
 		})
@@ -154,7 +154,7 @@
 		deliver, err := v.check(&ev)
 		if err != nil {
 			events.TokenRejected.Log(g.runner.log, logrus.Fields{"request": g.req.ID, "error": err})
-			return &failure{cause: err, reason: meter.RetryBadToken, stage: mismatchedStage(ev.Ran, chain)}
+			return &failure{cause: err, reason: meter.RetryBadToken, stage: mismatchedStage(ev.StageRuns, chain)}
 		}
 		if !deliver {
 			continue
@@ -188,14 +188,14 @@
 func (g *generation) deliver(ev *spanrill.RunEvent, chain []*load.Upstream, lastToken *spanrill.Millis) error {
 	now := g.runner.clock.Now()
 	if len(g.generated) == 0 {
-		g.runner.meters.FirstToken.Update((now - g.started).Duration().Seconds())
+		g.runner.meters.TimeToFirstToken.Update((now - g.started).Duration().Seconds())
 		g.result.cachedTokens = ev.CachedTokens
 	} else {
-		g.runner.meters.BetweenTokens.Update((now - *lastToken).Duration().Seconds())
+		g.runner.meters.TimeBetweenTokens.Update((now - *lastToken).Duration().Seconds())
 	}
 	*lastToken = now
 	g.result.promptTokens = ev.PromptTokens
-	g.observe(ev.Ran, chain, now)
+	g.observe(ev.StageRuns, chain, now)
 	g.generated = append(g.generated, ev.Token)
 	g.runner.meters.Tokens.Inc()
 	return g.sink.Token(ev)
@@ -203,12 +203,12 @@
 
 // observe records the times of the stages. The first token's time includes the prompt, so it is
 // not the time of a step.
-func (g *generation) observe(ran []spanrill.RanRange, chain []*load.Upstream, now spanrill.Millis) {
+func (g *generation) observe(ran []spanrill.StageRun, chain []*load.Upstream, now spanrill.Millis) {
 	if len(g.generated) == 0 {
 		return
 	}
 	for i, r := range ran {
 		chain[i].RecordStep(now, r.Micros)
-		chain[i].RecordLink(r.Link)
+		chain[i].RecordLink(r.LinkMicros)
 	}
 }
--- a/coordination/relay/log.go
+++ b/coordination/relay/log.go
@@ -21,7 +21,7 @@
 	}
 	if q.route != nil {
 		f["route"], f["repeat"] = q.route.Name, q.route.Repeat.String()
-		f["target_ms"], f["pause_target_ms"] = q.route.Target, q.route.PauseTarget
+		f["target_ms"], f["pause_target_ms"] = q.route.LatencyTarget, q.route.PauseTarget
 	}
 	if q.service != nil {
 		f["service"] = q.service.Name
@@ -77,7 +77,7 @@
 		return
 	}
 	g.noOtherPathLogged = true
-	g.relay.routineLog.Log(events.RequestWaits, g.relay.Log, func() logrus.Fields {
+	g.relay.routineLog.Log(events.NoOtherPath, g.relay.Log, func() logrus.Fields {
 		f := g.logFields()
 		f["why"], f["considered"], f["running"] = err, consideredChains(err), g.path != nil
 		return f
@@ -108,13 +108,13 @@
 	q.relay.failureLog.Log(events.RequestRetried, q.relay.Log, func() logrus.Fields {
 		f := q.logFields()
 		f["upstream"], f["why"], f["outcome"], f["error"] = u.ID(), reason, outcome.String(), err
-		f["risk"], f["budget_left"] = u.FailureRate(q.relay.Clock.Now()), q.relay.Budgets.Of(q.service.Name).Left()
+		f["risk"], f["budget_left"] = u.FailureRate(q.relay.Clock.Now()), q.relay.Budgets.Of(q.service.Name).Remaining()
 		return f
 	})
 }
 
 func (q *request) logCallerLeft(sent bool) {
-	q.relay.routineLog.Log(events.CallerGone, q.relay.Log, func() logrus.Fields {
+	q.relay.routineLog.Log(events.CallerLeft, q.relay.Log, func() logrus.Fields {
 		f := q.logFields()
 		f["sent"] = sent
 		return f
--- a/state/fleet/notice.go
+++ b/state/fleet/notice.go
@@ -44,7 +44,7 @@
 // shorter rest or no rest doesn't end one that was requested before.
 func (r *rest) extend(n spanrill.Notice, now spanrill.Millis) *rest {
 	length := min(n.Rest, maxRestTime)
-	if n.Unreadable != "" {
+	if n.UnreadableRest != "" {
 		length = max(length, unreadableRestTime)
 	}
 	next := rest{from: now, until: now + length}
@@ -107,24 +107,24 @@
 	defer u.addToActive()
 	if n.Leaving && !u.notices.leaving.Swap(true) {
 		t.noticeCounts.leaving.Add(1)
-		events.UpstreamSaysLeaving.Log(t.log, logrus.Fields{"upstream": u.ID(), "entry_leaving": u.Entry().Leaving, "entry_gone": u.Removed()})
+		events.UpstreamAnnouncedLeaving.Log(t.log, logrus.Fields{"upstream": u.ID(), "entry_leaving": u.Entry().Leaving, "entry_gone": u.Removed()})
 		t.publishView()
 	}
 }
 
 // recordRest applies the request for rest in a notice, if there is one. The caller holds the lock.
 func (t *Table) recordRest(u *Upstream, n spanrill.Notice) {
-	if n.Unreadable != "" {
+	if n.UnreadableRest != "" {
 		t.noticeCounts.unreadable.Add(1)
-		events.RestUnreadable.Log(t.log, logrus.Fields{"upstream": u.ID(), "value": n.Unreadable})
+		events.RestUnreadable.Log(t.log, logrus.Fields{"upstream": u.ID(), "value": n.UnreadableRest})
 	}
-	if n.Rest <= 0 && n.Unreadable == "" {
+	if n.Rest <= 0 && n.UnreadableRest == "" {
 		return
 	}
 	now := t.clock.Now()
 	t.noticeCounts.rests.Add(1)
 	u.notices.requestRest(n, now)
-	events.UpstreamRests.Log(t.log, logrus.Fields{"upstream": u.ID(), "rest_ms": n.Rest, "left_ms": u.RestRemaining(now)})
+	events.UpstreamResting.Log(t.log, logrus.Fields{"upstream": u.ID(), "rest_ms": n.Rest, "left_ms": u.RestRemaining(now)})
 }
 
 // upstreamAt returns the upstream at an address, including one that was removed recently and may
--- a/state/fleet/removed.go
+++ b/state/fleet/removed.go
@@ -54,7 +54,7 @@
 		h.heldSince = sent // no daemon had an answer for a while: the entry may have expired
 	}
 	t.holdEntry(id, h)
-	events.UpstreamHeld.Log(t.log, logrus.Fields{"upstream": id, "ms_since_outage": sinceFailure, "proof_age_ms": t.clock.Now() - lastConfirmed})
+	events.UpstreamEntryKept.Log(t.log, logrus.Fields{"upstream": id, "ms_since_outage": sinceFailure, "proof_age_ms": t.clock.Now() - lastConfirmed})
 }
 
 // removedUpstream is an upstream whose entry was removed.
@@ -83,7 +83,7 @@
 func (t *Table) remove(id, reason string) {
 	u := t.byName[id]
 	u.removed.Store(true)
-	if born := u.Entry().Born; born > 0 {
+	if born := u.Entry().StartedAt; born > 0 {
 		t.pastStartsOf(id).removedStart = born
 	}
 	t.recentlyRemoved[u.ID()] = removedUpstream{upstream: u, removedAt: t.clock.Now()}
@@ -91,7 +91,7 @@
 	t.noteRemoval(id)
 	t.clearAddr(u)
 	delete(t.held, id)
-	t.logLimits.removed.Log(events.UpstreamGone, t.log, func() logrus.Fields {
+	t.logLimits.removed.Log(events.UpstreamRemoved, t.log, func() logrus.Fields {
 		return logrus.Fields{"upstream": u.ID(), "why": reason}
 	})
 }
