--- a/cli/spanrillcmd/fleet.go
+++ b/cli/spanrillcmd/fleet.go
@@ -39,7 +39,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + addr + path)
 	req.Header.SetMethod(method)
-	answer, err := client.Do(ctx, addr, req, httpcall.Fresh)
+	answer, err := client.Do(ctx, addr, req, httpcall.ReuseNever)
 	if err != nil {
 		return fmt.Errorf("ask daemon at %s: %w: %v", addr, spanrill.ErrUnavailable, err)
 	}
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return false, record.Record{}, fmt.Errorf("encode record: %w", err)
 	}
-	var reply peermsg.Claimed
+	var reply peermsg.ClaimReply
 	msg := &peermsg.Claim{Slot: slot, Record: value}
 	if err := c.messenger.Ask(ctx, addr, uint8(peermsg.KindClaim), msg, &reply); err != nil {
 		return false, record.Record{}, fmt.Errorf("ask owner of slot: %w", err)
@@ -210,30 +210,30 @@
 	if err != nil {
 		return fmt.Errorf("encode record: %w", err)
 	}
-	return c.messenger.Tell(addr, uint8(peermsg.KindSettle), &peermsg.Settle{Slot: slot, Record: value})
+	return c.messenger.Tell(addr, uint8(peermsg.KindSettle), &peermsg.Settlement{Slot: slot, Record: value})
 }
 
 // HandleClaim answers the claim of another daemon.
-func (c *Claims) HandleClaim(ctx context.Context, m *peermsg.Claim) *peermsg.Claimed {
+func (c *Claims) HandleClaim(ctx context.Context, m *peermsg.Claim) *peermsg.ClaimReply {
 	var r record.Record
 	if err := json.Unmarshal(m.Record, &r); err != nil {
-		return &peermsg.Claimed{Failed: err.Error()}
+		return &peermsg.ClaimReply{Failed: err.Error()}
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
 	granted, first, err := c.keeper.Claim(ctx, m.Slot, r)
 	if err != nil {
-		return &peermsg.Claimed{Failed: err.Error()}
+		return &peermsg.ClaimReply{Failed: err.Error()}
 	}
 	value, err := json.Marshal(first)
 	if err != nil {
-		return &peermsg.Claimed{Failed: err.Error()}
+		return &peermsg.ClaimReply{Failed: err.Error()}
 	}
-	return &peermsg.Claimed{Granted: granted, Record: value}
+	return &peermsg.ClaimReply{Granted: granted, Record: value}
 }
 
 // HandleSettle records the outcome that another daemon sent.
-func (c *Claims) HandleSettle(m *peermsg.Settle) {
+func (c *Claims) HandleSettle(m *peermsg.Settlement) {
 	var r record.Record
 	if json.Unmarshal(m.Record, &r) == nil {
 		c.keeper.Settle(m.Slot, r)
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -241,8 +241,8 @@
 // other daemons that it knows of. The delay of the answer can only make the recorded span start
 // later and end earlier than the real one, which claims less.
 func (e *Exchange) mergeStoreAnswered(news *peermsg.News, sent spanrill.Millis) {
-	if news.UpstreamsAt != 0 {
-		e.state.Fleet.RecordStoreAvailable(e.clock.Now()-news.StoreAnswered, sent-news.UpstreamsAge)
+	if news.UpstreamsRevision != 0 {
+		e.state.Fleet.RecordStoreAvailable(e.clock.Now()-news.StoreAvailableFor, sent-news.UpstreamsAge)
 	}
 }
 
@@ -274,13 +274,13 @@
 }
 
 // News answers a peer's request for news.
-func (e *Exchange) News(req *peermsg.AskNews) *peermsg.News {
+func (e *Exchange) News(req *peermsg.NewsRequest) *peermsg.News {
 	reply := &peermsg.News{
 		Name: e.state.Name, Revision: e.state.Config.Revision(), ProofAge: e.state.Config.Age(),
 		Placement: e.placementNews(knownOrders{req.Holder, req.Sequence}), Leaving: e.state.Leaving(), StoreSilent: e.state.StoreSilent(),
 	}
-	reply.UpstreamsAt, reply.UpstreamsChange, reply.UpstreamsAge = e.state.Fleet.Freshness()
-	reply.StoreAnswered = min(e.state.Fleet.StoreAvailableFor(), maxStoreAnswered)
+	reply.UpstreamsRevision, reply.UpstreamsLastChange, reply.UpstreamsAge = e.state.Fleet.Freshness()
+	reply.StoreAvailableFor = min(e.state.Fleet.StoreAvailableFor(), maxStoreAnswered)
 	reply.Suspects = e.suspectNews(req.Suspects)
 	reply.Limits = ratelimit.News(e.state.Fleet, e.clock, req.Limits)
 	e.storeChildSums(req)
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -27,7 +27,7 @@
 	exchange *Exchange
 	latency  spanrill.Millis // of its answers
 	silent   bool
-	asked    *peermsg.AskNews // the request for news that it answers
+	asked    *peermsg.NewsRequest // the request for news that it answers
 }
 
 var errSilent = errors.New("no answer")
@@ -44,13 +44,13 @@
 	switch kind {
 	case uint8(peermsg.KindNews):
 		if p.asked == nil {
-			p.asked = &peermsg.AskNews{}
+			p.asked = &peermsg.NewsRequest{}
 		}
 		answer = p.exchange.News(p.asked)
 	case uint8(peermsg.KindRouteConfig):
 		answer = p.exchange.RouteConfig()
 	case uint8(peermsg.KindEntries):
-		answer = p.exchange.Entries(req.(*peermsg.AskEntries))
+		answer = p.exchange.Entries(req.(*peermsg.EntriesRequest))
 	}
 	p.clock.Advance(p.latency)
 	data, err := peermsg.Encode(answer)
--- a/coordination/exchange/fetch.go
+++ b/coordination/exchange/fetch.go
@@ -33,7 +33,7 @@
 // syncEntries does the same for the entries of upstreams.
 func (e *Exchange) syncEntries(ctx context.Context, m peermsg.Member, news *peermsg.News, sent spanrill.Millis) error {
 	upToDate := func() bool {
-		return news.UpstreamsAt == 0 || e.state.Fleet.ConfirmUnchanged(news.UpstreamsAt, news.UpstreamsChange, sent-news.UpstreamsAge)
+		return news.UpstreamsRevision == 0 || e.state.Fleet.ConfirmUnchanged(news.UpstreamsRevision, news.UpstreamsLastChange, sent-news.UpstreamsAge)
 	}
 	if upToDate() {
 		return nil
@@ -64,7 +64,7 @@
 func (e *Exchange) fetchEntries(ctx context.Context, m peermsg.Member) error {
 	sent := e.clock.Now()
 	var r peermsg.Entries
-	req := &peermsg.AskEntries{After: e.state.Fleet.Revision()}
+	req := &peermsg.EntriesRequest{Since: e.state.Fleet.Revision()}
 	if err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindEntries), req, &r); err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 		return err
 	}
 	e.state.Fleet.Merge(fleet.Update{
-		Entries: list.Entries, Revision: r.At, LastChange: r.Change, Unreadable: list.Unreadable, Since: r.After, Removed: list.Gone,
+		Entries: list.Entries, Revision: r.Revision, LastChange: r.LastChange, Unreadable: list.Unreadable, Since: r.Since, Removed: list.Removed,
 	}, sent-r.Age)
 	return nil
 }
--- a/coordination/exchange/orders.go
+++ b/coordination/exchange/orders.go
@@ -77,15 +77,15 @@
 func (o *orders) writeChanges(p *peermsg.Placement, known uint64) {
 	p.Sequence = o.sequence
 	if known >= o.droppedSince {
-		p.After = min(known, o.sequence)
+		p.Since = min(known, o.sequence)
 	}
 	for key, t := range o.targets {
-		if t.sequence > p.After {
-			p.Targets = append(p.Targets, peermsg.Target{Upstream: key, From: t.target.Layers.From, To: t.target.Layers.To, Done: t.target.Done})
+		if t.sequence > p.Since {
+			p.Targets = append(p.Targets, peermsg.Target{Upstream: key, From: t.target.Layers.From, To: t.target.Layers.To, Reached: t.target.Done})
 		}
 	}
 	for key, sequence := range o.dropped {
-		if sequence > p.After && p.After > 0 {
+		if sequence > p.Since && p.Since > 0 {
 			p.Dropped = append(p.Dropped, key)
 		}
 	}
@@ -95,13 +95,13 @@
 // by another daemon. It returns false if the message is older or leaves a gap.
 func (o *orders) applyChanges(p *peermsg.Placement) bool {
 	switch {
-	case p.After > o.sequence || p.Sequence < o.sequence:
+	case p.Since > o.sequence || p.Sequence < o.sequence:
 		return false
-	case p.After == 0:
+	case p.Since == 0:
 		*o = orders{droppedSince: p.Sequence}
 	}
 	for _, t := range p.Targets {
-		o.put(t.Upstream, fleet.Target{Layers: spanrill.LayerRange{From: t.From, To: t.To}, Done: t.Done}, p.Sequence)
+		o.put(t.Upstream, fleet.Target{Layers: spanrill.LayerRange{From: t.From, To: t.To}, Done: t.Reached}, p.Sequence)
 	}
 	for _, key := range p.Dropped {
 		o.drop(key, p.Sequence)
--- a/coordination/exchange/orders_test.go
+++ b/coordination/exchange/orders_test.go
@@ -45,10 +45,10 @@
 			var msg peermsg.Placement
 			from.writeChanges(&msg, to.sequence*uint64(min(1, random.Intn(8))))
 			if !to.applyChanges(&msg) {
-				t.Fatalf("seed %d, step %d: changes after %d rejected at sequence %d", seed, step, msg.After, to.sequence)
+				t.Fatalf("seed %d, step %d: changes after %d rejected at sequence %d", seed, step, msg.Since, to.sequence)
 			}
 			if !maps.Equal(from.targetsByKey(), to.targetsByKey()) || from.sequence != to.sequence {
-				t.Fatalf("seed %d, step %d: after changes since %d, targets %v, want %v", seed, step, msg.After, to.targetsByKey(), from.targetsByKey())
+				t.Fatalf("seed %d, step %d: after changes since %d, targets %v, want %v", seed, step, msg.Since, to.targetsByKey(), from.targetsByKey())
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 	var msg peermsg.Placement
 	holder.writeChanges(&msg, 1)
 	if other.applyChanges(&msg) || len(other.targets) != 0 {
-		t.Fatalf("applied %v after %d", other.targetsByKey(), msg.After)
+		t.Fatalf("applied %v after %d", other.targetsByKey(), msg.Since)
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 	size := func() int {
 		known := here.exchange.knownOrdersFor(recipient{})
-		data, err := peermsg.Encode(there.exchange.News(&peermsg.AskNews{Holder: known.holder, Sequence: known.sequence}))
+		data, err := peermsg.Encode(there.exchange.News(&peermsg.NewsRequest{Holder: known.holder, Sequence: known.sequence}))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/coordination/exchange/packed.go
+++ b/coordination/exchange/packed.go
@@ -76,18 +76,18 @@
 // with all if the peer has none or lags too far. Encoding all 1,001 entries for each request
 // takes 1 ms of a core and 158 KB; compressed once they take 22 KB (BenchmarkEntries). In a
 // starting fleet all daemons ask a seed within half a second.
-func (e *Exchange) Entries(req *peermsg.AskEntries) *peermsg.Entries {
+func (e *Exchange) Entries(req *peermsg.EntriesRequest) *peermsg.Entries {
 	at, change, age := e.state.Fleet.Freshness()
-	v, err := e.packedEntries.get(change, req.After, func() ([]byte, uint64, error) {
-		k := e.state.Fleet.UpdateSince(req.After)
-		plain, err := peermsg.Encode(&peermsg.EntryList{Entries: k.Entries, Unreadable: k.Unreadable, Gone: k.Removed})
+	v, err := e.packedEntries.get(change, req.Since, func() ([]byte, uint64, error) {
+		k := e.state.Fleet.UpdateSince(req.Since)
+		plain, err := peermsg.Encode(&peermsg.EntryList{Entries: k.Entries, Unreadable: k.Unreadable, Removed: k.Removed})
 		return plain, k.Since, err
 	})
 	if err != nil {
 		events.FrameRefused.Log(e.log, logrus.Fields{"kind": peermsg.KindEntries, "error": err})
 		return &peermsg.Entries{}
 	}
-	return &peermsg.Entries{Packed: v.value, At: at, Change: change, Age: age, After: v.after}
+	return &peermsg.Entries{Packed: v.value, Revision: at, LastChange: change, Age: age, Since: v.after}
 }
 
 func pack(value []byte) ([]byte, error) {
--- a/coordination/exchange/packed_test.go
+++ b/coordination/exchange/packed_test.go
@@ -25,7 +25,7 @@
 func TestEntriesArePackedOnce(t *testing.T) {
 	_, here, there, _ := pair(1)
 	there.table.Merge(manyEntries(40), 0)
-	whole := &peermsg.AskEntries{}
+	whole := &peermsg.EntriesRequest{}
 	first, again := there.exchange.Entries(whole), there.exchange.Entries(whole)
 	if &first.Packed[0] != &again.Packed[0] {
 		t.Error("entries were encoded twice")
@@ -46,7 +46,7 @@
 	k.Revision, k.LastChange = 5000, 5000
 	there.table.Merge(k, c.Now())
 	ask := func() *peermsg.Entries {
-		return there.exchange.Entries(&peermsg.AskEntries{After: here.table.Revision()})
+		return there.exchange.Entries(&peermsg.EntriesRequest{Since: here.table.Revision()})
 	}
 	whole := len(ask().Packed)
 	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil {
@@ -80,7 +80,7 @@
 	})
 	b.Run("packed", func(b *testing.B) {
 		for b.Loop() {
-			b.ReportMetric(float64(len(there.exchange.Entries(&peermsg.AskEntries{}).Packed)), "bytes")
+			b.ReportMetric(float64(len(there.exchange.Entries(&peermsg.EntriesRequest{}).Packed)), "bytes")
 		}
 	})
 }
--- a/coordination/exchange/placement.go
+++ b/coordination/exchange/placement.go
@@ -14,7 +14,7 @@
 	reportedAt   spanrill.Millis  // at or before the time of the report
 	leaseVersion spanrill.Version // version of the lease, or "" if the holder acts without one
 	leaseLeft    spanrill.Millis  // remaining time of the lease at the report
-	slow         []peermsg.Pace
+	slow         []peermsg.Slowdown
 	orders       orders
 }
 
@@ -52,7 +52,7 @@
 	switch {
 	case report.Holder == p.holder:
 		p.orders.applyChanges(report)
-	case at <= p.reportedAt || report.After > 0:
+	case at <= p.reportedAt || report.Since > 0:
 		return // the next request states which orders are known here
 	default:
 		p.orders = orders{}
@@ -61,9 +61,9 @@
 	if at <= p.reportedAt {
 		return
 	}
-	p.holder, p.reportedAt, p.leaseVersion, p.leaseLeft, p.slow = report.Holder, at, report.Version, report.Left, report.Slow
-	if report.Left > report.Age {
-		e.state.Lease.RecordExpiry(report.Version, report.Left-report.Age)
+	p.holder, p.reportedAt, p.leaseVersion, p.leaseLeft, p.slow = report.Holder, at, report.LeaseVersion, report.LeaseLeft, report.Slow
+	if report.LeaseLeft > report.Age {
+		e.state.Lease.RecordExpiry(report.LeaseVersion, report.LeaseLeft-report.Age)
 	}
 }
 
@@ -125,7 +125,7 @@
 	if !isHolder && !e.isFresh(p) {
 		return nil
 	}
-	report := &peermsg.Placement{Holder: p.holder, Age: e.clock.Now() - p.reportedAt, Version: p.leaseVersion, Left: p.leaseLeft, Slow: p.slow}
+	report := &peermsg.Placement{Holder: p.holder, Age: e.clock.Now() - p.reportedAt, LeaseVersion: p.leaseVersion, LeaseLeft: p.leaseLeft, Slow: p.slow}
 	if known.holder != p.holder {
 		known.sequence = 0
 	}
@@ -146,7 +146,7 @@
 	p.slow = nil
 	e.state.Fleet.EachActive(func(u *fleet.Upstream) {
 		if u.Slow() {
-			p.slow = append(p.slow, peermsg.Pace{Upstream: u.Key(), Times: u.Pace()})
+			p.slow = append(p.slow, peermsg.Slowdown{Upstream: u.Key(), Factor: u.Pace()})
 		}
 	})
 	targets := map[uint32]fleet.Target{}
@@ -164,7 +164,7 @@
 	}
 	paces := map[uint32]float64{}
 	for _, p := range e.placement.slow {
-		paces[p.Upstream] = p.Times
+		paces[p.Upstream] = p.Factor
 	}
 	changed := false
 	setPace := func(u *fleet.Upstream, pace float64) {
--- a/coordination/exchange/sums.go
+++ b/coordination/exchange/sums.go
@@ -63,7 +63,7 @@
 func (s *sum) message() *peermsg.Sum {
 	m := &peermsg.Sum{Daemons: s.daemons}
 	for id, u := range s.uses {
-		m.Uses = append(m.Uses, peermsg.Use{Upstream: id, Tokens: u.tokens, Calls: u.calls})
+		m.Uses = append(m.Uses, peermsg.UpstreamUse{Upstream: id, Tokens: u.tokens, Calls: u.calls})
 	}
 	for service, c := range s.retries {
 		m.Retries = append(m.Retries, peermsg.RetryCount{Service: service, Requests: c.Requests, Retries: c.Retries, Recent: c.Recent})
@@ -119,8 +119,8 @@
 
 // newsRequest returns the request for a peer's news. A request to a parent also carries the
 // subtree sums of this daemon and the placement orders that the parent lacks.
-func (e *Exchange) newsRequest(to recipient) *peermsg.AskNews {
-	req := &peermsg.AskNews{Name: e.state.Name, Suspects: e.state.Suspects.Digest(), Limits: e.state.Fleet.LimitsDigest()}
+func (e *Exchange) newsRequest(to recipient) *peermsg.NewsRequest {
+	req := &peermsg.NewsRequest{Name: e.state.Name, Suspects: e.state.Suspects.Digest(), Limits: e.state.Fleet.LimitsDigest()}
 	known := e.knownOrdersFor(to)
 	req.Holder, req.Sequence = known.holder, known.sequence
 	if len(to.trees) == 0 {
@@ -130,21 +130,21 @@
 	req.Placement = e.placementNews(e.ordersKnownBy(to.member.Name))
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	req.Below, req.Brief = map[int]*peermsg.Sum{}, e.briefTrees(to.trees)
+	req.SubtreeSums, req.SkipUpstreams = map[int]*peermsg.Sum{}, e.briefTrees(to.trees)
 	for _, tree := range to.trees {
 		s := e.subtreeSum(tree, own)
-		req.Below[tree] = s.message()
+		req.SubtreeSums[tree] = s.message()
 		e.sums.totals[tree].own = *own
 	}
 	return req
 }
 
 // storeChildSums stores the subtree sums that a child sends with its request.
-func (e *Exchange) storeChildSums(req *peermsg.AskNews) {
+func (e *Exchange) storeChildSums(req *peermsg.NewsRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	for tree, m := range req.Below {
+	for tree, m := range req.SubtreeSums {
 		if tree < 0 || tree >= treeCount || m == nil {
 			continue
 		}
@@ -157,15 +157,15 @@
 
 // fleetSums returns the sums over all daemons for the trees in which the asking daemon is a
 // child of this one.
-func (e *Exchange) fleetSums(req *peermsg.AskNews) map[int]*peermsg.FleetSum {
-	if len(req.Below) == 0 {
+func (e *Exchange) fleetSums(req *peermsg.NewsRequest) map[int]*peermsg.FleetSum {
+	if len(req.SubtreeSums) == 0 {
 		return nil
 	}
 	t, own := e.topology(), e.ownSum()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	news := map[int]*peermsg.FleetSum{}
-	for tree := range req.Below {
+	for tree := range req.SubtreeSums {
 		if tree < 0 || tree >= treeCount {
 			continue
 		}
@@ -173,7 +173,7 @@
 			e.sums.totals[tree] = fleetTotal{sum: e.subtreeSum(tree, own), own: *own, at: e.clock.Now()}
 		}
 		if total := &e.sums.totals[tree]; total.sum.daemons > 0 {
-			news[tree] = e.fleetSum(total, t.zoneOf(req.Name), slices.Contains(req.Brief, tree))
+			news[tree] = e.fleetSum(total, t.zoneOf(req.Name), slices.Contains(req.SkipUpstreams, tree))
 		}
 	}
 	return news
--- a/coordination/exchange/tree_test.go
+++ b/coordination/exchange/tree_test.go
@@ -46,7 +46,7 @@
 	if kind == uint8(peermsg.KindRouteConfig) {
 		e.fetches.Add(1)
 	}
-	var asked peermsg.AskNews
+	var asked peermsg.NewsRequest
 	if kind == uint8(peermsg.KindNews) {
 		data, err := peermsg.Encode(req)
 		if err != nil {
--- a/coordination/exchange/zones.go
+++ b/coordination/exchange/zones.go
@@ -33,10 +33,10 @@
 // unnamedFromMessage returns what a message reports of upstreams that it does not name, or nil
 // if it names all.
 func unnamedFromMessage(m *peermsg.FleetSum) *unnamedUses {
-	if !m.Cut && !m.Brief {
+	if !m.OtherZonesUnnamed && !m.NoneNamed {
 		return nil
 	}
-	unnamed := &unnamedUses{byZone: map[zoneService]use{}, noneNamed: m.Brief}
+	unnamed := &unnamedUses{byZone: map[zoneService]use{}, noneNamed: m.NoneNamed}
 	for _, z := range m.Zones {
 		unnamed.byZone[zoneService{z.Zone, z.Service}] = use{tokens: z.Tokens, calls: z.Calls}
 	}
@@ -51,9 +51,9 @@
 	case brief && (total.unnamed != nil || len(total.sum.uses) > maxNamedUses),
 		total.unnamed != nil && zone != e.state.Zone: // it names upstreams of this daemon's zone only
 		m.Sum = *(&sum{daemons: total.sum.daemons, retries: total.sum.retries}).message()
-		m.Brief = true
+		m.NoneNamed = true
 	case total.unnamed != nil:
-		m.Sum, m.Cut, m.Brief = *total.sum.message(), true, total.unnamed.noneNamed
+		m.Sum, m.OtherZonesUnnamed, m.NoneNamed = *total.sum.message(), true, total.unnamed.noneNamed
 		for group, u := range total.unnamed.byZone {
 			m.Zones = append(m.Zones, peermsg.ZoneUse{Zone: group.zone, Service: group.service, Tokens: u.tokens, Calls: u.calls})
 		}
@@ -78,7 +78,7 @@
 		group := zoneService{upstream.Zone(), upstream.Service()}
 		unnamed[group] = use{tokens: unnamed[group].tokens + u.tokens, calls: unnamed[group].calls + u.calls}
 	}
-	m.Sum, m.Cut = *named.message(), true
+	m.Sum, m.OtherZonesUnnamed = *named.message(), true
 	for group, u := range unnamed {
 		m.Zones = append(m.Zones, peermsg.ZoneUse{Zone: group.zone, Service: group.service, Tokens: u.tokens, Calls: u.calls})
 	}
--- a/coordination/membership/gossip.go
+++ b/coordination/membership/gossip.go
@@ -96,7 +96,7 @@
 			continue
 		}
 		if e != nil {
-			m.Incarnation, m.Beat = e.member.Incarnation, e.member.Beat
+			m.Incarnation, m.Heartbeat = e.member.Incarnation, e.member.Heartbeat
 		}
 		unknown = append(unknown, m)
 	}
@@ -119,7 +119,7 @@
 func (l *List) gossip() *peermsg.Gossip {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.self.Beat++
+	l.self.Heartbeat++
 	l.self.Revision = l.revision()
 	members := append(make([]peermsg.Member, 0, maxMembers), l.self)
 	members = appendMembers(members, l.inState(suspected))
@@ -197,7 +197,7 @@
 func (l *List) refute(from, known peermsg.Member) {
 	l.mu.Lock()
 	stale := known.Incarnation < l.self.Incarnation ||
-		known.Incarnation == l.self.Incarnation && known.Beat+suspectRounds <= l.self.Beat
+		known.Incarnation == l.self.Incarnation && known.Heartbeat+suspectRounds <= l.self.Heartbeat
 	answer := &peermsg.Gossip{Members: []peermsg.Member{l.self}, Answer: true}
 	l.mu.Unlock()
 	if stale {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -177,7 +177,7 @@
 			switch {
 			case e != nil && !e.state.isLive():
 				t.Errorf("round %d: %s considers %s dead, heartbeat %d, last new one at %d ms",
-					round, from.Name, of.Name, e.member.Beat, e.heartbeatAt)
+					round, from.Name, of.Name, e.member.Heartbeat, e.heartbeatAt)
 			case e == nil && from.Name != of.Name && round >= convergenceRound:
 				t.Errorf("round %d: %s does not know %s", round, from.Name, of.Name)
 			}
--- a/coordination/membership/owners.go
+++ b/coordination/membership/owners.go
@@ -40,7 +40,7 @@
 
 // PowerClass returns the processor class of a member. Each class begins at twice the processor
 // power of the class below. Members that report no power are of class 0.
-func PowerClass(m peermsg.Member) int { return bits.Len(uint(max(0, m.Power))) }
+func PowerClass(m peermsg.Member) int { return bits.Len(uint(max(0, m.MilliCores))) }
 
 // ranking is the cached result of Ranked for the members of a roster.
 type ranking struct {
--- a/coordination/membership/owners_test.go
+++ b/coordination/membership/owners_test.go
@@ -14,7 +14,7 @@
 	l := New(peermsg.Member{Name: "self"}, now, func(string, *peermsg.Gossip) error { return nil })
 	g := &peermsg.Gossip{Answer: true}
 	for i := range others {
-		g.Members = append(g.Members, peermsg.Member{Name: fmt.Sprintf("entry-%04d", i), Zone: fmt.Sprint(i % 5), Beat: 1})
+		g.Members = append(g.Members, peermsg.Member{Name: fmt.Sprintf("entry-%04d", i), Zone: fmt.Sprint(i % 5), Heartbeat: 1})
 	}
 	l.Merge(g)
 	return l, now
@@ -31,7 +31,7 @@
 			t.Fatalf("index %d is %s, want %s", i, first[i].Name, m.Name)
 		}
 	}
-	l.Merge(&peermsg.Gossip{Members: []peermsg.Member{{Name: "entry-0001", Zone: "1", Beat: 2}}, Answer: true})
+	l.Merge(&peermsg.Gossip{Members: []peermsg.Member{{Name: "entry-0001", Zone: "1", Heartbeat: 2}}, Answer: true})
 	if again := l.Ranked("store"); &again[0] != &first[0] {
 		t.Error("the order was sorted again although no member joined or left")
 	}
@@ -39,7 +39,7 @@
 		t.Error("two keys have the same order")
 	}
 	now.Advance(defaultRound)
-	l.Merge(&peermsg.Gossip{Members: []peermsg.Member{{Name: "entry-0001", Zone: "1", Beat: 3, Leaving: true}}, Answer: true})
+	l.Merge(&peermsg.Gossip{Members: []peermsg.Member{{Name: "entry-0001", Zone: "1", Heartbeat: 3, Leaving: true}}, Answer: true})
 	if got := len(l.Ranked("store")); got != 100 {
 		t.Errorf("%d members after one has left, want 100", got)
 	}
@@ -67,7 +67,7 @@
 	published, last := 0, l.live.Load()
 	for i := range 100 {
 		now.Advance(defaultRound / 10)
-		l.Merge(&peermsg.Gossip{Members: []peermsg.Member{{Name: fmt.Sprintf("late-%03d", i), Beat: 1}}, Answer: true})
+		l.Merge(&peermsg.Gossip{Members: []peermsg.Member{{Name: fmt.Sprintf("late-%03d", i), Heartbeat: 1}}, Answer: true})
 		if r := l.live.Load(); r != last {
 			published, last = published+1, r
 		}
@@ -80,7 +80,7 @@
 		t.Errorf("%d members, want 401", got)
 	}
 	small, _ := newListWithOthers(5)
-	small.Merge(&peermsg.Gossip{Members: []peermsg.Member{{Name: "late", Beat: 1}}, Answer: true})
+	small.Merge(&peermsg.Gossip{Members: []peermsg.Member{{Name: "late", Heartbeat: 1}}, Answer: true})
 	if got := len(small.Live()); got != 7 {
 		t.Errorf("%d members in a small fleet, want 7 without waiting for a round", got)
 	}
--- a/coordination/membership/state.go
+++ b/coordination/membership/state.go
@@ -41,7 +41,7 @@
 		e = &entry{state: dead}
 	}
 	old := e.member
-	if m.Incarnation < old.Incarnation || m.Incarnation == old.Incarnation && m.Beat <= old.Beat {
+	if m.Incarnation < old.Incarnation || m.Incarnation == old.Incarnation && m.Heartbeat <= old.Heartbeat {
 		return false
 	}
 	l.changed = l.changed || m.Incarnation != old.Incarnation
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -230,7 +230,7 @@
 		select {
 		case <-hedge:
 			sent, hedge = sent+1, nil
-			send(httpcall.Anew(ctx))
+			send(httpcall.WithNewConn(ctx))
 		case result := <-results:
 			received++
 			q.report, q.err = result.report, result.err
--- a/coordination/ratelimit/limiter.go
+++ b/coordination/ratelimit/limiter.go
@@ -35,7 +35,7 @@
 	// Unresponsive reports whether a daemon did not answer when this daemon last asked it for news.
 	Unresponsive(daemon string) bool
 	// AskPermit asks a daemon for a permit.
-	AskPermit(ctx context.Context, addr string, asked *peermsg.AskPermit) (*peermsg.Permit, error)
+	AskPermit(ctx context.Context, addr string, asked *peermsg.PermitRequest) (*peermsg.Permit, error)
 }
 
 // Limiter obtains permits for requests of this daemon, and grants permits to other daemons.
@@ -85,7 +85,7 @@
 
 // ask asks the granting daemons in order until one answers.
 func (l *Limiter) ask(ctx context.Context, u *fleet.Upstream) *peermsg.Permit {
-	asked := &peermsg.AskPermit{Limit: limitMessage(l.table.LimitOf(u), l.clock.Now())}
+	asked := &peermsg.PermitRequest{Limit: limitMessage(l.table.LimitOf(u), l.clock.Now())}
 	for i, m := range l.peers.Granters(u.Key()) {
 		asked.Standby = i > 0
 		if m.PeerAddr == "" {
@@ -98,7 +98,7 @@
 	return &peermsg.Permit{RetryAfter: noAnswerRetryAfter}
 }
 
-func (l *Limiter) askPeer(ctx context.Context, addr string, asked *peermsg.AskPermit) (*peermsg.Permit, error) {
+func (l *Limiter) askPeer(ctx context.Context, addr string, asked *peermsg.PermitRequest) (*peermsg.Permit, error) {
 	ctx, cancel := context.WithTimeout(ctx, askWait.Duration())
 	defer cancel()
 	sent := l.clock.Now()
@@ -114,7 +114,7 @@
 }
 
 // HandleAskPermit grants or denies a permit to a daemon.
-func (l *Limiter) HandleAskPermit(asked *peermsg.AskPermit) *peermsg.Permit {
+func (l *Limiter) HandleAskPermit(asked *peermsg.PermitRequest) *peermsg.Permit {
 	TakeNews(l.table, []peermsg.UpstreamLimit{asked.Limit}, l.clock.Now())
 	known := asked.Limit
 	if u := l.table.View().ByKey(asked.Limit.Upstream); u != nil {
--- a/coordination/ratelimit/limiter_test.go
+++ b/coordination/ratelimit/limiter_test.go
@@ -89,7 +89,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-func (m *member) AskPermit(_ context.Context, addr string, asked *peermsg.AskPermit) (*peermsg.Permit, error) {
+func (m *member) AskPermit(_ context.Context, addr string, asked *peermsg.PermitRequest) (*peermsg.Permit, error) {
 	var i int
 	if _, err := fmt.Sscan(addr, &i); err != nil || m.network.daemons[i].down || m.network.random.Float64() < m.network.daemons[i].unanswered {
 		return nil, errNoAnswer
--- a/coordination/relay/callers.go
+++ b/coordination/relay/callers.go
@@ -71,7 +71,7 @@
 	case c.left:
 	case now >= c.deadline:
 		c.cancel(context.DeadlineExceeded)
-	case httpcall.PeerOpen(c.conn) == httpcall.PeerGone:
+	case httpcall.ProbeConn(c.conn) == httpcall.ConnClosed:
 		c.left = true
 		c.cancel(errCallerLeft)
 	default:
--- a/coordination/relay/callers_test.go
+++ b/coordination/relay/callers_test.go
@@ -42,7 +42,7 @@
 			disconnectIf := func(leaves bool) {
 				if leaves {
 					_ = client.Close()
-					awaitPeerState(t, server, httpcall.PeerGone)
+					awaitPeerState(t, server, httpcall.ConnClosed)
 				}
 			}
 			now, meters := clock.NewManual(), meter.New()
@@ -75,10 +75,10 @@
 }
 
 // awaitPeerState waits until the operating system reports the wanted state of a connection's peer.
-func awaitPeerState(t *testing.T, conn net.Conn, want httpcall.PeerState) {
+func awaitPeerState(t *testing.T, conn net.Conn, want httpcall.ConnState) {
 	t.Helper()
 	limit := time.Now().Add(10 * time.Second)
-	for httpcall.PeerOpen(conn) != want {
+	for httpcall.ProbeConn(conn) != want {
 		if time.Now().After(limit) {
 			t.Fatalf("peer state is not %d", want)
 		}
--- a/coordination/relay/continuation.go
+++ b/coordination/relay/continuation.go
@@ -126,7 +126,7 @@
 // launchContinuation starts the goroutine of a continuation.
 func (g *generation) launchContinuation(path *chainrouting.Path, cause error) {
 	first := path.First()
-	ctx, cancel := context.WithCancel(httpcall.Anew(g.ctx)) // an idle connection may be broken too
+	ctx, cancel := context.WithCancel(httpcall.WithNewConn(g.ctx)) // an idle connection may be broken too
 	c := &continuation{g: g, path: path, sentAt: g.relay.Clock.Now(), cause: cause, ctx: ctx, cancel: cancel, done: make(chan struct{})}
 	g.pending = c
 	g.continuations = append(g.continuations, c)
--- a/coordination/relay/rests.go
+++ b/coordination/relay/rests.go
@@ -19,7 +19,7 @@
 // withSendCheck returns a context that makes a call check once more, when it has a connection,
 // whether the upstream may be sent a request.
 func (r *Relay) withSendCheck(ctx context.Context, u *fleet.Upstream) context.Context {
-	return httpcall.Before(ctx, func() error {
+	return httpcall.WithPresendCheck(ctx, func() error {
 		if err := u.CheckSend(r.Clock.Now()); err != nil {
 			return err
 		}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -155,7 +155,7 @@
 		dispatch.WithLogger(d.log), dispatch.WithMeters(d.meters), dispatch.WithTimeout(waits.Service))
 	bounds := callerapi.DefaultLimits
 	bounds.BodyBytes, bounds.HeaderBytes, bounds.StreamTokens = limits.BodyBytes, limits.HeaderBytes, limits.StreamTokens
-	return callerapi.New(callerapi.Parts{
+	return callerapi.New(callerapi.Dependencies{
 		Config: d.follower.Current, Runner: runner, Services: dispatcher,
 		Admission: d.gate, Claims: d.peers.claims, Clock: d.clock, Meters: d.meters,
 		Log: d.log, Random: d.random, ResumeSecret: d.settings.FleetSecret,
--- a/daemon/peerhandler.go
+++ b/daemon/peerhandler.go
@@ -48,7 +48,7 @@
 			p.applyDemand(from, &m)
 		}
 	case peermsg.KindSettle:
-		var m peermsg.Settle
+		var m peermsg.Settlement
 		if err = peermsg.Decode(payload, &m); err == nil {
 			p.claims.HandleSettle(&m)
 		}
@@ -110,7 +110,7 @@
 func (p *peers) applyDemand(from string, m *peermsg.Demand) {
 	accounts := make(map[string]float64, len(m.Accounts))
 	for _, a := range m.Accounts {
-		accounts[a.Account] = float64(a.PerMille) / 1000
+		accounts[a.Account] = float64(a.MilliPerSecond) / 1000
 	}
 	p.daemon.gate.RecordPeerDemand(from, accounts)
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -85,7 +85,7 @@
 	demand := p.daemon.gate.Demand()
 	m := &peermsg.Demand{Accounts: make([]peermsg.AccountDemand, 0, len(demand))}
 	for account, perSecond := range demand {
-		m.Accounts = append(m.Accounts, peermsg.AccountDemand{Account: account, PerMille: uint32(perSecond * 1000)})
+		m.Accounts = append(m.Accounts, peermsg.AccountDemand{Account: account, MilliPerSecond: uint32(perSecond * 1000)})
 	}
 	p.broadcast(peermsg.KindDemand, m)
 }
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -162,9 +162,9 @@
 	var answer any
 	switch kind {
 	case uint8(peermsg.KindNews):
-		answer = e.News(req.(*peermsg.AskNews))
+		answer = e.News(req.(*peermsg.NewsRequest))
 	case uint8(peermsg.KindEntries):
-		answer = e.Entries(req.(*peermsg.AskEntries))
+		answer = e.Entries(req.(*peermsg.EntriesRequest))
 	case uint8(peermsg.KindRouteConfig):
 		answer = e.RouteConfig()
 	default:
@@ -188,7 +188,7 @@
 	log.SetOutput(io.Discard)
 	all := &peermsg.Gossip{}
 	for i := range daemons {
-		m := peermsg.Member{Name: fmt.Sprintf("daemon-%03d", i), PeerAddr: fmt.Sprintf("daemon-%03d", i), Zone: fmt.Sprint("zone-", i%zones), Beat: 1}
+		m := peermsg.Member{Name: fmt.Sprintf("daemon-%03d", i), PeerAddr: fmt.Sprintf("daemon-%03d", i), Zone: fmt.Sprint("zone-", i%zones), Heartbeat: 1}
 		all.Members = append(all.Members, m)
 		f.byName[m.Name] = f.add(m, i, log)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -197,7 +197,7 @@
 
 func (g *Gateway) build(connect Connect) error {
 	g.http = httpcall.New(httpcall.WithDialTimeout(dialTimeout), httpcall.WithLogger(g.log), httpcall.WithMeters(g.meters),
-		httpcall.WithOnHead(g.handleHeaders), httpcall.WithMaxIdle(g.maxIdle),
+		httpcall.WithOnHeaders(g.handleHeaders), httpcall.WithMaxIdle(g.maxIdle),
 		httpcall.WithMaxTotal(conncap.IdleTotal(g.settings.Descriptors)))
 	g.config = routes.NewCurrent(g.clock)
 	g.adapter = connect(g.settings.Platform, g.http, g.recordStoreCall)
@@ -301,7 +301,7 @@
 // upstreamRestarted closes the idle connections to an upstream that has restarted, and rechecks
 // the paths of the requests that ran there.
 func (g *Gateway) upstreamRestarted(addr string) {
-	g.http.Forget(addr)
+	g.http.CloseIdleTo(addr)
 	g.relay.RecheckDeadPaths()
 }
 
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("build peer transport: %w", err)
 	}
-	self := peermsg.Member{Name: p.name, Zone: g.settings.Zone, PeerAddr: g.settings.PeerListen, Power: g.settings.Power()}
+	self := peermsg.Member{Name: p.name, Zone: g.settings.Zone, PeerAddr: g.settings.PeerListen, MilliCores: g.settings.Power()}
 	p.list = membership.New(self, g.clock, p.gossip, membership.WithLogger(g.log),
 		membership.WithRandom(g.random), membership.WithRound(memberRound))
 	seeds := make([]spanrill.Box, 0, len(g.settings.Peers))
@@ -128,7 +128,7 @@
 		}
 		return nil, err
 	case peermsg.KindNews:
-		var m peermsg.AskNews
+		var m peermsg.NewsRequest
 		if err = peermsg.Decode(payload, &m); err != nil {
 			return nil, err
 		}
@@ -136,25 +136,25 @@
 	case peermsg.KindRouteConfig:
 		return p.gateway.exchange.RouteConfig(), nil
 	case peermsg.KindLoan:
-		var m peermsg.AskLoan
+		var m peermsg.LoanRequest
 		if err = peermsg.Decode(payload, &m); err != nil {
 			return nil, err
 		}
 		return p.gateway.exchange.Lend(&m), nil
 	case peermsg.KindSuspects:
-		var m peermsg.SuspectNews
+		var m peermsg.SuspectNotice
 		if err = peermsg.Decode(payload, &m); err == nil {
 			p.gateway.exchange.MergeSuspects(m.Marks)
 		}
 		return nil, err
 	case peermsg.KindPermit:
-		var m peermsg.AskPermit
+		var m peermsg.PermitRequest
 		if err = peermsg.Decode(payload, &m); err != nil {
 			return nil, err
 		}
 		return p.gateway.limiter.HandleAskPermit(&m), nil
 	case peermsg.KindEntries:
-		var m peermsg.AskEntries
+		var m peermsg.EntriesRequest
 		if err = peermsg.Decode(payload, &m); err != nil {
 			return nil, err
 		}
@@ -167,7 +167,7 @@
 // Its caller may retry at another daemon within milliseconds, and polling brings the marks up to a
 // round later: of eight attempts in a row two more engines terminated in that time.
 func (p *peers) broadcastSuspect(c suspect.Content) {
-	payload, err := peermsg.Encode(&peermsg.SuspectNews{Marks: exchange.SuspectMarks(p.gateway.suspects.ContentMarks(c))})
+	payload, err := peermsg.Encode(&peermsg.SuspectNotice{Marks: exchange.SuspectMarks(p.gateway.suspects.ContentMarks(c))})
 	if err != nil {
 		p.gateway.log.WithError(err).Error("encode suspect marks")
 		return
@@ -204,7 +204,7 @@
 func (p *peers) Unresponsive(daemon string) bool { return p.gateway.exchange.Unresponsive(daemon) }
 
 // AskPermit asks a daemon for a permit.
-func (p *peers) AskPermit(ctx context.Context, addr string, asked *peermsg.AskPermit) (*peermsg.Permit, error) {
+func (p *peers) AskPermit(ctx context.Context, addr string, asked *peermsg.PermitRequest) (*peermsg.Permit, error) {
 	var permit peermsg.Permit
 	if err := p.Ask(ctx, addr, uint8(peermsg.KindPermit), asked, &permit); err != nil {
 		return nil, fmt.Errorf("ask for permit: %w", err)
--- a/protocol/callerapi/inference.go
+++ b/protocol/callerapi/inference.go
@@ -185,7 +185,7 @@
 			return ctx.Err()
 		case <-in.server.Clock.After(callerPollInterval):
 		}
-		if httpcall.PeerOpen(conn) == httpcall.PeerGone {
+		if httpcall.ProbeConn(conn) == httpcall.ConnClosed {
 			cancel()
 			return nil
 		}
--- a/protocol/callerapi/server.go
+++ b/protocol/callerapi/server.go
@@ -56,7 +56,7 @@
 }
 
 // Dependencies are the components that a Server uses.
-type Parts struct {
+type Dependencies struct {
 	Config    func() *config.Snapshot
 	Runner    *pipeline.Runner
 	Services  *dispatch.Dispatcher
@@ -87,7 +87,7 @@
 
 // Server serves callers.
 type Server struct {
-	Parts
+	Dependencies
 	limits   Limits
 	http     *fasthttp.Server
 	ctx      context.Context
@@ -98,8 +98,8 @@
 }
 
 // New returns a Server.
-func New(parts Parts, limits Limits) *Server {
-	s := &Server{Parts: parts, limits: limits, ctx: context.Background(), recent: ring.New[Finished](maxRecent)}
+func New(parts Dependencies, limits Limits) *Server {
+	s := &Server{Dependencies: parts, limits: limits, ctx: context.Background(), recent: ring.New[Finished](maxRecent)}
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
 		ErrorHandler:          s.handleReadError,
--- a/protocol/engineapi/client.go
+++ b/protocol/engineapi/client.go
@@ -83,7 +83,7 @@
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType("application/json")
 	req.SetBodyRaw(body)
-	return c.http.Do(ctx, addr, req, httpcall.Reused)
+	return c.http.Do(ctx, addr, req, httpcall.ReuseAllowed)
 }
 
 // Status returns the status report of an engine.
@@ -97,7 +97,7 @@
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + addr + path)
-	answer, err := http.Do(ctx, addr, req, httpcall.Reused)
+	answer, err := http.Do(ctx, addr, req, httpcall.ReuseAllowed)
 	if err != nil {
 		return report, fmt.Errorf("read status: %w", err)
 	}
--- a/protocol/objectapi/client.go
+++ b/protocol/objectapi/client.go
@@ -143,7 +143,7 @@
 func (c *Client) do(ctx context.Context, req *fasthttp.Request, wait spanrill.Millis) ([]byte, *httpcall.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, (c.timeout + wait).Duration())
 	defer cancel()
-	answer, err := c.http.Do(ctx, c.addr, req, httpcall.Reused)
+	answer, err := c.http.Do(ctx, c.addr, req, httpcall.ReuseAllowed)
 	if err != nil {
 		return nil, nil, fmt.Errorf("call platform: %w", err)
 	}
--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -47,10 +47,10 @@
 	PeerAddr    string
 	AdminAddr   string
 	Incarnation uint64 // rises with each start of the daemon
-	Beat        uint64 // rises while the daemon runs
+	Heartbeat        uint64 // rises while the daemon runs
 	Revision    uint64 // revision of the configuration in force
 	Leaving     bool
-	Power       int // CPU capacity in thousandths of a core, or 0 if unknown
+	MilliCores       int // CPU capacity in thousandths of a core, or 0 if unknown
 }
 
 // Gossip carries what a daemon knows about some members.
@@ -117,7 +117,7 @@
 type AccountDemand struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Account  string
-	PerMille uint32 // thousandths of a request per second
+	MilliPerSecond uint32 // thousandths of a request per second
 }
 
 // Head carries the configuration head as the platform stores it. It is empty if the daemon has
@@ -142,7 +142,7 @@
 }
 
 // ClaimReply answers a Claim. Record is a claim record in JSON.
-type Claimed struct {
+type ClaimReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Granted  bool
 	Failed   string // why the owner could not decide, or ""
@@ -150,7 +150,7 @@
 }
 
 // Settlement reports to the owner of a slot how a claimed call ended.
-type Settle struct {
+type Settlement struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Slot     int
 	Record   []byte // a claim record in JSON
@@ -185,7 +185,7 @@
 }
 
 // UpstreamUse is the tokens and calls that requests hold at an upstream.
-type Use struct {
+type UpstreamUse struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Upstream uint32   // hash of its id
 	Tokens   int64
@@ -197,16 +197,16 @@
 type Sum struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Daemons  int
-	Uses     []Use
+	Uses     []UpstreamUse
 	Retries  []RetryCount
 }
 
 // NewsRequest asks a daemon for news. In a large fleet it carries the subtree sum of the sender for
 // each tree in which the receiver is its parent.
-type AskNews struct {
+type NewsRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Name     string
-	Below    map[int]*Sum // by tree number
+	SubtreeSums    map[int]*Sum // by tree number
 
 	Placement *Placement // last statement of the placement lease's holder that the sender knows, or nil
 
@@ -217,7 +217,7 @@
 	Holder   string
 	Sequence uint64
 
-	Brief []int // numbers of the trees whose sums may leave out the upstreams
+	SkipUpstreams []int // numbers of the trees whose sums may leave out the upstreams
 
 	Limits uint64 // digest of the rate limits that the sender knows
 }
@@ -230,8 +230,8 @@
 	Sum      Sum
 	Age      spanrill.Millis // age of the sum at the root, when the answer was made
 	Zones    []ZoneUse       // totals of the other availability zones, if their upstreams are not named
-	Cut      bool            // upstreams of other availability zones are not named
-	Brief    bool            // no upstreams are named, as requested
+	OtherZonesUnnamed      bool            // upstreams of other availability zones are not named
+	NoneNamed    bool            // no upstreams are named, as requested
 }
 
 // ZoneUse is the tokens and calls that requests hold at a service's upstreams in one availability
@@ -250,7 +250,7 @@
 	Name      string
 	Revision  uint64          // of the newest configuration known, or 0
 	ProofAge  spanrill.Millis // time since that configuration was confirmed as the newest, when the answer was made
-	Uses      []Use           // what the sender's own requests hold, in a small fleet
+	Uses      []UpstreamUse           // what the sender's own requests hold, in a small fleet
 	Placement *Placement      // last statement of the placement lease's holder, or nil
 	Leaving   bool
 
@@ -260,15 +260,15 @@
 
 	Fleet map[int]*FleetSum // in a large fleet: sums by tree number, for the trees in the request
 
-	UpstreamsAt     uint64          // store revision up to which the sender knows all upstreams
-	UpstreamsChange uint64          // store revision of their last change
+	UpstreamsRevision     uint64          // store revision up to which the sender knows all upstreams
+	UpstreamsLastChange uint64          // store revision of their last change
 	UpstreamsAge    spanrill.Millis // age of that knowledge, when the answer was made
 
 	StoreSilent bool // the platform's store does not answer the sender
 
 	// StoreAvailableFor is a lower bound of the time for which the store had answered daemons
 	// without a break, UpstreamsAge ago.
-	StoreAnswered spanrill.Millis
+	StoreAvailableFor spanrill.Millis
 
 	Suspects []SuspectMark
 
@@ -285,7 +285,7 @@
 }
 
 // PermitRequest asks for a permit to send one request to an upstream with a rate limit.
-type AskPermit struct {
+type PermitRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Limit    UpstreamLimit
 	Standby  bool // a preferred daemon did not answer the sender
@@ -300,7 +300,7 @@
 }
 
 // SuspectNotice announces a request that is blocked from now on, without being asked for news.
-type SuspectNews struct {
+type SuspectNotice struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Marks    []SuspectMark
 }
@@ -320,20 +320,20 @@
 	_msgpack struct{}         `msgpack:",as_array"` //nolint:unused // read by the codec
 	Holder   string           // name of the daemon
 	Age      spanrill.Millis  // of the statement, when the message was made
-	Version  spanrill.Version // version of its lease, or "" if it acts without one
-	Left     spanrill.Millis  // time left on the lease when the statement was made
+	LeaseVersion  spanrill.Version // version of its lease, or "" if it acts without one
+	LeaseLeft     spanrill.Millis  // time left on the lease when the statement was made
 	Targets  []Target         // layer ranges that engines are ordered to hold
-	Slow     []Pace           // engines that are slower than their kind
+	Slow     []Slowdown           // engines that are slower than their kind
 	Sequence uint64           // rises with each change of the targets
-	After    uint64           // Targets has only the changes after this sequence number, or all targets if 0
+	Since    uint64           // Targets has only the changes after this sequence number, or all targets if 0
 	Dropped  []uint32         // hashes of the ids of engines without a target any more, if Targets has changes
 }
 
 // Slowdown tells how many times slower than its kind an engine reports to be.
-type Pace struct {
+type Slowdown struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Upstream uint32   // hash of its id
-	Times    float64
+	Factor    float64
 }
 
 // RetryCount is the counts of a daemon for the retry budget of a service.
@@ -346,7 +346,7 @@
 }
 
 // LoanRequest asks a daemon to give up a part of its share of a retry budget.
-type AskLoan struct {
+type LoanRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Service  string
 	Want     float64 // retries
@@ -359,9 +359,9 @@
 }
 
 // EntriesRequest asks for the entries of upstreams.
-type AskEntries struct {
+type EntriesRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
-	After    uint64   // store revision up to which the sender knows all entries, or 0
+	Since    uint64   // store revision up to which the sender knows all entries, or 0
 }
 
 // Entries carries the entries of upstreams at a revision of the store, or their changes since an
@@ -369,10 +369,10 @@
 type Entries struct {
 	_msgpack struct{}        `msgpack:",as_array"` //nolint:unused // read by the codec
 	Packed   []byte          // an EntryList, compressed
-	At       uint64          // store revision of the entries
-	Change   uint64          // store revision of their last change
+	Revision       uint64          // store revision of the entries
+	LastChange   uint64          // store revision of their last change
 	Age      spanrill.Millis // time since the entries were known to be current, when the message was made
-	After    uint64          // revision after which the changes were made, or 0 if all entries are sent
+	Since    uint64          // revision after which the changes were made, or 0 if all entries are sent
 }
 
 // EntryList is a list of upstream entries, or of changes to it.
@@ -380,7 +380,7 @@
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Entries    []spanrill.EngineEntry
 	Unreadable []string // names of entries that describe no usable upstream
-	Gone       []string // names of entries that were removed, if the list has changes
+	Removed       []string // names of entries that were removed, if the list has changes
 }
 
 // Target is the range of layers that an engine is ordered to hold.
@@ -389,7 +389,7 @@
 	Upstream uint32   // hash of its id
 	From     int
 	To       int
-	Done     bool // the engine has reported that it holds the range
+	Reached     bool // the engine has reported that it holds the range
 }
 
 // RouteConfig carries a configuration as the store holds it.
--- a/transport/httpcall/client.go
+++ b/transport/httpcall/client.go
@@ -42,10 +42,10 @@
 
 const (
 	// ReuseAllowed takes an idle connection that was just checked to be open, or makes one.
-	Reused Reuse = true
+	ReuseAllowed Reuse = true
 	// ReuseNever always makes a new connection. Calls that must not be repeated use it, since
 	// the upstream may close an idle connection just as the request is sent.
-	Fresh Reuse = false
+	ReuseNever Reuse = false
 )
 
 // Client makes calls and keeps idle connections.
@@ -57,13 +57,13 @@
 	dialer       net.Dialer
 	log          logrus.FieldLogger
 	meters       *meter.Meters
-	onHead       OnHead
+	onHead       OnHeaders
 	maxIdle      func(addr string) int
 	maxTotal     int
 }
 
 // OnHeaders is called with the headers of an answer and the time since its call began.
-type OnHead func(addr string, h *fasthttp.ResponseHeader, took spanrill.Millis)
+type OnHeaders func(addr string, h *fasthttp.ResponseHeader, took spanrill.Millis)
 
 // Option changes a default of New.
 type Option func(*Client)
@@ -100,7 +100,7 @@
 }
 
 // WithOnHeaders sets a function that gets the headers of each answer before Do returns it.
-func WithOnHead(f OnHead) Option {
+func WithOnHeaders(f OnHeaders) Option {
 	return func(c *Client) { c.onHead = f }
 }
 
@@ -151,7 +151,7 @@
 func (c *Client) Close() { c.idle.Close() }
 
 // CloseIdleTo closes the idle connections to an address.
-func (c *Client) Forget(addr string) { c.idle.Drop(addr) }
+func (c *Client) CloseIdleTo(addr string) { c.idle.Drop(addr) }
 
 // Do sends req to addr and returns as soon as the headers of the answer have arrived. The context
 // bounds the call and, later, the reading of the body.
--- a/transport/httpcall/client_test.go
+++ b/transport/httpcall/client_test.go
@@ -59,7 +59,7 @@
 	req.SetRequestURI("http://" + addr + "/")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBody(body)
-	a, err := c.Do(ctx, addr, &req, Reused)
+	a, err := c.Do(ctx, addr, &req, ReuseAllowed)
 	if err != nil {
 		return nil, err
 	}
--- a/transport/httpcall/connstate.go
+++ b/transport/httpcall/connstate.go
@@ -9,55 +9,55 @@
 
 // isOpenAndIdle reports whether a connection is open and has no unread bytes.
 func (cn *conn) isOpenAndIdle() bool {
-	return cn.r.Buffered() == 0 && PeerOpen(cn.Conn) == PeerSilent
+	return cn.r.Buffered() == 0 && ProbeConn(cn.Conn) == ConnIdle
 }
 
 // ConnState is the state of a connection's receive side.
-type PeerState uint8
+type ConnState uint8
 
 // The states that ProbeConn reports.
 const (
 	// ConnIdle means that the connection is open and no bytes wait to be read.
-	PeerSilent PeerState = iota
+	ConnIdle ConnState = iota
 	// ConnReadable means that the connection is open and bytes wait to be read.
-	PeerSent
+	ConnReadable
 	// ConnClosed means that the other side has closed the connection or its half of it. Bytes may
 	// still wait to be read.
-	PeerGone
+	ConnClosed
 )
 
 // ProbeConn returns the state of a connection without reading from it and without blocking.
-func PeerOpen(c net.Conn) PeerState {
+func ProbeConn(c net.Conn) ConnState {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return PeerSilent
+		return ConnIdle
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return PeerGone
+		return ConnClosed
 	}
-	state := PeerGone
+	state := ConnClosed
 	err = raw.Control(func(fd uintptr) { state = peekState(int(fd)) })
 	if err != nil {
-		return PeerGone
+		return ConnClosed
 	}
 	return state
 }
 
 // peekState peeks at the receive buffer of a socket.
-func peekState(fd int) PeerState {
+func peekState(fd int) ConnState {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		return PeerSilent
+		return ConnIdle
 	case err != nil || n == 0:
-		return PeerGone
+		return ConnClosed
 	}
 	if remoteHasClosed(fd) {
-		return PeerGone
+		return ConnClosed
 	}
-	return PeerSent
+	return ConnReadable
 }
 
 // The TCP states of Linux (include/net/tcp_states.h) in which the other side has sent a reset or
--- a/transport/httpcall/connstate_test.go
+++ b/transport/httpcall/connstate_test.go
@@ -23,16 +23,16 @@
 	for _, c := range []struct {
 		name  string
 		steps []func(*net.TCPConn) error
-		want  PeerState
+		want  ConnState
 	}{
-		{"silent", nil, PeerSilent},
-		{"sent", []func(*net.TCPConn) error{sends}, PeerSent},
-		{"closed", []func(*net.TCPConn) error{(*net.TCPConn).Close}, PeerGone},
-		{"closed behind bytes", []func(*net.TCPConn) error{sends, (*net.TCPConn).Close}, PeerGone},
-		{"half-closed", []func(*net.TCPConn) error{(*net.TCPConn).CloseWrite}, PeerGone},
-		{"half-closed behind bytes", []func(*net.TCPConn) error{sends, (*net.TCPConn).CloseWrite}, PeerGone},
-		{"reset", []func(*net.TCPConn) error{resets}, PeerGone},
-		{"reset behind bytes", []func(*net.TCPConn) error{sends, resets}, PeerGone},
+		{"silent", nil, ConnIdle},
+		{"sent", []func(*net.TCPConn) error{sends}, ConnReadable},
+		{"closed", []func(*net.TCPConn) error{(*net.TCPConn).Close}, ConnClosed},
+		{"closed behind bytes", []func(*net.TCPConn) error{sends, (*net.TCPConn).Close}, ConnClosed},
+		{"half-closed", []func(*net.TCPConn) error{(*net.TCPConn).CloseWrite}, ConnClosed},
+		{"half-closed behind bytes", []func(*net.TCPConn) error{sends, (*net.TCPConn).CloseWrite}, ConnClosed},
+		{"reset", []func(*net.TCPConn) error{resets}, ConnClosed},
+		{"reset behind bytes", []func(*net.TCPConn) error{sends, resets}, ConnClosed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			near, far := tcpPair(t)
@@ -42,7 +42,7 @@
 				}
 			}
 			deadline := time.Now().Add(10 * time.Second)
-			for got := PeerOpen(near); got != c.want; got = PeerOpen(near) {
+			for got := ProbeConn(near); got != c.want; got = ProbeConn(near) {
 				if time.Now().After(deadline) {
 					t.Fatalf("state %d, want %d", got, c.want)
 				}
--- a/transport/httpcall/presend.go
+++ b/transport/httpcall/presend.go
@@ -7,7 +7,7 @@
 // WithPresendCheck returns a context whose calls run check once they have a connection, just
 // before the first byte is sent. If check fails, the call fails with nothing written, and the
 // connection is kept for the next call.
-func Before(ctx context.Context, check func() error) context.Context {
+func WithPresendCheck(ctx context.Context, check func() error) context.Context {
 	return context.WithValue(ctx, presendKey{}, check)
 }
 
--- a/transport/httpcall/presend_test.go
+++ b/transport/httpcall/presend_test.go
@@ -32,7 +32,7 @@
 		req := fasthttp.AcquireRequest()
 		defer fasthttp.ReleaseRequest(req)
 		req.SetRequestURI("http://" + listener.Addr().String() + "/")
-		answer, err := client.Do(Before(context.Background(), func() error { return check }), listener.Addr().String(), req, Reused)
+		answer, err := client.Do(WithPresendCheck(context.Background(), func() error { return check }), listener.Addr().String(), req, ReuseAllowed)
 		if err == nil {
 			_, err = answer.ReadAll(100)
 		}
@@ -90,7 +90,7 @@
 				raw = conn
 				return nil
 			}
-			ctx := Before(context.Background(), func() error {
+			ctx := WithPresendCheck(context.Background(), func() error {
 				close(connected)
 				if c.first {
 					<-reset
@@ -102,7 +102,7 @@
 			defer fasthttp.ReleaseRequest(req)
 			req.SetRequestURI("http://" + addr + "/")
 			req.SetBodyStream(&signalingBody{secondRead: sent}, -1)
-			_, err := client.Do(ctx, addr, req, Fresh)
+			_, err := client.Do(ctx, addr, req, ReuseNever)
 			var call *spanrill.CallError
 			if !errors.As(err, &call) || call.Outcome() != c.want {
 				t.Fatalf("error %v, want one with outcome %v", err, c.want)
@@ -117,7 +117,7 @@
 // awaitClosed waits until the reset of a connection has arrived, which takes a moment even on
 // loopback addresses.
 func awaitClosed(raw syscall.RawConn) {
-	for state := PeerSilent; state != PeerGone; {
+	for state := ConnIdle; state != ConnClosed; {
 		_ = raw.Control(func(fd uintptr) { state = peekState(int(fd)) })
 		runtime.Gosched()
 	}
--- a/transport/httpcall/silence.go
+++ b/transport/httpcall/silence.go
@@ -23,25 +23,25 @@
 )
 
 // WithNewConn returns a context whose calls each make a new connection.
-func Anew(ctx context.Context) context.Context { return context.WithValue(ctx, newConnKey{}, true) }
+func WithNewConn(ctx context.Context) context.Context { return context.WithValue(ctx, newConnKey{}, true) }
 
 // WithPromptAnswer returns a context for calls that a server answers at once however busy it is.
 // One timeout of such a call on a reused connection shows that the connection is silent. For other
 // calls, whose work may just take longer, two timeouts in a row are needed.
-func Prompt(ctx context.Context) context.Context {
+func WithPromptAnswer(ctx context.Context) context.Context {
 	return context.WithValue(ctx, promptAnswerKey{}, true)
 }
 
 // mayReuse reports whether a call may use an idle connection.
 func (r Reuse) mayReuse(ctx context.Context) bool {
-	return r == Reused && ctx.Value(newConnKey{}) == nil
+	return r == ReuseAllowed && ctx.Value(newConnKey{}) == nil
 }
 
 // DoWithRetry is Do for a request that may run twice: if no byte of the answer arrives on a reused
 // connection within firstByteTimeout, the request is sent once more on a new connection. The
 // context bounds both attempts.
-func (c *Client) DoTwice(ctx context.Context, addr string, req *fasthttp.Request, firstByteTimeout spanrill.Millis) (*Answer, error) {
-	cn, err := c.connect(ctx, addr, Reused)
+func (c *Client) DoWithRetry(ctx context.Context, addr string, req *fasthttp.Request, firstByteTimeout spanrill.Millis) (*Answer, error) {
+	cn, err := c.connect(ctx, addr, ReuseAllowed)
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 	}
 	a, err := c.exchange(ctx, addr, cn, req)
 	if errors.Is(err, ErrSilent) && ctx.Err() == nil {
-		return c.Do(ctx, addr, req, Fresh)
+		return c.Do(ctx, addr, req, ReuseNever)
 	}
 	return a, err
 }
--- a/transport/httpcall/silence_test.go
+++ b/transport/httpcall/silence_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(c.Close)
 	open := make([]*Answer, idle)
 	for i := range open {
-		if open[i], err = c.Do(context.Background(), addr, request(addr), Reused); err != nil {
+		if open[i], err = c.Do(context.Background(), addr, request(addr), ReuseAllowed); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	if do == nil {
-		do = func(ctx context.Context) (*Answer, error) { return c.Do(ctx, addr, request(addr), Reused) }
+		do = func(ctx context.Context) (*Answer, error) { return c.Do(ctx, addr, request(addr), ReuseAllowed) }
 	}
 	a, err := do(ctx)
 	if err != nil {
@@ -94,9 +94,9 @@
 func TestSilentConnectionClosesIdleConnections(t *testing.T) {
 	for _, prompt := range []bool{true, false} {
 		c, p, addr, log := newReusedClient(t, 4)
-		lost, do := 2, func(ctx context.Context) (*Answer, error) { return c.Do(ctx, addr, request(addr), Reused) }
+		lost, do := 2, func(ctx context.Context) (*Answer, error) { return c.Do(ctx, addr, request(addr), ReuseAllowed) }
 		if prompt {
-			lost, do = 1, func(ctx context.Context) (*Answer, error) { return c.Do(Prompt(ctx), addr, request(addr), Reused) }
+			lost, do = 1, func(ctx context.Context) (*Answer, error) { return c.Do(WithPromptAnswer(ctx), addr, request(addr), ReuseAllowed) }
 		}
 		p.Set(faultproxy.Faults{Silence: true})
 		for range lost {
@@ -143,10 +143,10 @@
 	p.Set(faultproxy.Faults{Freeze: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(shortTimeout, cancel)
-	if _, err := c.Do(ctx, addr, request(addr), Reused); err == nil || errors.Is(err, ErrSilent) {
+	if _, err := c.Do(ctx, addr, request(addr), ReuseAllowed); err == nil || errors.Is(err, ErrSilent) {
 		t.Fatalf("canceled call: %v", err)
 	}
-	fresh := func(ctx context.Context) (*Answer, error) { return c.Do(Anew(ctx), addr, request(addr), Reused) }
+	fresh := func(ctx context.Context) (*Answer, error) { return c.Do(WithNewConn(ctx), addr, request(addr), ReuseAllowed) }
 	if err := call(c, addr, shortTimeout, fresh); err == nil || errors.Is(err, ErrSilent) {
 		t.Fatalf("timeout on a new connection: %v", err)
 	}
@@ -164,7 +164,7 @@
 // not send the request again on a working connection.
 func TestDoWithRetry(t *testing.T) {
 	c, p, addr, log := newReusedClient(t, 2)
-	twice := func(ctx context.Context) (*Answer, error) { return c.DoTwice(ctx, addr, request(addr), 50) }
+	twice := func(ctx context.Context) (*Answer, error) { return c.DoWithRetry(ctx, addr, request(addr), 50) }
 	if err := call(c, addr, longTimeout, twice); err != nil || p.Accepted() != 2 {
 		t.Fatalf("%d connections, error %v", p.Accepted(), err)
 	}
@@ -199,7 +199,7 @@
 	})
 	c := New(WithMeters(meter.New()))
 	defer c.Close()
-	twice := func(ctx context.Context) (*Answer, error) { return c.DoTwice(ctx, addr, request(addr), patience) }
+	twice := func(ctx context.Context) (*Answer, error) { return c.DoWithRetry(ctx, addr, request(addr), patience) }
 	for range 2 {
 		if err := call(c, addr, longTimeout, twice); err != nil {
 			t.Fatal(err)
--- a/transport/httpcall/watched_test.go
+++ b/transport/httpcall/watched_test.go
@@ -20,7 +20,7 @@
 	req.SetRequestURI("http://" + addr + "/")
 	client := New()
 	defer client.Close()
-	_, err := client.DoWatched(context.Background(), addr, &req, Fresh,
+	_, err := client.DoWatched(context.Background(), addr, &req, ReuseNever,
 		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return reason }, func(func()) {})
 	if !errors.Is(err, reason) {
 		t.Fatalf("the error %v does not hold the reason", err)
@@ -35,7 +35,7 @@
 	client := New()
 	defer client.Close()
 	var wake func()
-	a, err := client.DoWatched(context.Background(), addr, &req, Reused,
+	a, err := client.DoWatched(context.Background(), addr, &req, ReuseAllowed,
 		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return nil }, func(p func()) { wake = p })
 	if err != nil {
 		t.Fatal(err)
