--- a/transport/httpcall/prove_test.go
+++ b/transport/httpcall/connstate_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A look shows that the peer has closed, also behind bytes that nobody has read.
-func TestPeerOpen(t *testing.T) {
+// ProbeConn detects that the other side has closed, even when unread bytes come first.
+func TestProbeConn(t *testing.T) {
 	sends := func(c *net.TCPConn) error {
 		_, err := io.WriteString(c, "bytes")
 		return err
@@ -23,27 +23,27 @@
 	for _, c := range []struct {
 		name  string
 		steps []func(*net.TCPConn) error
-		want  PeerState
+		want  ConnState
 	}{
-		{"silent", nil, PeerSilent},
-		{"sent", []func(*net.TCPConn) error{sends}, PeerSent},
-		{"closed", []func(*net.TCPConn) error{(*net.TCPConn).Close}, PeerGone},
-		{"closed behind bytes", []func(*net.TCPConn) error{sends, (*net.TCPConn).Close}, PeerGone},
-		{"half-closed", []func(*net.TCPConn) error{(*net.TCPConn).CloseWrite}, PeerGone},
-		{"half-closed behind bytes", []func(*net.TCPConn) error{sends, (*net.TCPConn).CloseWrite}, PeerGone},
-		{"reset", []func(*net.TCPConn) error{resets}, PeerGone},
-		{"reset behind bytes", []func(*net.TCPConn) error{sends, resets}, PeerGone},
+		{"silent", nil, ConnIdle},
+		{"sent", []func(*net.TCPConn) error{sends}, ConnReadable},
+		{"closed", []func(*net.TCPConn) error{(*net.TCPConn).Close}, ConnClosed},
+		{"closed behind bytes", []func(*net.TCPConn) error{sends, (*net.TCPConn).Close}, ConnClosed},
+		{"half-closed", []func(*net.TCPConn) error{(*net.TCPConn).CloseWrite}, ConnClosed},
+		{"half-closed behind bytes", []func(*net.TCPConn) error{sends, (*net.TCPConn).CloseWrite}, ConnClosed},
+		{"reset", []func(*net.TCPConn) error{resets}, ConnClosed},
+		{"reset behind bytes", []func(*net.TCPConn) error{sends, resets}, ConnClosed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			near, far := pair(t)
+			near, far := tcpPair(t)
 			for _, step := range c.steps {
 				if err := step(far); err != nil {
 					t.Fatal(err)
 				}
 			}
-			limit := time.Now().Add(10 * time.Second)
-			for got := PeerOpen(near); got != c.want; got = PeerOpen(near) {
-				if time.Now().After(limit) {
+			deadline := time.Now().Add(10 * time.Second)
+			for got := ProbeConn(near); got != c.want; got = ProbeConn(near) {
+				if time.Now().After(deadline) {
 					t.Fatalf("state %d, want %d", got, c.want)
 				}
 				runtime.Gosched() // the operating system may not have delivered it yet
@@ -52,8 +52,8 @@
 	}
 }
 
-// pair returns both ends of a connection.
-func pair(t *testing.T) (near, far *net.TCPConn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
