--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -47,10 +47,10 @@
 	PeerAddr    string
 	AdminAddr   string
 	Incarnation uint64 // rises with each start of the daemon
-	Heartbeat        uint64 // rises while the daemon runs
+	Heartbeat   uint64 // rises while the daemon runs
 	Revision    uint64 // revision of the configuration in force
 	Leaving     bool
-	MilliCores       int // CPU capacity in thousandths of a core, or 0 if unknown
+	MilliCores  int // CPU capacity in thousandths of a core, or 0 if unknown
 }
 
 // Gossip carries what a daemon knows about some members.
@@ -115,8 +115,8 @@
 
 // AccountDemand is the request rate of one client account.
 type AccountDemand struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
-	Account  string
+	_msgpack       struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
+	Account        string
 	MilliPerSecond uint32 // thousandths of a request per second
 }
 
@@ -204,9 +204,9 @@
 // NewsRequest asks a daemon for news. In a large fleet it carries the subtree sum of the sender for
 // each tree in which the receiver is its parent.
 type NewsRequest struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
-	Name     string
-	SubtreeSums    map[int]*Sum // by tree number
+	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
+	Name        string
+	SubtreeSums map[int]*Sum // by tree number
 
 	Placement *Placement // last statement of the placement lease's holder that the sender knows, or nil
 
@@ -226,12 +226,12 @@
 // upstreams it names only the upstreams of the receiver's availability zone, and gives totals for
 // each other zone.
 type FleetSum struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
-	Sum      Sum
-	Age      spanrill.Millis // age of the sum at the root, when the answer was made
-	Zones    []ZoneUse       // totals of the other availability zones, if their upstreams are not named
-	OtherZonesUnnamed      bool            // upstreams of other availability zones are not named
-	NoneNamed    bool            // no upstreams are named, as requested
+	_msgpack          struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
+	Sum               Sum
+	Age               spanrill.Millis // age of the sum at the root, when the answer was made
+	Zones             []ZoneUse       // totals of the other availability zones, if their upstreams are not named
+	OtherZonesUnnamed bool            // upstreams of other availability zones are not named
+	NoneNamed         bool            // no upstreams are named, as requested
 }
 
 // ZoneUse is the tokens and calls that requests hold at a service's upstreams in one availability
@@ -250,7 +250,7 @@
 	Name      string
 	Revision  uint64          // of the newest configuration known, or 0
 	ProofAge  spanrill.Millis // time since that configuration was confirmed as the newest, when the answer was made
-	Uses      []UpstreamUse           // what the sender's own requests hold, in a small fleet
+	Uses      []UpstreamUse   // what the sender's own requests hold, in a small fleet
 	Placement *Placement      // last statement of the placement lease's holder, or nil
 	Leaving   bool
 
@@ -260,9 +260,9 @@
 
 	Fleet map[int]*FleetSum // in a large fleet: sums by tree number, for the trees in the request
 
-	UpstreamsRevision     uint64          // store revision up to which the sender knows all upstreams
+	UpstreamsRevision   uint64          // store revision up to which the sender knows all upstreams
 	UpstreamsLastChange uint64          // store revision of their last change
-	UpstreamsAge    spanrill.Millis // age of that knowledge, when the answer was made
+	UpstreamsAge        spanrill.Millis // age of that knowledge, when the answer was made
 
 	StoreSilent bool // the platform's store does not answer the sender
 
@@ -317,23 +317,23 @@
 
 // Placement is a statement of the holder of the placement lease. Other daemons forward it.
 type Placement struct {
-	_msgpack struct{}         `msgpack:",as_array"` //nolint:unused // read by the codec
-	Holder   string           // name of the daemon
-	Age      spanrill.Millis  // of the statement, when the message was made
-	LeaseVersion  spanrill.Version // version of its lease, or "" if it acts without one
-	LeaseLeft     spanrill.Millis  // time left on the lease when the statement was made
-	Targets  []Target         // layer ranges that engines are ordered to hold
-	Slow     []Slowdown           // engines that are slower than their kind
-	Sequence uint64           // rises with each change of the targets
-	Since    uint64           // Targets has only the changes after this sequence number, or all targets if 0
-	Dropped  []uint32         // hashes of the ids of engines without a target any more, if Targets has changes
+	_msgpack     struct{}         `msgpack:",as_array"` //nolint:unused // read by the codec
+	Holder       string           // name of the daemon
+	Age          spanrill.Millis  // of the statement, when the message was made
+	LeaseVersion spanrill.Version // version of its lease, or "" if it acts without one
+	LeaseLeft    spanrill.Millis  // time left on the lease when the statement was made
+	Targets      []Target         // layer ranges that engines are ordered to hold
+	Slow         []Slowdown       // engines that are slower than their kind
+	Sequence     uint64           // rises with each change of the targets
+	Since        uint64           // Targets has only the changes after this sequence number, or all targets if 0
+	Dropped      []uint32         // hashes of the ids of engines without a target any more, if Targets has changes
 }
 
 // Slowdown tells how many times slower than its kind an engine reports to be.
 type Slowdown struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Upstream uint32   // hash of its id
-	Factor    float64
+	Factor   float64
 }
 
 // RetryCount is the counts of a daemon for the retry budget of a service.
@@ -367,12 +367,12 @@
 // Entries carries the entries of upstreams at a revision of the store, or their changes since an
 // earlier revision.
 type Entries struct {
-	_msgpack struct{}        `msgpack:",as_array"` //nolint:unused // read by the codec
-	Packed   []byte          // an EntryList, compressed
-	Revision       uint64          // store revision of the entries
-	LastChange   uint64          // store revision of their last change
-	Age      spanrill.Millis // time since the entries were known to be current, when the message was made
-	Since    uint64          // revision after which the changes were made, or 0 if all entries are sent
+	_msgpack   struct{}        `msgpack:",as_array"` //nolint:unused // read by the codec
+	Packed     []byte          // an EntryList, compressed
+	Revision   uint64          // store revision of the entries
+	LastChange uint64          // store revision of their last change
+	Age        spanrill.Millis // time since the entries were known to be current, when the message was made
+	Since      uint64          // revision after which the changes were made, or 0 if all entries are sent
 }
 
 // EntryList is a list of upstream entries, or of changes to it.
@@ -380,7 +380,7 @@
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Entries    []spanrill.EngineEntry
 	Unreadable []string // names of entries that describe no usable upstream
-	Removed       []string // names of entries that were removed, if the list has changes
+	Removed    []string // names of entries that were removed, if the list has changes
 }
 
 // Target is the range of layers that an engine is ordered to hold.
@@ -389,7 +389,7 @@
 	Upstream uint32   // hash of its id
 	From     int
 	To       int
-	Reached     bool // the engine has reported that it holds the range
+	Reached  bool // the engine has reported that it holds the range
 }
 
 // RouteConfig carries a configuration as the store holds it.
--- a/transport/httpcall/silence.go
+++ b/transport/httpcall/silence.go
@@ -23,7 +23,9 @@
 )
 
 // WithNewConn returns a context whose calls each make a new connection.
-func WithNewConn(ctx context.Context) context.Context { return context.WithValue(ctx, newConnKey{}, true) }
+func WithNewConn(ctx context.Context) context.Context {
+	return context.WithValue(ctx, newConnKey{}, true)
+}
 
 // WithPromptAnswer returns a context for calls that a server answers at once however busy it is.
 // One timeout of such a call on a reused connection shows that the connection is silent. For other
--- a/transport/httpcall/silence_test.go
+++ b/transport/httpcall/silence_test.go
@@ -96,7 +96,9 @@
 		c, p, addr, log := newReusedClient(t, 4)
 		lost, do := 2, func(ctx context.Context) (*Answer, error) { return c.Do(ctx, addr, request(addr), ReuseAllowed) }
 		if prompt {
-			lost, do = 1, func(ctx context.Context) (*Answer, error) { return c.Do(WithPromptAnswer(ctx), addr, request(addr), ReuseAllowed) }
+			lost, do = 1, func(ctx context.Context) (*Answer, error) {
+				return c.Do(WithPromptAnswer(ctx), addr, request(addr), ReuseAllowed)
+			}
 		}
 		p.Set(faultproxy.Faults{Silence: true})
 		for range lost {
@@ -146,7 +148,9 @@
 	if _, err := c.Do(ctx, addr, request(addr), ReuseAllowed); err == nil || errors.Is(err, ErrSilent) {
 		t.Fatalf("canceled call: %v", err)
 	}
-	fresh := func(ctx context.Context) (*Answer, error) { return c.Do(WithNewConn(ctx), addr, request(addr), ReuseAllowed) }
+	fresh := func(ctx context.Context) (*Answer, error) {
+		return c.Do(WithNewConn(ctx), addr, request(addr), ReuseAllowed)
+	}
 	if err := call(c, addr, shortTimeout, fresh); err == nil || errors.Is(err, ErrSilent) {
 		t.Fatalf("timeout on a new connection: %v", err)
 	}
