--- a/soak/bounds.go
+++ b/soak/bounds.go
@@ -7,88 +7,90 @@
 	"spanrill/platform/platformtest"
 )
 
-// Bounds that daemons keep together or each for itself, whatever a single caller sees.
+// Rules about many requests, of one daemon or of all daemons together.
 const (
-	ruleRests  = "no more than two requests within a rest"
-	ruleLeaves = "no request at an upstream that has said that it leaves"
-	ruleBudget = "retries within the budget of all daemons"
-	ruleLimits = "requests within the limit of an upstream"
+	ruleRest        = "no more than two requests within a rest"
+	ruleLeaving     = "no request at an upstream that has said that it leaves"
+	ruleRetryBudget = "retries within the budget of all daemons"
+	ruleRateLimit   = "requests within the limit of an upstream"
 )
 
 const (
-	// restGrace is how long after an answer that asks for rest requests that were on their
-	// way may arrive, and restMost how many may come from one daemon from then on.
-	restGrace = 500 * time.Millisecond
-	restMost  = 2
-	// drain is how long after a daemon has passed on that an upstream leaves it may send
-	// requests there that are older.
-	drain = 2 * time.Second
-	// budgetRatio and budgetSlack are what the daemons are set to, in each budgetWindow.
-	budgetRatio  = 0.2
-	budgetSlack  = 200
-	budgetWindow = 10 * time.Second
-	// limitSettle is the time from the first answer with a limit until the limit is enforced.
+	// inTransitTime is how long after an answer with a rest requests that were already sent may
+	// still arrive. From then on, one daemon may send maxRequestsInRest requests until the rest
+	// ends.
+	inTransitTime     = 500 * time.Millisecond
+	maxRequestsInRest = 2
+	// drainTime is the setting drain_ms of the daemons: how long after a daemon has passed on that
+	// an upstream leaves it may still route requests there.
+	drainTime = 2 * time.Second
+	// retryRatio, retrySlack and retryWindow are the settings of the daemons' retry budget.
+	retryRatio  = 0.2
+	retrySlack  = 200
+	retryWindow = 10 * time.Second
+	// limitEnforceDelay is the time from the first answer with a limit until the limit is enforced.
 	// Daemons that were disturbed during a window or this long before it are not counted.
-	limitSettle = 3 * time.Second
+	limitEnforceDelay = 3 * time.Second
 	// limitWindow is the window of platformtest.LimitCheck.
 	limitWindow = 4 * time.Second
 )
 
-// traffic is what callers sent and upstreams got.
+// traffic holds the requests that callers sent and their arrivals at upstreams.
 type traffic struct {
 	arrivals []platformtest.Arrival
-	requests map[string]seen // by id
-	// excused reports whether a daemon stood still or started again between two times, or
-	// an upstream was cut off.
-	excused func(daemon *process, upstream string, from, to time.Time) bool
+	requests map[string]callRecord // by request ID
+	// isExcused reports whether, between two times, a daemon was frozen or restarted or an upstream
+	// was cut off.
+	isExcused func(daemon *process, upstream string, from, to time.Time) bool
 }
 
-// breach is a bound that was not kept, and the request that shows it.
-type breach struct {
-	by   seen
-	what string
+// boundViolation is a violated bound and the request that shows it.
+type boundViolation struct {
+	request     callRecord
+	description string
 }
 
-// way is one daemon's way to one upstream.
-type way struct {
+// daemonUpstream is a pair of a daemon and an upstream.
+type daemonUpstream struct {
 	daemon   *process
 	upstream string
 }
 
-// byWay returns the arrivals of each way, in their order, and their requests.
-func (t *traffic) byWay() map[way][]platformtest.Arrival {
-	ways := map[way][]platformtest.Arrival{}
+// arrivalsByPair returns the arrivals from each daemon at each upstream, in order. Arrivals of
+// unknown requests are left out.
+func (t *traffic) arrivalsByPair() map[daemonUpstream][]platformtest.Arrival {
+	arrivals := map[daemonUpstream][]platformtest.Arrival{}
 	for _, a := range t.arrivals {
 		if s, ok := t.requests[a.ID]; ok {
-			w := way{daemon: s.daemon, upstream: a.Upstream}
-			ways[w] = append(ways[w], a)
+			pair := daemonUpstream{daemon: s.daemon, upstream: a.Upstream}
+			arrivals[pair] = append(arrivals[pair], a)
 		}
 	}
-	return ways
+	return arrivals
 }
 
-// rests returns where a daemon sent an upstream more than it may within a rest that it had
-// been asked for.
-func (t *traffic) rests() (found []breach) {
-	for w, came := range t.byWay() {
-		for _, asked := range came {
-			from, to := asked.Answered.Add(restGrace), asked.Answered.Add(asked.Rest)
-			if asked.Rest == 0 || t.excused(w.daemon, w.upstream, asked.Answered, to) {
+// restViolations returns the rests in which a daemon sent the resting upstream more than
+// maxRequestsInRest requests.
+func (t *traffic) restViolations() (found []boundViolation) {
+	for pair, arrivals := range t.arrivalsByPair() {
+		for _, arrival := range arrivals {
+			from, to := arrival.Answered.Add(inTransitTime), arrival.Answered.Add(arrival.Rest)
+			if arrival.Rest == 0 || t.isExcused(pair.daemon, pair.upstream, arrival.Answered, to) {
 				continue
 			}
-			within := between(came, from, to)
-			if len(within) > restMost {
+			within := arrivalsBetween(arrivals, from, to)
+			if len(within) > maxRequestsInRest {
 				last := t.requests[within[len(within)-1].ID]
-				found = append(found, breach{last, fmt.Sprintf("%s had asked for %v of rest, and got %d requests within it", w.upstream, asked.Rest, len(within))})
+				found = append(found, boundViolation{last, fmt.Sprintf("%s asked for a rest of %v and received %d requests within it", pair.upstream, arrival.Rest, len(within))})
 			}
 		}
 	}
 	return found
 }
 
-// between returns the arrivals between two times.
-func between(came []platformtest.Arrival, from, to time.Time) (within []platformtest.Arrival) {
-	for _, a := range came {
+// arrivalsBetween returns the arrivals between two times.
+func arrivalsBetween(arrivals []platformtest.Arrival, from, to time.Time) (within []platformtest.Arrival) {
+	for _, a := range arrivals {
 		if a.At.After(from) && a.At.Before(to) {
 			within = append(within, a)
 		}
@@ -96,28 +98,28 @@
 	return within
 }
 
-// leaves returns the requests that a daemon sent to an upstream although it had passed on,
-// over the time of drain before the caller sent them, that the upstream leaves.
-func (t *traffic) leaves() (found []breach) {
-	for w, came := range t.byWay() {
-		told := t.firstTold(came)
-		if told.IsZero() {
+// leavingViolations returns the requests that a daemon sent to a leaving upstream although the
+// caller sent them more than drainTime after the daemon had passed on that the upstream leaves.
+func (t *traffic) leavingViolations() (found []boundViolation) {
+	for pair, arrivals := range t.arrivalsByPair() {
+		announced := t.firstLeavingAnswer(arrivals)
+		if announced.IsZero() {
 			continue
 		}
-		for _, a := range came {
+		for _, a := range arrivals {
 			s := t.requests[a.ID]
-			if s.sent.After(told.Add(drain)) && !t.excused(w.daemon, w.upstream, told, a.At) {
-				found = append(found, breach{s, fmt.Sprintf("%s had said %v before that it leaves", w.upstream, s.sent.Sub(told).Round(time.Millisecond))})
+			if s.sent.After(announced.Add(drainTime)) && !t.isExcused(pair.daemon, pair.upstream, announced, a.At) {
+				found = append(found, boundViolation{s, fmt.Sprintf("%s had announced %v before that it leaves", pair.upstream, s.sent.Sub(announced).Round(time.Millisecond))})
 			}
 		}
 	}
 	return found
 }
 
-// firstTold returns when a caller first had a whole answer that says that the upstream
-// leaves, or no time.
-func (t *traffic) firstTold(came []platformtest.Arrival) (first time.Time) {
-	for _, a := range came {
+// firstLeavingAnswer returns the time at which a caller first had a complete answer that announces
+// that the upstream leaves, or the zero time.
+func (t *traffic) firstLeavingAnswer(arrivals []platformtest.Arrival) (first time.Time) {
+	for _, a := range arrivals {
 		s := t.requests[a.ID]
 		if at := s.sent.Add(s.reply.Elapsed); a.Leaving && s.reply.Signed && s.reply.Err == nil && (first.IsZero() || at.Before(first)) {
 			first = at
@@ -126,20 +128,20 @@
 	return first
 }
 
-// budget returns the windows in which a service got more repeats than all daemons together
-// may send. The requests of a window are those of itself, of the one before, or of the one
-// half a window before, whichever are the most.
-func (t *traffic) budget() (found []breach) {
-	services, requests := t.repeats(), t.requestTimes()
-	for service, repeats := range services {
-		for i, first := range repeats {
+// retryBudgetViolations returns, for each service, the first window in which it received more
+// retries than all daemons together may send. The budget counts the requests of that window, of the
+// one half a window earlier or of the one a window earlier, whichever has the most.
+func (t *traffic) retryBudgetViolations() (found []boundViolation) {
+	retriesOf, sendTimes := t.retriesByService(), t.sendTimesByService()
+	for service, retries := range retriesOf {
+		for i, first := range retries {
 			n := 0
-			for n < len(repeats)-i && repeats[i+n].At.Before(first.At.Add(budgetWindow)) {
+			for n < len(retries)-i && retries[i+n].At.Before(first.At.Add(retryWindow)) {
 				n++
 			}
-			limit := budgetRatio*float64(mostRequests(requests[service], first.At)) + budgetSlack
+			limit := retryRatio*float64(maxRequestsInWindow(sendTimes[service], first.At)) + retrySlack
 			if float64(n) > limit {
-				found = append(found, breach{t.requests[first.ID], fmt.Sprintf("%s got %d repeats in %v from here, %.0f are allowed", service, n, budgetWindow, limit)})
+				found = append(found, boundViolation{t.requests[first.ID], fmt.Sprintf("%s received %d retries in the %v from this request, allowed are %.0f", service, n, retryWindow, limit)})
 				break
 			}
 		}
@@ -147,20 +149,20 @@
 	return found
 }
 
-// repeats returns the arrivals beyond the first of each request, by service, in their order.
-func (t *traffic) repeats() map[string][]platformtest.Arrival {
-	came, repeats := map[string]bool{}, map[string][]platformtest.Arrival{}
+// retriesByService returns all arrivals but the first of each request, by service and in order.
+func (t *traffic) retriesByService() map[string][]platformtest.Arrival {
+	arrived, retries := map[string]bool{}, map[string][]platformtest.Arrival{}
 	for _, a := range t.arrivals {
-		if came[a.ID] {
-			repeats[a.Service] = append(repeats[a.Service], a)
+		if arrived[a.ID] {
+			retries[a.Service] = append(retries[a.Service], a)
 		}
-		came[a.ID] = true
+		arrived[a.ID] = true
 	}
-	return repeats
+	return retries
 }
 
-// requestTimes returns when callers sent requests for each service.
-func (t *traffic) requestTimes() map[string][]time.Time {
+// sendTimesByService returns the times at which callers sent requests to each service.
+func (t *traffic) sendTimesByService() map[string][]time.Time {
 	times := map[string][]time.Time{}
 	for _, s := range t.requests {
 		service := platformtest.PlainService
@@ -172,12 +174,13 @@
 	return times
 }
 
-// mostRequests is how many requests the budget of a window counts.
-func mostRequests(sent []time.Time, from time.Time) (most int) {
-	for _, earlier := range []time.Duration{0, budgetWindow / 2, budgetWindow} {
+// maxRequestsInWindow returns the number of requests that the retry budget of the window beginning
+// at from counts.
+func maxRequestsInWindow(sent []time.Time, from time.Time) (most int) {
+	for _, earlier := range []time.Duration{0, retryWindow / 2, retryWindow} {
 		n, begin := 0, from.Add(-earlier)
 		for _, at := range sent {
-			if !at.Before(begin) && at.Before(begin.Add(budgetWindow)) {
+			if !at.Before(begin) && at.Before(begin.Add(retryWindow)) {
 				n++
 			}
 		}
@@ -186,12 +189,12 @@
 	return most
 }
 
-// limits returns, for each upstream, the first window in which it received more requests than
-// its limit allows.
-func (t *traffic) limits() (found []breach) {
+// rateLimitViolations returns, for each upstream, the first window in which it received more
+// requests than its limit allows.
+func (t *traffic) rateLimitViolations() (found []boundViolation) {
 	daemons := map[string]*process{}
 	check := platformtest.LimitCheck{
-		EnforcedAfter: limitSettle,
+		EnforcedAfter: limitEnforceDelay,
 		DaemonOf: func(request string) (string, bool) {
 			s, ok := t.requests[request]
 			if ok {
@@ -201,11 +204,11 @@
 			return "", false
 		},
 		Exempt: func(daemon, upstream string, from, to time.Time) bool {
-			return t.excused(daemons[daemon], upstream, from.Add(-limitSettle), to)
+			return t.isExcused(daemons[daemon], upstream, from.Add(-limitEnforceDelay), to)
 		},
 	}
 	for _, v := range check.FindViolations(t.arrivals) {
-		found = append(found, breach{t.requests[v.Last.ID], fmt.Sprintf("%s had set a limit of %v a second, and got %d requests in %v; allowed %d", v.Upstream, v.Limit, v.Received, limitWindow, v.Allowed)})
+		found = append(found, boundViolation{t.requests[v.Last.ID], fmt.Sprintf("%s set a limit of %v requests per second and received %d in %v; allowed are %d", v.Upstream, v.Limit, v.Received, limitWindow, v.Allowed)})
 	}
 	return found
 }
--- a/soak/bounds_test.go
+++ b/soak/bounds_test.go
@@ -8,128 +8,128 @@
 	"spanrill/platform/platformtest"
 )
 
-// day builds traffic: times are seconds since its begin.
-type day struct {
+// trafficBuilder builds traffic. Its methods take times as seconds after start.
+type trafficBuilder struct {
 	traffic
-	begin time.Time
-	on    *process
+	start  time.Time
+	daemon *process
 }
 
-func newDay() *day {
-	d := &day{begin: time.Unix(1000, 0), on: &process{name: "daemon-0"}}
-	d.requests = map[string]seen{}
-	d.excused = func(*process, string, time.Time, time.Time) bool { return false }
-	return d
+func newTrafficBuilder() *trafficBuilder {
+	b := &trafficBuilder{start: time.Unix(1000, 0), daemon: &process{name: "daemon-0"}}
+	b.requests = map[string]callRecord{}
+	b.isExcused = func(*process, string, time.Time, time.Time) bool { return false }
+	return b
 }
 
-func (d *day) at(second float64) time.Time {
-	return d.begin.Add(time.Duration(second * float64(time.Second)))
+func (b *trafficBuilder) at(second float64) time.Time {
+	return b.start.Add(time.Duration(second * float64(time.Second)))
 }
 
-// send has a caller send a request, which is answered by an upstream 10 ms later.
-func (d *day) send(second float64) (id string) {
-	id = fmt.Sprint("r", len(d.requests))
-	d.requests[id] = seen{id: id, path: platformtest.SafePath, daemon: d.on, sent: d.at(second), reply: platformtest.Reply{Status: 200, Signed: true, Elapsed: 10 * time.Millisecond}}
+// send adds a request of a caller that is answered 10 ms later.
+func (b *trafficBuilder) send(second float64) (id string) {
+	id = fmt.Sprint("r", len(b.requests))
+	b.requests[id] = callRecord{id: id, path: platformtest.SafePath, daemon: b.daemon, sent: b.at(second), reply: platformtest.Reply{Status: 200, Signed: true, Elapsed: 10 * time.Millisecond}}
 	return id
 }
 
-func (d *day) arrive(id, upstream string, second float64) *platformtest.Arrival {
-	d.arrivals = append(d.arrivals, platformtest.Arrival{Upstream: upstream, Service: platformtest.PlainService, ID: id, At: d.at(second), Answered: d.at(second)})
-	return &d.arrivals[len(d.arrivals)-1]
+func (b *trafficBuilder) arrive(id, upstream string, second float64) *platformtest.Arrival {
+	b.arrivals = append(b.arrivals, platformtest.Arrival{Upstream: upstream, Service: platformtest.PlainService, ID: id, At: b.at(second), Answered: b.at(second)})
+	return &b.arrivals[len(b.arrivals)-1]
 }
 
-func TestRests(t *testing.T) {
+func TestRestViolations(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		later  []float64 // requests behind an answer of second 0 that asks for 3 s
-		to     string
-		excuse bool
-		want   int
+		name     string
+		later    []float64 // times of requests after an answer at second 0 that asks for a rest of 3 s
+		upstream string
+		excuse   bool
+		want     int
 	}{
 		{"two within the rest", []float64{0.6, 2.9}, "u", false, 0},
 		{"three within the rest", []float64{0.6, 1, 2.9}, "u", false, 1},
-		{"three, one of them on its way", []float64{0.4, 0.6, 1}, "u", false, 0},
-		{"three, one of them behind its end", []float64{0.6, 1, 3.1}, "u", false, 0},
+		{"three, one of them in transit", []float64{0.4, 0.6, 1}, "u", false, 0},
+		{"three, one of them after its end", []float64{0.6, 1, 3.1}, "u", false, 0},
 		{"three at another upstream", []float64{0.6, 1, 2}, "v", false, 0},
-		{"three from a daemon that started again", []float64{0.6, 1, 2}, "u", true, 0},
+		{"three from a restarted daemon", []float64{0.6, 1, 2}, "u", true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDay()
-			d.excused = func(*process, string, time.Time, time.Time) bool { return c.excuse }
-			d.arrive(d.send(0), "u", 0).Rest = 3 * time.Second
+			b := newTrafficBuilder()
+			b.isExcused = func(*process, string, time.Time, time.Time) bool { return c.excuse }
+			b.arrive(b.send(0), "u", 0).Rest = 3 * time.Second
 			for _, at := range c.later {
-				d.arrive(d.send(at), c.to, at)
+				b.arrive(b.send(at), c.upstream, at)
 			}
-			if found := d.rests(); len(found) != c.want {
+			if found := b.restViolations(); len(found) != c.want {
 				t.Errorf("%d breaches, want %d: %+v", len(found), c.want, found)
 			}
 		})
 	}
-	t.Run("three from as many daemons", func(t *testing.T) {
-		d := newDay()
-		d.arrive(d.send(0), "u", 0).Rest = 3 * time.Second
+	t.Run("three from different daemons", func(t *testing.T) {
+		b := newTrafficBuilder()
+		b.arrive(b.send(0), "u", 0).Rest = 3 * time.Second
 		for i := range 3 {
-			d.on = &process{name: fmt.Sprint("other-", i)}
-			d.arrive(d.send(1), "u", 1)
+			b.daemon = &process{name: fmt.Sprint("other-", i)}
+			b.arrive(b.send(1), "u", 1)
 		}
-		if found := d.rests(); len(found) != 0 {
-			t.Errorf("nobody asked these for rest: %+v", found)
+		if found := b.restViolations(); len(found) != 0 {
+			t.Errorf("daemons that were not asked for a rest are reported: %+v", found)
 		}
 	})
 }
 
-func TestLeaves(t *testing.T) {
+func TestLeavingViolations(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		sent   float64 // behind an answer of second 0 that says that the upstream leaves
-		cut    bool    // that answer did not come whole
+		sent   float64 // time after an answer at second 0 that announces that the upstream leaves
+		cut    bool    // whether the caller did not receive that answer
 		excuse bool
 		want   int
 	}{
-		{"sent within the time of drain", 1.9, false, false, 0},
+		{"sent within drainTime", 1.9, false, false, 0},
 		{"sent later", 2.1, false, false, 1},
-		{"sent later, and the word was not passed on", 2.1, true, false, 0},
-		{"sent later by a daemon that started again", 2.1, false, true, 0},
+		{"sent later, announcement not passed on", 2.1, true, false, 0},
+		{"sent later by a restarted daemon", 2.1, false, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDay()
-			d.excused = func(*process, string, time.Time, time.Time) bool { return c.excuse }
-			first := d.send(0)
+			b := newTrafficBuilder()
+			b.isExcused = func(*process, string, time.Time, time.Time) bool { return c.excuse }
+			announcement := b.send(0)
 			if c.cut {
-				s := d.requests[first]
+				s := b.requests[announcement]
 				s.reply.Status, s.reply.Signed = 0, false
-				d.requests[first] = s
+				b.requests[announcement] = s
 			}
-			d.arrive(first, "u", 0).Leaving = true
-			d.arrive(d.send(c.sent), "u", c.sent+0.1)
-			if found := d.leaves(); len(found) != c.want {
+			b.arrive(announcement, "u", 0).Leaving = true
+			b.arrive(b.send(c.sent), "u", c.sent+0.1)
+			if found := b.leavingViolations(); len(found) != c.want {
 				t.Errorf("%d breaches, want %d: %+v", len(found), c.want, found)
 			}
 		})
 	}
 }
 
-func TestBudget(t *testing.T) {
+func TestRetryBudgetViolations(t *testing.T) {
 	for _, c := range []struct {
 		name              string
-		requests, repeats int
-		behind            float64 // the requests, by seconds
+		requests, retries int
+		after             float64 // seconds from the requests to the retries, less one
 		want              int
 	}{
 		{"as many as are allowed", 1000, 400, 0, 0},
 		{"one more", 1000, 401, 0, 1},
-		{"requests of the window before", 1000, 400, 9, 0},
-		{"requests of long ago", 1000, 400, 30, 1},
+		{"requests of the previous window", 1000, 400, 9, 0},
+		{"requests of much earlier windows", 1000, 400, 30, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDay()
+			b := newTrafficBuilder()
 			for i := range c.requests {
-				d.arrive(d.send(float64(i)*0.001), "u", 0)
+				b.arrive(b.send(float64(i)*0.001), "u", 0)
 			}
-			for i := range c.repeats {
-				d.arrive(fmt.Sprint("r", i), "v", c.behind+1)
+			for i := range c.retries {
+				b.arrive(fmt.Sprint("r", i), "v", c.after+1)
 			}
-			if found := d.budget(); len(found) != c.want {
+			if found := b.retryBudgetViolations(); len(found) != c.want {
 				t.Errorf("%d breaches, want %d: %+v", len(found), c.want, found)
 			}
 		})
@@ -137,7 +137,7 @@
 }
 
 // Guards against a limit check that misses violations or reports permitted requests.
-func TestLimits(t *testing.T) {
+func TestRateLimitViolations(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		gap     float64 // seconds between two requests
@@ -153,14 +153,14 @@
 		{"more than allowed, after the limit is removed", 0.15, 12, false, 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDay()
-			d.excused = func(*process, string, time.Time, time.Time) bool { return c.excuse }
+			b := newTrafficBuilder()
+			b.isExcused = func(*process, string, time.Time, time.Time) bool { return c.excuse }
 			for at := 0.0; at < c.until; at += c.gap {
-				if a := d.arrive(d.send(at), "u", at); c.removed == 0 || at < c.removed {
+				if a := b.arrive(b.send(at), "u", at); c.removed == 0 || at < c.removed {
 					a.Limit = "2.5"
 				}
 			}
-			if found := d.limits(); len(found) != c.want {
+			if found := b.rateLimitViolations(); len(found) != c.want {
 				t.Errorf("%d breaches, want %d: %+v", len(found), c.want, found)
 			}
 		})
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -10,8 +10,8 @@
 	"spanrill/rng"
 )
 
-// seen is one request and what its caller saw.
-type seen struct {
+// callRecord is one request and the reply that its caller received.
+type callRecord struct {
 	id     string
 	path   string
 	daemon *process
@@ -21,89 +21,92 @@
 	reply  platformtest.Reply
 }
 
-// records is what all callers saw.
+// records collects the requests of all callers.
 type records struct {
 	mu  sync.Mutex
-	all []seen
+	all []callRecord
 }
 
-func (r *records) add(s seen) {
+func (r *records) add(s callRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = append(r.all, s)
 }
 
-// list returns what was seen until now.
-func (r *records) list() []seen {
+// list returns the requests recorded so far.
+func (r *records) list() []callRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]seen(nil), r.all...)
+	return append([]callRecord(nil), r.all...)
 }
 
 const (
-	// callDeadline is what callers say they wait, and callLimit what they wait in fact.
+	// callDeadline is the deadline that callers announce in their requests, and callLimit the time
+	// after which they give up.
 	callDeadline = 5 * time.Second
 	callLimit    = 12 * time.Second
-	// callPause is between two requests of a caller.
+	// callPause is the pause between two requests of a caller.
 	callPause = 25 * time.Millisecond
-	// stayWith is how many requests a caller makes on one connection before it takes another
-	// daemon, unless its connection fails. It keeps the connection while the daemon stops.
-	stayWith = 40
+	// requestsPerConnection is the number of requests that a caller sends on one connection before it
+	// chooses a daemon anew, unless the connection fails. It keeps the connection while the daemon
+	// stops.
+	requestsPerConnection = 40
 )
 
-var paths = []string{platformtest.StreamPath, platformtest.StreamPath, platformtest.OncePath, platformtest.SafePath}
+var requestPaths = []string{platformtest.StreamPath, platformtest.StreamPath, platformtest.OncePath, platformtest.SafePath}
 
-// call makes requests until the context ends.
-func (r *run) call(ctx context.Context, n int) error {
+// runCaller sends requests until the context ends.
+func (r *run) runCaller(ctx context.Context, n int) error {
 	random := rng.New(r.options.Seed<<16 + uint64(n))
 	caller := platformtest.NewCaller()
 	defer caller.Close()
-	daemon, left := r.daemons[random.IntN(len(r.daemons))], stayWith
+	daemon, left := r.daemons[random.IntN(len(r.daemons))], requestsPerConnection
 	for i := 0; ctx.Err() == nil; i++ {
-		s := seen{
-			id: fmt.Sprintf("c%d-%d", n, i), path: paths[random.IntN(len(paths))], daemon: daemon,
-			key: r.world.key(random.IntN(firstKeys)), sent: time.Now(),
+		s := callRecord{
+			id: fmt.Sprintf("c%d-%d", n, i), path: requestPaths[random.IntN(len(requestPaths))], daemon: daemon,
+			key: r.env.key(random.IntN(activeKeys)), sent: time.Now(),
 		}
 		s.body = "asked by " + s.id
-		limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), callLimit)
-		s.reply = caller.Call(limited, daemon.listen, s.path, s.id, s.key, s.body, callDeadline)
+		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callLimit)
+		s.reply = caller.Call(callCtx, daemon.listenAddr, s.path, s.id, s.key, s.body, callDeadline)
 		cancel()
 		r.records.add(s)
 		if left--; left == 0 || s.reply.Status == 0 {
 			caller.Close()
-			daemon, left = r.daemons[random.IntN(len(r.daemons))], stayWith
+			daemon, left = r.daemons[random.IntN(len(r.daemons))], requestsPerConnection
 		}
 		wait(ctx, callPause)
 	}
 	return nil
 }
 
-// useWithdrawn makes requests with keys that were withdrawn long enough ago.
-func (r *run) useWithdrawn(ctx context.Context) error {
+// runWithdrawnKeyCaller sends requests with keys that were withdrawn more than revokeTime ago.
+func (r *run) runWithdrawnKeyCaller(ctx context.Context) error {
 	caller := platformtest.NewCaller()
 	defer caller.Close()
 	random := rng.New(r.options.Seed)
 	for i := 0; ctx.Err() == nil; i++ {
-		if w := r.world.longWithdrawn(); w != "" {
+		if key := r.env.revokedKey(); key != "" {
 			p := r.daemons[random.IntN(len(r.daemons))]
-			s := seen{id: fmt.Sprintf("withdrawn-%d", i), path: platformtest.OncePath, daemon: p, key: w, sent: time.Now(), body: "withdrawn"}
-			limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), callLimit)
-			s.reply = caller.Call(limited, p.listen, s.path, s.id, s.key, s.body, callDeadline)
+			s := callRecord{id: fmt.Sprintf("withdrawn-%d", i), path: platformtest.OncePath, daemon: p, key: key, sent: time.Now(), body: "withdrawn"}
+			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callLimit)
+			s.reply = caller.Call(callCtx, p.listenAddr, s.path, s.id, s.key, s.body, callDeadline)
 			cancel()
-			r.barred.add(s)
+			r.withdrawnKeyRecords.add(s)
 		}
 		wait(ctx, 4*callPause)
 	}
 	return nil
 }
 
-// longWithdrawn returns a key that no request may run under any more, or "".
-func (w *world) longWithdrawn() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i := len(w.withdrawn) - 1; i >= 0; i-- {
-		if time.Since(w.withdrawn[i].at) > revoke {
-			return w.withdrawn[i].key
+// revokedKey returns the latest key that was withdrawn more than revokeTime ago, under which no
+// request may run, or "".
+func (env *environment) revokedKey() string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for i := len(env.withdrawn) - 1; i >= 0; i-- {
+		if time.Since(env.withdrawn[i].at) > revokeTime {
+			return env.withdrawn[i].key
 		}
 	}
 	return ""
--- a/soak/check.go
+++ b/soak/check.go
@@ -11,50 +11,51 @@
 	"spanrill/platform/platformtest"
 )
 
-// Violation is something that must not have happened.
+// Violation is one breach of a rule.
 type Violation struct {
 	Rule    string        `json:"rule"`
 	Request string        `json:"request,omitempty"`
 	Daemon  string        `json:"daemon,omitempty"`
-	At      time.Duration `json:"at"` // since callers began
+	At      time.Duration `json:"at"` // since the callers started
 	What    string        `json:"what"`
 }
 
-// The rules that are checked.
+// The rules. Their texts appear in the report.
 const (
-	ruleWhole    = "whole answers in order"
-	ruleOnce     = "at most one run"
-	ruleNotRun   = "not-run is true"
-	ruleLayers   = "every layer once and in order"
-	ruleRevoked  = "no run under a withdrawn key"
-	ruleAnswered = "every request has an end"
-	ruleLives    = "daemons end only when told"
-	ruleRecovers = "service after the last fault"
-	ruleInForce  = "a configuration in force in time"
+	ruleComplete      = "whole answers in order"
+	ruleOnce          = "at most one run"
+	ruleNotRun        = "not-run is true"
+	ruleLayers        = "every layer once and in order"
+	ruleRevoked       = "no run under a withdrawn key"
+	ruleTerminates    = "every request has an end"
+	ruleUnexpectedEnd = "daemons end only when told"
+	ruleRecovers      = "service after the last fault"
+	ruleConfigApplied = "a configuration in force in time"
 )
 
-// runsOf tells how often upstreams ran a request.
-type runsOf func(id string) int
+// runCounter returns the number of times that upstreams ran a request.
+type runCounter func(id string) int
 
-// checkReply judges one request by what its caller and the upstreams saw.
-func checkReply(s seen, events int, runs runsOf) (rule, what string) {
+// checkReply checks one request by the reply of its caller and its runs at upstreams. It returns the
+// rule and a description of the violation, which is empty if there is none.
+func checkReply(s callRecord, events int, runs runCounter) (rule, what string) {
 	n := runs(s.id)
 	switch {
 	case s.path == platformtest.OncePath && n > 1:
 		return ruleOnce, fmt.Sprintf("ran %d times", n)
-	case promises(s.reply.Status) && !s.reply.Signed && n > 0:
-		return ruleNotRun, fmt.Sprintf("status %d, and it ran %d times", s.reply.Status, n)
+	case promisesNotRun(s.reply.Status) && !s.reply.Signed && n > 0:
+		return ruleNotRun, fmt.Sprintf("status %d, but it ran %d times", s.reply.Status, n)
 	case s.reply.Status == http.StatusOK:
-		return ruleWhole, checkBody(s, events)
+		return ruleComplete, checkBody(s, events)
 	case s.reply.Err != nil && s.reply.Elapsed >= callLimit:
-		return ruleAnswered, fmt.Sprintf("no end within %v: %v", callLimit, s.reply.Err)
+		return ruleTerminates, fmt.Sprintf("not finished within %v: %v", callLimit, s.reply.Err)
 	}
 	return "", ""
 }
 
-// checkBody says what is wrong with the body of a success, or "". One that was cut must be the
-// beginning of the whole.
-func checkBody(s seen, events int) string {
+// checkBody describes what is wrong with the body of a successful answer, or returns "". The body of
+// an answer that was cut off must be a prefix of the complete body.
+func checkBody(s callRecord, events int) string {
 	want := string(platformtest.PlainAnswer([]byte(s.body)))
 	if s.path == platformtest.StreamPath {
 		var b strings.Builder
@@ -65,15 +66,15 @@
 	}
 	switch {
 	case s.reply.Err == nil && s.reply.Body != want:
-		return fmt.Sprintf("shown as whole: %q, want %q", s.reply.Body, want)
+		return fmt.Sprintf("ended without an error: %q, want %q", s.reply.Body, want)
 	case s.reply.Err != nil && !strings.HasPrefix(want, s.reply.Body):
-		return fmt.Sprintf("cut: %q is no beginning of %q", s.reply.Body, want)
+		return fmt.Sprintf("cut off: %q is not a prefix of %q", s.reply.Body, want)
 	}
 	return ""
 }
 
-// promises reports whether a status says that a request has not run and never will.
-func promises(status int) bool {
+// promisesNotRun reports whether a status guarantees that the request has not run and will not run.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -81,57 +82,57 @@
 	return false
 }
 
-// check judges all that was seen.
-func (r *run) check() []Violation {
+// findViolations checks all rules against the recorded requests, arrivals and process failures.
+func (r *run) findViolations() []Violation {
 	var all []Violation
-	add := func(s seen, rule, what string) {
+	addViolation := func(s callRecord, rule, what string) {
 		if what != "" {
-			all = append(all, Violation{Rule: rule, Request: s.id, Daemon: s.daemon.name, At: s.sent.Sub(r.begun).Round(time.Millisecond), What: what})
+			all = append(all, Violation{Rule: rule, Request: s.id, Daemon: s.daemon.name, At: s.sent.Sub(r.startTime).Round(time.Millisecond), What: what})
 		}
 	}
 	for _, s := range r.records.list() {
-		rule, what := checkReply(s, r.world.fleet.Events, r.world.fleet.Runs)
-		if rule == ruleAnswered && r.wasDisturbed(s.daemon, s.sent, s.sent.Add(callLimit)) {
-			continue // a process that stands still answers nobody
+		rule, what := checkReply(s, r.env.fleet.Events, r.env.fleet.Runs)
+		if rule == ruleTerminates && r.wasDisturbed(s.daemon, s.sent, s.sent.Add(callLimit)) {
+			continue // a frozen or stopped process does not answer
 		}
-		add(s, rule, what)
+		addViolation(s, rule, what)
 	}
 	for _, s := range r.records.list() {
 		if r.isStaleRefusal(s) {
-			add(s, ruleInForce, fmt.Sprintf("key %s was refused with status %d, %v after it was written to the store", s.key, s.reply.Status, s.sent.Sub(r.world.keyWriteTime(s.key)).Round(time.Millisecond)))
+			addViolation(s, ruleConfigApplied, fmt.Sprintf("key %s was refused with status %d, %v after it was written to the store", s.key, s.reply.Status, s.sent.Sub(r.env.keyWriteTime(s.key)).Round(time.Millisecond)))
 		}
 	}
-	for _, s := range r.barred.list() {
-		if n := r.world.fleet.Runs(s.id); n > 0 {
-			add(s, ruleRevoked, fmt.Sprintf("key %s was withdrawn over %v before, and it ran", s.key, revoke))
+	for _, s := range r.withdrawnKeyRecords.list() {
+		if n := r.env.fleet.Runs(s.id); n > 0 {
+			addViolation(s, ruleRevoked, fmt.Sprintf("key %s had been withdrawn for more than %v, but the request ran", s.key, revokeTime))
 		}
 	}
 	t := r.traffic()
-	for rule, found := range map[string][]breach{ruleRests: t.rests(), ruleLeaves: t.leaves(), ruleBudget: t.budget(), ruleLimits: t.limits()} {
+	for rule, found := range map[string][]boundViolation{ruleRest: t.restViolations(), ruleLeaving: t.leavingViolations(), ruleRetryBudget: t.retryBudgetViolations(), ruleRateLimit: t.rateLimitViolations()} {
 		for _, b := range found {
-			add(b.by, rule, b.what)
+			addViolation(b.request, rule, b.description)
 		}
 	}
-	for _, what := range r.world.fleet.Violations() {
+	for _, what := range r.env.fleet.Violations() {
 		all = append(all, Violation{Rule: ruleLayers, What: what})
 	}
 	for _, p := range r.daemons {
 		p.mu.Lock()
-		for _, what := range p.faults {
-			all = append(all, Violation{Rule: ruleLives, Daemon: p.name, What: what})
+		for _, what := range p.failures {
+			all = append(all, Violation{Rule: ruleUnexpectedEnd, Daemon: p.name, What: what})
 		}
 		p.mu.Unlock()
 	}
-	return append(all, r.recovered...)
+	return append(all, r.recoveryViolations...)
 }
 
-// traffic is what callers sent and upstreams got until now.
+// traffic returns what callers have sent and upstreams have received so far.
 func (r *run) traffic() *traffic {
-	t := &traffic{arrivals: r.world.fleet.Arrivals(), requests: map[string]seen{}}
-	for _, s := range append(r.records.list(), r.barred.list()...) {
+	t := &traffic{arrivals: r.env.fleet.Arrivals(), requests: map[string]callRecord{}}
+	for _, s := range append(r.records.list(), r.withdrawnKeyRecords.list()...) {
 		t.requests[s.id] = s
 	}
-	t.excused = func(p *process, upstream string, from, to time.Time) bool {
+	t.isExcused = func(p *process, upstream string, from, to time.Time) bool {
 		return r.wasDisturbed(p, from, to) || r.wasCutOff(upstream, from, to)
 	}
 	return t
@@ -148,24 +149,24 @@
 // isStaleRefusal reports whether a request was refused because the daemon did not know a key that
 // must be in force, or had no proof that its configuration is current, although neither the daemon
 // nor the store was disturbed. Guards against daemons that do not apply a configuration in time.
-func (r *run) isStaleRefusal(s seen) bool {
+func (r *run) isStaleRefusal(s callRecord) bool {
 	refused := s.reply.Status == http.StatusUnauthorized || strings.Contains(s.reply.Body, spanrill.ReasonConfigStale.Code())
-	if s.reply.Signed || !refused || s.sent.Sub(r.world.keyWriteTime(s.key)) < applyDeadline || r.world.wasWithdrawn(s.key, s.sent.Add(s.reply.Elapsed)) {
+	if s.reply.Signed || !refused || s.sent.Sub(r.env.keyWriteTime(s.key)) < applyDeadline || r.env.wasWithdrawn(s.key, s.sent.Add(s.reply.Elapsed)) {
 		return false
 	}
 	return !r.wasDisturbed(s.daemon, s.sent.Add(-undisturbedTime), s.sent) && !r.wasStoreDisturbed(s.sent.Add(-undisturbedTime-applyDeadline), s.sent)
 }
 
 // keyWriteTime returns the time at which a key was first written to the store.
-func (w *world) keyWriteTime(key string) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.keyTimes[key]
+func (env *environment) keyWriteTime(key string) time.Time {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.keyWriteTimes[key]
 }
 
 // wasWithdrawn reports whether a key was withdrawn before the given time.
-func (w *world) wasWithdrawn(key string, by time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.ContainsFunc(w.withdrawn, func(wd withdrawal) bool { return wd.key == key && wd.at.Before(by) })
+func (env *environment) wasWithdrawn(key string, by time.Time) bool {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return slices.ContainsFunc(env.withdrawn, func(wd withdrawal) bool { return wd.key == key && wd.at.Before(by) })
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,19 +1,18 @@
-// Package soak runs daemons as processes of their own for a while, between callers and
-// stand-ins of the platform and its upstreams, lets things fail, and checks what callers and
-// upstreams saw.
+// Package soak is a fault-injection test for daemons. It runs daemons as separate processes
+// between simulated callers and stand-ins for the platform and its upstreams, injects faults, and
+// checks the answers that callers received and the requests that upstreams received.
 //
-// What fails, and when, follows from a seed alone. Faults overlap and come in series. Timings
-// differ from run to run, so that a fault of the daemons may need more than one run of its
-// seed.
+// The seed alone determines which faults are injected and when. Faults overlap and repeat. Timings
+// differ between runs, so reproducing a defect may take several runs with the same seed.
 //
-//	plan.go      what fails when
-//	world.go     the store, the upstreams and the links to them
-//	fault.go     how each kind of fault is brought about and ended
-//	process.go   one daemon
-//	callers.go   callers, and what they saw
-//	check.go     what must hold
-//	bounds.go    what must hold over many requests: rests, leaving, limits, the retry budget
-//	run.go       one run, and its report
+//	plan.go         the schedule of faults for a seed
+//	environment.go  the store, the upstreams and the links to them
+//	fault.go        how each kind of fault is injected and removed
+//	process.go      one daemon process
+//	callers.go      callers and the record of their requests
+//	check.go        rules that hold for each request
+//	bounds.go       rules that hold over many requests: rests, leaving, rate limits, the retry budget
+//	run.go          one run and its report
 //
 // # Usage
 //
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -10,46 +10,48 @@
 	"spanrill/standin/faultproxy"
 )
 
-// restAsked is what upstreams that refuse ask for.
-const restAsked = time.Second
+// requestedRest is the rest that refusing upstreams ask for.
+const requestedRest = time.Second
 
-// leaveTime is how long an upstream serves on behind its word that it leaves.
-const leaveTime = 4 * time.Second
+// leavingTime is how long an upstream keeps serving after announcing that it leaves.
+const leavingTime = 4 * time.Second
 
-// stopLimit is when a daemon that was told to stop must have ended: its grace, and two seconds.
-const stopLimit = grace + 2*time.Second
+// stopLimit is the time within which a stopped daemon must have exited: its grace period plus two
+// seconds.
+const stopLimit = graceTime + 2*time.Second
 
-// apply brings a fault about, waits for its time and ends it.
+// apply injects a fault, waits for its duration and removes it.
 func (r *run) apply(ctx context.Context, s Step) error {
-	if f := r.faultOf(s); f != nil {
+	if f := r.faultFunc(s); f != nil {
 		return f(ctx, s)
 	}
-	return fmt.Errorf("no fault of kind %q", s.Kind)
+	return fmt.Errorf("unknown kind of fault %q", s.Kind)
 }
 
-func (r *run) faultOf(s Step) func(context.Context, Step) error {
+// faultFunc returns the function that injects a step's kind of fault, or nil for an unknown kind.
+func (r *run) faultFunc(s Step) func(context.Context, Step) error {
 	switch s.Kind {
-	case DaemonKilled, DaemonStopped, DaemonFrozen, DaemonTold, AllKilled:
+	case DaemonKilled, DaemonStopped, DaemonFrozen, DaemonReloaded, AllDaemonsKilled:
 		return r.daemonFault
-	case StoreDown, StoreSilent, StoreForgets, StoreLoses:
+	case StoreDown, StoreSilent, StoreHistoryDropped, StoreAnswersLost:
 		return r.storeFault
-	case StoreLinkCut, StoreLinkMute, UpstreamLinks:
+	case StoreLinkCut, StoreLinkSilent, UpstreamLinkFaulty:
 		return r.linkFault
-	case UpstreamEnds, UpstreamAgain, UpstreamLeaves:
-		return r.upstreamGoes
-	case UpstreamFull, UpstreamFails, UpstreamBreaks, UpstreamMute:
+	case UpstreamCrashes, UpstreamRestarts, UpstreamLeaves:
+		return r.upstreamExitFault
+	case UpstreamRefuses, UpstreamFails, UpstreamCutsStreams, UpstreamReportsMuted:
 		return r.upstreamFault
 	case StoreRestored:
 		return r.restoreStore
 	case UpstreamLimits:
 		return r.upstreamLimitFault
 	case ConfigChanges, KeyWithdrawn:
-		return r.operate
+		return r.configFault
 	}
 	return nil
 }
 
-// wait waits for a while, or until the run ends.
+// wait waits for d or until ctx is done.
 func wait(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -60,12 +62,12 @@
 }
 
 func (r *run) daemonFault(ctx context.Context, s Step) error {
-	if s.Kind == AllKilled {
+	if s.Kind == AllDaemonsKilled {
 		for _, p := range r.daemons {
-			r.disturb(p)
+			r.recordDaemonDisturbance(p)
 		}
 		for _, p := range r.daemons {
-			if err := r.restart(ctx, p, syscall.SIGKILL, s.For/2); err != nil {
+			if err := r.restart(ctx, p, syscall.SIGKILL, s.Duration/2); err != nil {
 				return err
 			}
 		}
@@ -74,29 +76,30 @@
 	p := r.daemons[s.Target%len(r.daemons)]
 	switch s.Kind {
 	case DaemonKilled:
-		r.disturb(p)
-		return r.restart(ctx, p, syscall.SIGKILL, s.For/2)
+		r.recordDaemonDisturbance(p)
+		return r.restart(ctx, p, syscall.SIGKILL, s.Duration/2)
 	case DaemonStopped:
-		r.disturb(p)
-		return r.restart(ctx, p, syscall.SIGTERM, s.For/2)
+		r.recordDaemonDisturbance(p)
+		return r.restart(ctx, p, syscall.SIGTERM, s.Duration/2)
 	case DaemonFrozen:
-		r.disturb(p)
+		r.recordDaemonDisturbance(p)
 		p.signal(syscall.SIGSTOP)
-		wait(ctx, s.For)
+		wait(ctx, s.Duration)
 		p.signal(syscall.SIGCONT)
-	case DaemonTold:
+	case DaemonReloaded:
 		p.signal(syscall.SIGHUP)
 	}
 	return nil
 }
 
-// restart ends a daemon and starts it again. Steps that meet at one daemon take their turns.
-func (r *run) restart(ctx context.Context, p *process, by syscall.Signal, pause time.Duration) error {
-	lock := r.turns[p]
+// restart ends a daemon with a signal and starts it again after a pause. Concurrent steps on the same
+// daemon run one after another.
+func (r *run) restart(ctx context.Context, p *process, sig syscall.Signal, pause time.Duration) error {
+	lock := r.restartLocks[p]
 	lock.Lock()
 	defer lock.Unlock()
 	p.signal(syscall.SIGCONT)
-	p.signal(by)
+	p.signal(sig)
 	p.awaitExit(ctx, stopLimit)
 	wait(ctx, pause)
 	if ctx.Err() != nil {
@@ -106,25 +109,25 @@
 }
 
 func (r *run) storeFault(ctx context.Context, s Step) error {
-	w := r.world
-	r.disturbStore(s.For)
+	env := r.env
+	r.recordStoreDisturbance(s.Duration)
 	switch s.Kind {
-	case StoreForgets:
-		w.store.DropHistory()
+	case StoreHistoryDropped:
+		env.store.DropHistory()
 		return nil
-	case StoreLoses:
-		w.store.SetFaults(platformtest.StoreFaults{LoseWrites: 1 + s.Way})
+	case StoreAnswersLost:
+		env.store.SetFaults(platformtest.StoreFaults{LoseWrites: 1 + s.Variant})
 	case StoreDown:
-		w.store.SetFaults(platformtest.StoreFaults{Down: true})
+		env.store.SetFaults(platformtest.StoreFaults{Down: true})
 	case StoreSilent:
-		for _, l := range w.links { // a store that hangs in all calls, with room for others behind
+		for _, l := range env.storeLinks { // the store hangs in every call, but new calls are accepted
 			l.Set(faultproxy.Faults{Freeze: true})
 		}
 	}
-	wait(ctx, s.For)
-	w.store.SetFaults(platformtest.StoreFaults{})
+	wait(ctx, s.Duration)
+	env.store.SetFaults(platformtest.StoreFaults{})
 	if s.Kind == StoreSilent {
-		for _, l := range w.links {
+		for _, l := range env.storeLinks {
 			l.Set(faultproxy.Faults{})
 		}
 	}
@@ -144,134 +147,136 @@
 
 // restoreStore restores the store from a copy that is as old as the step is long and lacks
 // lostRevisions configuration changes. The operator and the upstreams write their objects again.
-// Depending on Step.Way, the configuration also changes right after the restore, or the store is
+// Depending on Step.Variant, the configuration also changes right after the restore, or the store is
 // restored twice. After heartbeatTimeout, entries of upstreams that have ended are removed and a
 // key is replaced.
 func (r *run) restoreStore(ctx context.Context, s Step) error {
-	w := r.world
-	storeCopy := w.store.Copy()
+	env := r.env
+	storeCopy := env.store.Copy()
 	for range lostRevisions {
-		wait(ctx, s.For/lostRevisions)
-		w.toggleTimeout()
+		wait(ctx, s.Duration/lostRevisions)
+		env.toggleTimeout()
 	}
-	r.disturbStore(storeDowntime)
-	w.store.SetFaults(platformtest.StoreFaults{Down: true})
+	r.recordStoreDisturbance(storeDowntime)
+	env.store.SetFaults(platformtest.StoreFaults{Down: true})
 	wait(ctx, storeDowntime)
-	w.restore(storeCopy)
-	w.store.SetFaults(platformtest.StoreFaults{})
-	switch s.Way {
+	env.restore(storeCopy)
+	env.store.SetFaults(platformtest.StoreFaults{})
+	switch s.Variant {
 	case 1:
-		w.toggleTimeout()
+		env.toggleTimeout()
 	case 2:
 		wait(ctx, storeDowntime)
-		w.restore(storeCopy)
+		env.restore(storeCopy)
 	}
 	wait(ctx, heartbeatTimeout)
-	w.removeStaleEntries()
-	return r.operate(ctx, Step{Kind: KeyWithdrawn})
+	env.removeStaleEntries()
+	return r.configFault(ctx, Step{Kind: KeyWithdrawn})
 }
 
 func (r *run) linkFault(ctx context.Context, s Step) error {
 	var link *faultproxy.Proxy
-	if s.Kind == UpstreamLinks {
-		_, u := r.world.at(s.Target)
-		r.cut(u)
+	if s.Kind == UpstreamLinkFaulty {
+		_, u := r.env.upstreamAt(s.Target)
+		r.recordCutOff(u)
 		link = u.link
 	} else {
-		link = r.world.links[s.Target%len(r.world.links)]
-		r.disturbStore(s.For)
+		link = r.env.storeLinks[s.Target%len(r.env.storeLinks)]
+		r.recordStoreDisturbance(s.Duration)
 	}
 	link.Set(linkFaults(s))
-	if s.Kind == StoreLinkCut || s.Way == 1 {
+	if s.Kind == StoreLinkCut || s.Variant == 1 {
 		link.Cut()
 	}
-	wait(ctx, s.For)
+	wait(ctx, s.Duration)
 	link.Set(faultproxy.Faults{})
 	return nil
 }
 
-// slowLink is the delay of each piece of bytes on a slow link: a tenth of the aim of calls.
-const slowLink = 80
+// slowLinkDelayMillis is the delay of each chunk of bytes on a slow link: a tenth of the target
+// latency of calls.
+const slowLinkDelayMillis = 80
 
 func linkFaults(s Step) faultproxy.Faults {
 	switch {
 	case s.Kind == StoreLinkCut:
 		return faultproxy.Faults{Refuse: true}
-	case s.Kind == StoreLinkMute || s.Way == 0:
+	case s.Kind == StoreLinkSilent || s.Variant == 0:
 		return faultproxy.Faults{Silence: true}
-	case s.Way == 1:
+	case s.Variant == 1:
 		return faultproxy.Faults{Refuse: true}
-	case s.Way == 2:
+	case s.Variant == 2:
 		return faultproxy.Faults{Freeze: true}
 	}
-	return faultproxy.Faults{DelayMillis: slowLink}
+	return faultproxy.Faults{DelayMillis: slowLinkDelayMillis}
 }
 
-func (r *run) upstreamGoes(ctx context.Context, s Step) error {
-	place, u := r.world.at(s.Target)
+// upstreamExitFault restarts an upstream in place, or ends it and starts another one in its slot.
+func (r *run) upstreamExitFault(ctx context.Context, s Step) error {
+	slot, u := r.env.upstreamAt(s.Target)
 	switch s.Kind {
-	case UpstreamAgain:
+	case UpstreamRestarts:
 		u.engine.Restart(0)
 		return nil
 	case UpstreamLeaves:
 		u.engine.SetFaults(platformtest.EngineFaults{AnnounceLeaving: true})
-		if s.Way%2 == 0 {
+		if s.Variant%2 == 0 {
 			u.engine.WriteEntry("draining")
 		}
-		wait(ctx, leaveTime)
+		wait(ctx, leavingTime)
 	}
 	r.killUpstream(u)
-	wait(ctx, s.For)
+	wait(ctx, s.Duration)
 	if ctx.Err() != nil {
 		return nil
 	}
-	return r.world.replace(place)
+	return r.env.replaceUpstream(slot)
 }
 
-// killUpstream ends an upstream that may have ended already.
+// killUpstream kills an upstream and removes its entry, unless that was done before.
 func (r *run) killUpstream(u *upstream) {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
-	if r.gone[u] {
+	r.env.mu.Lock()
+	defer r.env.mu.Unlock()
+	if r.killed[u] {
 		return
 	}
-	r.gone[u] = true
+	r.killed[u] = true
 	u.engine.Kill()
-	r.world.store.Remove("servers", u.engine.ID)
+	r.env.store.Remove("servers", u.engine.ID)
 }
 
 func (r *run) upstreamFault(ctx context.Context, s Step) error {
-	_, u := r.world.at(s.Target)
+	_, u := r.env.upstreamAt(s.Target)
 	f := platformtest.EngineFaults{}
 	switch s.Kind {
-	case UpstreamFull:
-		f.Refuse, f.Rest = true, restAsked
+	case UpstreamRefuses:
+		f.Refuse, f.Rest = true, requestedRest
 	case UpstreamFails:
 		f.Fail = true
-	case UpstreamBreaks:
-		f.BreakAfter = 1 + 4*s.Way
-	case UpstreamMute:
+	case UpstreamCutsStreams:
+		f.BreakAfter = 1 + 4*s.Variant
+	case UpstreamReportsMuted:
 		f.MuteReports = true
 	}
 	u.engine.SetFaults(f)
-	wait(ctx, s.For)
+	wait(ctx, s.Duration)
 	u.engine.SetFaults(platformtest.EngineFaults{})
 	return nil
 }
 
-// limitSequences lists the limits that an upstream sets in succession, indexed by Step.Way.
-var limitSequences = [ways][]string{{"2.5"}, {"5", "1"}, {"0.5", "4"}, {"0"}}
+// limitSequences lists the limits that an upstream sets in succession, indexed by Step.Variant.
+var limitSequences = [variantCount][]string{{"2.5"}, {"5", "1"}, {"0.5", "4"}, {"0"}}
 
 // limitTime is how long each limit is in effect: the time until it is enforced plus two check
 // windows.
-const limitTime = limitSettle + 2*limitWindow
+const limitTime = limitEnforceDelay + 2*limitWindow
 
 // upstreamLimitFault makes an upstream set a sequence of limits and then remove the limit.
 // Another fault of the same upstream that begins or ends in the meantime also removes or replaces
 // the limit, because SetFaults replaces all faults.
 func (r *run) upstreamLimitFault(ctx context.Context, s Step) error {
-	_, u := r.world.at(s.Target)
-	for _, limit := range limitSequences[s.Way] {
+	_, u := r.env.upstreamAt(s.Target)
+	for _, limit := range limitSequences[s.Variant] {
 		u.engine.SetFaults(platformtest.EngineFaults{Limit: limit})
 		wait(ctx, limitTime)
 	}
@@ -279,27 +284,28 @@
 	return nil
 }
 
-// withdrawal is a key that was taken away, and when the store had it.
+// withdrawal is a withdrawn key and the time at which the store had the withdrawal.
 type withdrawal struct {
 	key string
 	at  time.Time
 }
 
-// shortTimeout is the other value that route timeouts take.
-const shortTimeout = 6000
+// shortRouteTimeout is the route timeout in ms that alternates with normalRouteTimeout.
+const shortRouteTimeout = 6000
 
-func (r *run) operate(_ context.Context, s Step) error {
-	w := r.world
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// configFault replaces the oldest key, or toggles the route timeout.
+func (r *run) configFault(_ context.Context, s Step) error {
+	env := r.env
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	if s.Kind == KeyWithdrawn {
-		key := w.keys[0]
-		w.keys = append([]string(nil), w.keys[1:]...)
-		w.addKey()
-		w.configure()
-		w.withdrawn = append(w.withdrawn, withdrawal{key: key, at: time.Now()})
+		key := env.keys[0]
+		env.keys = append([]string(nil), env.keys[1:]...)
+		env.addKey()
+		env.writeConfig()
+		env.withdrawn = append(env.withdrawn, withdrawal{key: key, at: time.Now()})
 		return nil
 	}
-	w.toggleTimeoutLocked()
+	env.toggleTimeoutLocked()
 	return nil
 }
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -7,57 +7,57 @@
 	"spanrill/rng"
 )
 
-// Kind is a kind of fault.
+// Kind names a kind of fault.
 type Kind string
 
 // The kinds of faults.
 const (
-	DaemonKilled   Kind = "daemon killed"        // and started again
-	DaemonStopped  Kind = "daemon stopped"       // as planned, and started again
-	DaemonFrozen   Kind = "daemon frozen"        // stands still
-	DaemonTold     Kind = "daemon told"          // that its settings have changed
-	AllKilled      Kind = "all daemons killed"   // at once
-	StoreDown      Kind = "store down"           // answers 503
-	StoreSilent    Kind = "store silent"         // answers nothing
-	StoreForgets   Kind = "store forgets"        // its history
-	StoreLoses     Kind = "store loses answers"  // of writes that it has done
-	StoreRestored  Kind = "store restored"       // from an older copy
-	StoreLinkCut   Kind = "link to store cut"    // of one daemon
-	StoreLinkMute  Kind = "link to store mute"   // open connections carry nothing more
-	UpstreamLinks  Kind = "link to upstream bad" // slow, cut or mute
-	UpstreamEnds   Kind = "upstream ends"        // as a crash, another one comes later
-	UpstreamAgain  Kind = "upstream restarts"    // under its name, holding nothing
-	UpstreamFull   Kind = "upstream refuses"     // and asks for rest
-	UpstreamLeaves Kind = "upstream leaves"      // says so in answers, then in its entry
-	UpstreamFails  Kind = "upstream fails"       // answers 500
-	UpstreamBreaks Kind = "upstream breaks off"  // in the middle of streams
-	UpstreamMute   Kind = "upstream mute"        // to questions, and works on
-	UpstreamLimits Kind = "upstream sets limit"  // on its request rate, changes and removes it
-	ConfigChanges  Kind = "configuration changes"
-	KeyWithdrawn   Kind = "key withdrawn" // and another one given out
+	DaemonKilled         Kind = "daemon killed"        // SIGKILL, then restart
+	DaemonStopped        Kind = "daemon stopped"       // SIGTERM, then restart
+	DaemonFrozen         Kind = "daemon frozen"        // SIGSTOP, later SIGCONT
+	DaemonReloaded       Kind = "daemon told"          // SIGHUP: reloads its settings
+	AllDaemonsKilled     Kind = "all daemons killed"   // one after another, each restarted
+	StoreDown            Kind = "store down"           // answers 503
+	StoreSilent          Kind = "store silent"         // accepts calls but does not answer
+	StoreHistoryDropped  Kind = "store forgets"        // drops its history
+	StoreAnswersLost     Kind = "store loses answers"  // of writes that took effect
+	StoreRestored        Kind = "store restored"       // restored from an older copy
+	StoreLinkCut         Kind = "link to store cut"    // the link of one daemon
+	StoreLinkSilent      Kind = "link to store mute"   // open connections transfer nothing
+	UpstreamLinkFaulty   Kind = "link to upstream bad" // slow, cut, frozen or silent
+	UpstreamCrashes      Kind = "upstream ends"        // crashes; another one starts later
+	UpstreamRestarts     Kind = "upstream restarts"    // under the same name, holding nothing
+	UpstreamRefuses      Kind = "upstream refuses"     // refuses requests and asks for a rest
+	UpstreamLeaves       Kind = "upstream leaves"      // announces it in answers, in half of the variants also in its entry
+	UpstreamFails        Kind = "upstream fails"       // answers 500
+	UpstreamCutsStreams  Kind = "upstream breaks off"  // cuts streams in the middle
+	UpstreamReportsMuted Kind = "upstream mute"        // does not answer status reports but serves requests
+	UpstreamLimits       Kind = "upstream sets limit"  // sets a limit on its request rate, changes and removes it
+	ConfigChanges        Kind = "configuration changes"
+	KeyWithdrawn         Kind = "key withdrawn" // and a new one issued
 )
 
-// weights is how often each kind comes, compared with the others.
+// weights lists the relative frequency of each kind.
 var weights = []weightedKind{
 	{DaemonKilled, 3},
 	{DaemonStopped, 3},
 	{DaemonFrozen, 3},
-	{DaemonTold, 1},
-	{AllKilled, 1},
+	{DaemonReloaded, 1},
+	{AllDaemonsKilled, 1},
 	{StoreDown, 2},
 	{StoreSilent, 2},
-	{StoreForgets, 1},
-	{StoreLoses, 2},
+	{StoreHistoryDropped, 1},
+	{StoreAnswersLost, 2},
 	{StoreLinkCut, 2},
-	{StoreLinkMute, 2},
-	{UpstreamLinks, 3},
-	{UpstreamEnds, 4},
-	{UpstreamAgain, 2},
-	{UpstreamFull, 4},
+	{StoreLinkSilent, 2},
+	{UpstreamLinkFaulty, 3},
+	{UpstreamCrashes, 4},
+	{UpstreamRestarts, 2},
+	{UpstreamRefuses, 4},
 	{UpstreamLeaves, 3},
 	{UpstreamFails, 3},
-	{UpstreamBreaks, 3},
-	{UpstreamMute, 2},
+	{UpstreamCutsStreams, 3},
+	{UpstreamReportsMuted, 2},
 	{ConfigChanges, 3},
 	{KeyWithdrawn, 1},
 }
@@ -75,35 +75,38 @@
 }
 
 // Step is one fault of a plan.
+//
+// Target selects a daemon, link or upstream, modulo their number.
 type Step struct {
-	At     time.Duration `json:"at"`     // since callers began
-	For    time.Duration `json:"for"`    // until it is over
-	Kind   Kind          `json:"kind"`   //
-	Target int           `json:"target"` // which of those that there are, counted round
-	Way    int           `json:"way"`    // which of several forms it takes
+	At       time.Duration `json:"at"`  // since the callers started
+	Duration time.Duration `json:"for"` // how long the fault lasts
+	Kind     Kind          `json:"kind"`
+	Target   int           `json:"target"`
+	Variant  int           `json:"way"` // selects one of the forms of the fault
 }
 
 const (
-	// stepGap is the mean pause between two faults: with the mean length of a fault a little
-	// over two are under way at a time.
+	// stepGap is the mean pause between two faults. With the mean duration of a fault, a little
+	// over two faults are active at a time.
 	stepGap = 900 * time.Millisecond
 	// independentGap is the mean pause between two faults of independentWeights.
 	independentGap = 3 * time.Second
 	// independentSeedOffset is added to the seed of the random source for independentWeights.
 	independentSeedOffset = 1 << 32
-	// shortestFault and longestFault bound how long one lasts: from less than a round of news
-	// to longer than a key may be used without a proof.
+	// shortestFault and longestFault bound the duration of a fault: from less than one round of
+	// exchange with peers to longer than a key may be used without proof that the configuration is
+	// current.
 	shortestFault = 200 * time.Millisecond
 	longestFault  = 4 * time.Second
-	// seriesShare of the steps come again, twice, close behind each other.
-	seriesShare = 0.2
-	seriesGap   = 350 * time.Millisecond
-	// ways is the number of forms that a step may take.
-	ways = 4
+	// repeatShare is the share of steps that are repeated twice, repeatGap apart, on the next
+	// targets.
+	repeatShare = 0.2
+	repeatGap   = 350 * time.Millisecond
+	// variantCount is the number of values of Step.Variant.
+	variantCount = 4
 )
 
-// Plan returns the faults of a run in their order. It follows from the seed and the length
-// alone.
+// Plan returns the faults of a run in order. The result depends on the seed and the length alone.
 func Plan(seed uint64, length time.Duration) []Step {
 	steps := append(drawSteps(rng.New(seed), weights, stepGap, length), drawSteps(rng.New(seed+independentSeedOffset), independentWeights, independentGap, length)...)
 	sort.SliceStable(steps, func(i, k int) bool { return steps[i].At < steps[k].At })
@@ -118,21 +121,22 @@
 		if at >= length {
 			return steps
 		}
-		s := Step{At: at, Kind: draw(r, kinds), Target: r.IntN(1 << 16), Way: r.IntN(ways)}
-		s.For = shortestFault + time.Duration(r.Float64()*r.Float64()*float64(longestFault-shortestFault))
+		s := Step{At: at, Kind: drawKind(r, kinds), Target: r.IntN(1 << 16), Variant: r.IntN(variantCount)}
+		s.Duration = shortestFault + time.Duration(r.Float64()*r.Float64()*float64(longestFault-shortestFault))
 		steps = append(steps, s)
-		if r.Float64() < seriesShare {
+		if r.Float64() < repeatShare {
 			for n := range 2 {
-				again := s
-				again.At += time.Duration(n+1) * seriesGap
-				again.Target += n + 1
-				steps = append(steps, again)
+				repeated := s
+				repeated.At += time.Duration(n+1) * repeatGap
+				repeated.Target += n + 1
+				steps = append(steps, repeated)
 			}
 		}
 	}
 }
 
-func draw(r *rng.Source, kinds []weightedKind) Kind {
+// drawKind draws a kind with a probability proportional to its weight.
+func drawKind(r *rng.Source, kinds []weightedKind) Kind {
 	sum := 0
 	for _, w := range kinds {
 		sum += w.weight
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// What fails follows from the seed alone, within the length, in order, and over some seeds
-// every kind of fault comes.
+// A plan depends on the seed and the length alone, its steps are ordered and within bounds, and 50
+// seeds cover every kind of fault.
 func TestPlan(t *testing.T) {
 	const length = time.Minute
 	kinds := map[Kind]int{}
 	for seed := range uint64(50) {
 		steps := Plan(seed, length)
 		if !reflect.DeepEqual(steps, Plan(seed, length)) {
-			t.Fatalf("seed %d has two plans", seed)
+			t.Fatalf("seed %d gives two different plans", seed)
 		}
 		for i, s := range steps {
 			kinds[s.Kind]++
-			if i > 0 && s.At < steps[i-1].At || s.At > length+2*seriesGap || s.For < shortestFault || s.For > longestFault || s.Target < 0 {
+			if i > 0 && s.At < steps[i-1].At || s.At > length+2*repeatGap || s.Duration < shortestFault || s.Duration > longestFault || s.Target < 0 {
 				t.Errorf("seed %d, step %d: %+v", seed, i, s)
 			}
 		}
@@ -27,7 +27,7 @@
 	all := append(slices.Clone(weights), independentWeights...)
 	for _, w := range all {
 		if kinds[w.kind] == 0 {
-			t.Errorf("no plan has %q", w.kind)
+			t.Errorf("no plan contains %q", w.kind)
 		}
 	}
 	if len(kinds) != len(all) {
@@ -35,15 +35,15 @@
 	}
 }
 
-// Every kind of a plan is one that can be brought about.
-func TestFaultsOfAllKinds(t *testing.T) {
+// Every kind that a plan can contain has a function that injects it.
+func TestEveryKindHasAFault(t *testing.T) {
 	r := &run{}
 	for _, w := range append(slices.Clone(weights), independentWeights...) {
-		if r.faultOf(Step{Kind: w.kind}) == nil {
-			t.Errorf("%q cannot be brought about", w.kind)
+		if r.faultFunc(Step{Kind: w.kind}) == nil {
+			t.Errorf("no fault function for %q", w.kind)
 		}
 	}
-	if r.faultOf(Step{Kind: "unknown"}) != nil {
-		t.Error("an unknown kind is brought about")
+	if r.faultFunc(Step{Kind: "unknown"}) != nil {
+		t.Error("an unknown kind has a fault function")
 	}
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -13,30 +13,30 @@
 	"time"
 )
 
-// process is one daemon, which is killed and started again under its name.
+// process is one daemon process, which can be killed and restarted under its name.
 type process struct {
-	name    string
-	listen  string
-	ready   string
-	command []string // that runs a daemon, without its settings
-	file    string   // of its settings
-	logs    *os.File
+	name         string
+	listenAddr   string
+	readyAddr    string
+	command      []string // without the --settings flag
+	settingsFile string
+	logs         *os.File
 
 	mu       sync.Mutex
 	cmd      *exec.Cmd
 	exited   chan struct{}
-	stopping bool // it was told to stop, or was killed
-	faults   []string
+	stopping bool // whether SIGTERM or SIGKILL was sent
+	failures []string
 }
 
-// newProcess returns a daemon that does not run yet.
+// newProcess writes the settings of a daemon and creates its log, but does not start it.
 func newProcess(dir string, command []string, name, listen, ready string, settings map[string]any) (*process, error) {
 	data, err := json.Marshal(settings)
 	if err != nil {
 		return nil, fmt.Errorf("encode settings: %w", err)
 	}
-	p := &process{name: name, listen: listen, ready: ready, command: command, file: filepath.Join(dir, name+".json")}
-	if err := os.WriteFile(p.file, data, 0o600); err != nil {
+	p := &process{name: name, listenAddr: listen, readyAddr: ready, command: command, settingsFile: filepath.Join(dir, name+".json")}
+	if err := os.WriteFile(p.settingsFile, data, 0o600); err != nil {
 		return nil, fmt.Errorf("write settings: %w", err)
 	}
 	if p.logs, err = os.Create(filepath.Join(dir, name+".log")); err != nil {
@@ -45,11 +45,11 @@
 	return p, nil
 }
 
-// start starts the process. It is killed when this one ends, however that is.
+// start starts the process. The kernel kills it when this process ends in any way.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	args := append(append([]string(nil), p.command[1:]...), "--settings", p.file)
+	args := append(append([]string(nil), p.command[1:]...), "--settings", p.settingsFile)
 	cmd := exec.Command(p.command[0], args...)
 	cmd.Stdout, cmd.Stderr = p.logs, p.logs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -63,14 +63,14 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.cmd == cmd && !p.stopping {
-			p.faults = append(p.faults, fmt.Sprintf("%s has ended by itself: %v", p.name, err))
+			p.failures = append(p.failures, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 		}
 		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process if it was started.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,10 +80,10 @@
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
 		p.stopping = true
 	}
-	_ = p.cmd.Process.Signal(s) // it may have ended
+	_ = p.cmd.Process.Signal(s) // an error means that the process has ended
 }
 
-// awaitExit waits until the process has ended, and kills it if that takes too long.
+// awaitExit waits until the process has exited. After the limit it records a failure and kills it.
 func (p *process) awaitExit(ctx context.Context, limit time.Duration) {
 	p.mu.Lock()
 	exited := p.exited
@@ -97,21 +97,21 @@
 	case <-exited:
 		return
 	case <-timer.C:
-		p.fault("%s did not end within %v", p.name, limit)
+		p.recordFailure("%s did not exit within %v", p.name, limit)
 	case <-ctx.Done():
 	}
 	p.signal(syscall.SIGKILL)
 	<-exited
 }
 
-func (p *process) fault(format string, args ...any) {
+func (p *process) recordFailure(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faults = append(p.faults, fmt.Sprintf(format, args...))
+	p.failures = append(p.failures, fmt.Sprintf(format, args...))
 }
 
-// end kills the process.
-func (p *process) end() {
+// kill kills the process, waits for its exit and closes its log.
+func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
 	p.mu.Lock()
@@ -123,9 +123,9 @@
 	_ = p.logs.Close()
 }
 
-// isReady asks the process as the platform's balancer does.
+// isReady reports whether the process is ready, by the request that the platform's balancer sends.
 func (p *process) isReady(client *http.Client, path string) bool {
-	resp, err := client.Get("http://" + p.ready + path)
+	resp, err := client.Get("http://" + p.readyAddr + path)
 	if err != nil {
 		return false
 	}
@@ -133,8 +133,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Build builds the daemon of the module in whose directory this program runs, and returns its
-// file.
+// BuildDaemon builds the daemon from the module in the current directory and returns the path of the
+// program.
 func Build(ctx context.Context, dir string) (string, error) {
 	file := filepath.Join(dir, "spanrilld")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", file, "spanrill/cmd/spanrilld").CombinedOutput()
--- a/soak/run.go
+++ b/soak/run.go
@@ -15,20 +15,20 @@
 	"spanrill/task"
 )
 
-// Options says what is run.
+// Options configures a run.
 type Options struct {
 	Seed   uint64
-	Length time.Duration // for which things fail
-	Daemon []string      // command that runs a daemon when --settings FILE follows
+	Length time.Duration // how long faults are injected
+	Daemon []string      // command of a daemon; --settings FILE is appended
 	Shape  Shape
-	Dir    string    // where settings and logs go
-	Out    io.Writer // progress, or nil
+	Dir    string    // directory for settings and logs
+	Out    io.Writer // receives progress lines; may be nil
 }
 
-// DefaultShape is a few dozen links and upstreams before four daemons.
+// DefaultShape has four daemons and 18 upstreams, each behind its own link.
 var DefaultShape = Shape{Daemons: 4, Zones: 3, Engines: 15, Plain: 3, Callers: 16}
 
-// Report is what came of a run.
+// Report summarizes a run.
 type Report struct {
 	Seed       uint64         `json:"seed"`
 	Length     time.Duration  `json:"length"`
@@ -40,83 +40,83 @@
 }
 
 const (
-	// revoke and grace are the bounds that the daemons are set to.
-	revoke = 5 * time.Second
-	grace  = 5 * time.Second
-	// startLimit bounds the time until all daemons serve at the beginning, and settleLimit
-	// the time after the last fault until they serve again.
-	startLimit  = 30 * time.Second
-	settleLimit = 15 * time.Second
-	// servedShare of the requests behind settleLimit must be answered.
-	servedShare = 0.95
-	settleCalls = 40
+	// revokeTime and graceTime are the settings revoke_ms and grace_ms of the daemons.
+	revokeTime = 5 * time.Second
+	graceTime  = 5 * time.Second
+	// startLimit is the time within which all daemons must serve after their start, and
+	// recoveryTime the time within which they must serve again after the last fault.
+	startLimit   = 30 * time.Second
+	recoveryTime = 15 * time.Second
+	// minServedShare is the share of recoveryCalls that must succeed once recoveryTime has passed.
+	minServedShare = 0.95
+	recoveryCalls  = 40
 )
 
 type run struct {
-	options   Options
-	world     *world
-	daemons   []*process
-	turns     map[*process]*sync.Mutex
-	gone      map[*upstream]bool
-	records   records
-	barred    records
-	begun     time.Time
-	recovered []Violation
+	options             Options
+	env                 *environment
+	daemons             []*process
+	restartLocks        map[*process]*sync.Mutex
+	killed              map[*upstream]bool
+	records             records
+	withdrawnKeyRecords records
+	startTime           time.Time
+	recoveryViolations  []Violation
 
-	mu        sync.Mutex
-	disturbed map[*process][]time.Time
-	cutOff    map[string][]time.Time // by upstream
-	outages   []interval             // of the store and of links to it
+	mu                sync.Mutex
+	disturbances      map[*process][]time.Time
+	cutOffs           map[string][]time.Time // by upstream ID
+	storeDisturbances []interval             // of the store and of the links to it
 }
 
 // interval is the period during which a fault may be in effect.
 type interval struct{ from, to time.Time }
 
-// disturb notes that a daemon may not answer for a while from now on.
-func (r *run) disturb(p *process) {
+// recordDaemonDisturbance records that a fault of a daemon begins now, so that it may not answer.
+func (r *run) recordDaemonDisturbance(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.disturbed[p] = append(r.disturbed[p], time.Now())
+	r.disturbances[p] = append(r.disturbances[p], time.Now())
 }
 
-// cut notes that an upstream may not be reached for a while from now on.
-func (r *run) cut(u *upstream) {
+// recordCutOff records that a fault of the link to an upstream begins now.
+func (r *run) recordCutOff(u *upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cutOff[u.engine.ID] = append(r.cutOff[u.engine.ID], time.Now())
+	r.cutOffs[u.engine.ID] = append(r.cutOffs[u.engine.ID], time.Now())
 }
 
-// disturbStore records that the store may not answer for the given time from now on.
-func (r *run) disturbStore(d time.Duration) {
+// recordStoreDisturbance records that the store may not answer for the given time from now on.
+func (r *run) recordStoreDisturbance(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outages = append(r.outages, interval{time.Now(), time.Now().Add(d)})
+	r.storeDisturbances = append(r.storeDisturbances, interval{time.Now(), time.Now().Add(d)})
 }
 
 // wasStoreDisturbed reports whether the store was disturbed between two times.
 func (r *run) wasStoreDisturbed(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.ContainsFunc(r.outages, func(o interval) bool { return o.from.Before(to) && o.to.After(from) })
+	return slices.ContainsFunc(r.storeDisturbances, func(o interval) bool { return o.from.Before(to) && o.to.After(from) })
 }
 
 // wasDisturbed reports whether a daemon was disturbed between two times.
 func (r *run) wasDisturbed(p *process, from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return anyNear(r.disturbed[p], from, to)
+	return anyFaultDuring(r.disturbances[p], from, to)
 }
 
 // wasCutOff reports whether an upstream was cut off between two times.
 func (r *run) wasCutOff(upstream string, from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return anyNear(r.cutOff[upstream], from, to)
+	return anyFaultDuring(r.cutOffs[upstream], from, to)
 }
 
-// anyNear reports whether a fault that began at one of some times may have lasted until
-// between two others.
-func anyNear(begun []time.Time, from, to time.Time) bool {
+// anyFaultDuring reports whether a fault that began at one of the given times may have been in
+// effect between from and to.
+func anyFaultDuring(begun []time.Time, from, to time.Time) bool {
 	for _, at := range begun {
 		if at.After(from.Add(-longestFault)) && at.Before(to) {
 			return true
@@ -125,27 +125,27 @@
 	return false
 }
 
-// Run plays one seed. An error means that it could not be played.
+// Run executes one run. Violations are in the report; an error means that the run itself failed.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	r := &run{options: o, turns: map[*process]*sync.Mutex{}, gone: map[*upstream]bool{}, disturbed: map[*process][]time.Time{}, cutOff: map[string][]time.Time{}}
+	r := &run{options: o, restartLocks: map[*process]*sync.Mutex{}, killed: map[*upstream]bool{}, disturbances: map[*process][]time.Time{}, cutOffs: map[string][]time.Time{}}
 	var err error
-	if r.world, err = newWorld(o.Shape); err != nil {
-		return nil, fmt.Errorf("build the world: %w", err)
+	if r.env, err = newEnvironment(o.Shape); err != nil {
+		return nil, fmt.Errorf("start the environment: %w", err)
 	}
-	defer r.world.stop()
+	defer r.env.stop()
 	if err := r.startDaemons(); err != nil {
 		return nil, err
 	}
 	defer func() {
 		for _, p := range r.daemons {
-			p.end()
+			p.kill()
 		}
 	}()
 	if !r.awaitService(ctx, startLimit) {
 		return nil, fmt.Errorf("the daemons did not serve within %v of their start, logs in %s", startLimit, o.Dir)
 	}
 	steps := Plan(o.Seed, o.Length)
-	if err := r.play(ctx, steps); err != nil {
+	if err := r.execute(ctx, steps); err != nil {
 		return nil, err
 	}
 	return r.report(steps), ctx.Err()
@@ -154,22 +154,22 @@
 func (r *run) startDaemons() error {
 	var seeds []string
 	for i := range r.options.Shape.Daemons {
-		addrs := r.addrs(i)
+		addrs := r.listenAddrs(i)
 		name := fmt.Sprintf("daemon-%d", i)
 		p, err := newProcess(r.options.Dir, r.options.Daemon, name, addrs[0], addrs[1], map[string]any{
 			"name": name, "availability_zone": fmt.Sprintf("zone-%d", i%r.options.Shape.Zones), "listen": addrs[0], "ready_listen": addrs[1],
-			"peer_listen": addrs[2], "metrics_listen": addrs[3], "peers": append([]string{}, seeds...), "platform": r.world.linkAddr(i),
+			"peer_listen": addrs[2], "metrics_listen": addrs[3], "peers": append([]string{}, seeds...), "platform": r.env.storeLinkAddr(i),
 			"fleet_secret": "a secret for this run alone",
 			"bounds": map[string]any{
-				"revoke_ms": revoke.Milliseconds(), "grace_ms": grace.Milliseconds(), "drain_ms": drain.Milliseconds(),
-				"retry_ratio": budgetRatio, "retry_slack": budgetSlack, "retry_window_ms": budgetWindow.Milliseconds(),
+				"revoke_ms": revokeTime.Milliseconds(), "grace_ms": graceTime.Milliseconds(), "drain_ms": drainTime.Milliseconds(),
+				"retry_ratio": retryRatio, "retry_slack": retrySlack, "retry_window_ms": retryWindow.Milliseconds(),
 			},
 		})
 		if err != nil {
 			return err
 		}
 		seeds = append(seeds, addrs[2])
-		r.daemons, r.turns[p] = append(r.daemons, p), &sync.Mutex{}
+		r.daemons, r.restartLocks[p] = append(r.daemons, p), &sync.Mutex{}
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -177,23 +177,23 @@
 	return nil
 }
 
-// linkAddr is where a daemon reaches the store.
-func (w *world) linkAddr(daemon int) string { return w.links[daemon].Addr() }
+// storeLinkAddr returns the address at which a daemon reaches the store.
+func (env *environment) storeLinkAddr(daemon int) string { return env.storeLinks[daemon].Addr() }
 
 const (
-	// firstPort lies below the ports that the operating system gives to connections.
+	// firstPort is below the ephemeral port range of the operating system.
 	firstPort = 20000
-	// portsEach is how many addresses a daemon listens on.
-	portsEach = 4
+	// portsPerDaemon is the number of addresses that a daemon listens on.
+	portsPerDaemon = 4
 )
 
-// addrs returns where a daemon listens: each run has a loopback address of its own, by its
-// process, so that runs side by side and connections that come and go take nobody's port.
-func (r *run) addrs(daemon int) []string {
+// listenAddrs returns the listen addresses of a daemon. The loopback address is derived from the
+// process ID, so that neither concurrent runs nor outgoing connections occupy these ports.
+func (r *run) listenAddrs(daemon int) []string {
 	pid := os.Getpid()
-	addrs := make([]string, portsEach)
+	addrs := make([]string, portsPerDaemon)
 	for i := range addrs {
-		addrs[i] = fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>16&0x3f, pid>>8&0xff, 1+pid&0x7f, firstPort+daemon*portsEach+i)
+		addrs[i] = fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>16&0x3f, pid>>8&0xff, 1+pid&0x7f, firstPort+daemon*portsPerDaemon+i)
 	}
 	return addrs
 }
@@ -204,7 +204,7 @@
 	defer cancel()
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for i, p := range r.daemons {
-		for !p.isReady(client, platform.ReadyPath) || !r.answers(ctx, i, p) {
+		for !p.isReady(client, platform.ReadyPath) || !r.answersAllPaths(ctx, i, p) {
 			if ctx.Err() != nil {
 				return false
 			}
@@ -214,65 +214,66 @@
 	return true
 }
 
-func (r *run) answers(ctx context.Context, n int, p *process) bool {
+// answersAllPaths reports whether a daemon answers a request on each path.
+func (r *run) answersAllPaths(ctx context.Context, n int, p *process) bool {
 	caller := platformtest.NewCaller()
 	defer caller.Close()
-	for _, path := range paths[1:] {
+	for _, path := range requestPaths[1:] {
 		id := fmt.Sprintf("first-%d-%s-%d", n, path[1:len(path)-1], time.Now().UnixNano())
-		if caller.Call(ctx, p.listen, path, id, r.world.key(0), "first", callDeadline).Status != http.StatusOK {
+		if caller.Call(ctx, p.listenAddr, path, id, r.env.key(0), "first", callDeadline).Status != http.StatusOK {
 			return false
 		}
 	}
 	return true
 }
 
-// play lets callers call and things fail, and looks at the end whether all is well again.
-func (r *run) play(ctx context.Context, steps []Step) error {
+// execute runs the callers, injects the faults and checks at the end that the daemons recover.
+func (r *run) execute(ctx context.Context, steps []Step) error {
 	var callers, faults task.Group
 	calling, stop := context.WithCancel(ctx)
 	defer stop()
-	r.begun = time.Now()
+	r.startTime = time.Now()
 	for n := range r.options.Shape.Callers {
-		callers.Start(calling, "caller", func(ctx context.Context) error { return r.call(ctx, n) })
+		callers.Start(calling, "caller", func(ctx context.Context) error { return r.runCaller(ctx, n) })
 	}
-	callers.Start(calling, "caller with withdrawn keys", r.useWithdrawn)
+	callers.Start(calling, "caller with withdrawn keys", r.runWithdrawnKeyCaller)
 	for _, s := range steps {
-		wait(ctx, time.Until(r.begun.Add(s.At)))
+		wait(ctx, time.Until(r.startTime.Add(s.At)))
 		if ctx.Err() != nil {
 			break
 		}
-		r.progress("%6.1f s  %-22s target %d, way %d, %v", s.At.Seconds(), s.Kind, s.Target, s.Way, s.For.Round(time.Millisecond))
+		r.logProgress("%6.1f s  %-22s target %d, variant %d, %v", s.At.Seconds(), s.Kind, s.Target, s.Variant, s.Duration.Round(time.Millisecond))
 		faults.Start(ctx, string(s.Kind), func(ctx context.Context) error { return r.apply(ctx, s) })
 	}
 	if err := faults.Wait(); err != nil {
 		stop()
 		_ = callers.Wait()
-		return fmt.Errorf("bring about a fault: %w", err)
+		return fmt.Errorf("inject fault: %w", err)
 	}
-	wait(ctx, settleLimit)
-	r.lookAtRecovery(ctx)
+	wait(ctx, recoveryTime)
+	r.checkRecovery(ctx)
 	stop()
 	return callers.Wait()
 }
 
-// lookAtRecovery checks that requests are served behind the last fault.
-func (r *run) lookAtRecovery(ctx context.Context) {
+// checkRecovery checks that requests are served after the last fault.
+func (r *run) checkRecovery(ctx context.Context) {
 	caller := platformtest.NewCaller()
 	defer caller.Close()
 	served, last := 0, platformtest.Reply{}
-	for i := range settleCalls {
-		p, path := r.daemons[i%len(r.daemons)], paths[i/len(r.daemons)%len(paths)]
-		reply := caller.Call(ctx, p.listen, path, fmt.Sprintf("last-%d", i), r.world.key(0), "last", callDeadline)
+	for i := range recoveryCalls {
+		p, path := r.daemons[i%len(r.daemons)], requestPaths[i/len(r.daemons)%len(requestPaths)]
+		reply := caller.Call(ctx, p.listenAddr, path, fmt.Sprintf("last-%d", i), r.env.key(0), "last", callDeadline)
 		if reply.Status == http.StatusOK && reply.Err == nil {
 			served++
 		} else {
 			last = reply
 		}
 	}
-	if float64(served) < servedShare*settleCalls && ctx.Err() == nil {
-		r.recovered = append(r.recovered, Violation{
-			Rule: ruleRecovers, At: time.Since(r.begun).Round(time.Millisecond),
-			What: fmt.Sprintf("%d of %d requests were served %v after the last fault; one not served: status %d, %v, %s", served, settleCalls, settleLimit, last.Status, last.Err, last.Body),
+	if float64(served) < minServedShare*recoveryCalls && ctx.Err() == nil {
+		r.recoveryViolations = append(r.recoveryViolations, Violation{
+			Rule: ruleRecovers, At: time.Since(r.startTime).Round(time.Millisecond),
+			What: fmt.Sprintf("%d of %d requests were served %v after the last fault; the last failure: status %d, error %v, body %s", served, recoveryCalls, recoveryTime, last.Status, last.Err, last.Body),
 		})
 	}
 }
@@ -290,21 +291,21 @@
 			report.Statuses[fmt.Sprint(s.reply.Status)]++
 		}
 	}
-	report.Violations = r.check()
+	report.Violations = r.findViolations()
 	return report
 }
 
-func (r *run) progress(format string, args ...any) {
+func (r *run) logProgress(format string, args ...any) {
 	if r.options.Out != nil {
 		_, _ = fmt.Fprintf(r.options.Out, format+"\n", args...)
 	}
 }
 
-// Dir makes a directory for the settings and logs of a run.
+// MakeDir creates a temporary directory for the settings and logs of a run.
 func Dir(seed uint64) (string, error) {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("spanrill-soak-%d-", seed))
 	if err != nil {
-		return "", fmt.Errorf("make a directory for logs: %w", err)
+		return "", fmt.Errorf("create log directory: %w", err)
 	}
 	return dir, nil
 }
