--- a/e2e/badinput_test.go
+++ b/e2e/badinput_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Each bad request gets a clear error with a stable code, and the daemon goes
-// on.
+// Each invalid request gets a specific error with a stable code, and the daemon
+// keeps serving.
 func TestBadRequestsGetClearErrors(t *testing.T) {
-	f := newFleet(t, shape{daemons: 1, perStage: 1, services: 1})
+	f := newFleet(t, shape{daemons: 1, enginesPerStage: 1, services: 1})
 	chatPath := "/v1/chat/completions"
 	good := chat{prompt: "hive", seed: 1, tokens: 2}.body()
 	for _, c := range []struct {
@@ -64,19 +64,20 @@
 			}
 		})
 	}
-	if _, whole, a := f.ask("d1", chat{prompt: "hive", seed: 1, tokens: 2}); !whole {
-		t.Fatalf("a good request afterwards: status %d %s", a.status, a.body)
+	if _, complete, a := f.ask("d1", chat{prompt: "hive", seed: 1, tokens: 2}); !complete {
+		t.Fatalf("a valid request afterwards: status %d %s", a.status, a.body)
 	}
 }
 
-// raw sends bytes and returns the status line of the answer, if any.
-func (f *fleet) raw(name, text string, half bool) string {
+// sendRaw sends bytes over a new connection and returns the status line of the
+// answer, or "" at once if noAnswer is set.
+func (f *fleet) sendRaw(name, request string, noAnswer bool) string {
 	c, err := net.Dial("tcp", f.daemons[name].settings.Listen)
 	f.check(err)
 	defer func() { _ = c.Close() }()
-	_, err = c.Write([]byte(text))
+	_, err = c.Write([]byte(request))
 	f.check(err)
-	if half {
+	if noAnswer {
 		return ""
 	}
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -86,28 +87,28 @@
 	return line
 }
 
-func TestBrokenHTTPIsSurvived(t *testing.T) {
-	f := newFleet(t, shape{daemons: 1, perStage: 1, services: 1})
+func TestMalformedHTTPIsRejected(t *testing.T) {
+	f := newFleet(t, shape{daemons: 1, enginesPerStage: 1, services: 1})
 	huge := "GET / HTTP/1.1\r\nHost: x\r\nX-Pad: " + strings.Repeat("x", 20<<10) + "\r\n\r\n"
-	if line := f.raw("d1", huge, false); !strings.Contains(line, "431") {
+	if line := f.sendRaw("d1", huge, false); !strings.Contains(line, "431") {
 		t.Errorf("oversized headers got %q", line)
 	}
-	if line := f.raw("d1", "what is this\r\n\r\n", false); !strings.Contains(line, "400") {
+	if line := f.sendRaw("d1", "what is this\r\n\r\n", false); !strings.Contains(line, "400") {
 		t.Errorf("garbage got %q", line)
 	}
-	f.raw("d1", "POST /services/readings/readings HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+testKey+
+	f.sendRaw("d1", "POST /services/readings/readings HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+testKey+
 		"\r\nContent-Length: 100\r\n\r\n{\"id\":\"half\"", true)
-	if a := f.post("d1", "whole", ""); a.outcome != "ran" {
-		t.Errorf("a good request afterwards was told %q", a.outcome)
+	if a := f.postReading("d1", "whole", ""); a.outcome != "ran" {
+		t.Errorf("a valid request afterwards has the outcome %q", a.outcome)
 	}
-	if f.runs("half") != 0 {
-		t.Error("a request that was cut off has run")
+	if f.runCount("half") != 0 {
+		t.Error("a truncated request has run")
 	}
 }
 
-// The engines stop working for a caller that has left.
-func TestCallerThatLeavesIsCancelled(t *testing.T) {
-	f := newFleet(t, shape{daemons: 1, perStage: 1})
+// The engines stop working on a request whose caller has disconnected.
+func TestRequestOfDisconnectedCallerIsCancelled(t *testing.T) {
+	f := newFleet(t, shape{daemons: 1, enginesPerStage: 1})
 	for _, stream := range []bool{true, false} {
 		c := chat{prompt: "hive", seed: 3, tokens: 400, stream: stream}
 		conn, err := net.Dial("tcp", f.daemons["d1"].settings.Listen)
@@ -129,10 +130,10 @@
 	}
 }
 
-// Fields that spanrill does not know reach the engine, and a client that knows
-// nothing of spanrill gets what it expects.
+// Requests with fields unknown to spanrill are served, and a client without
+// knowledge of spanrill gets the model list that it expects.
 func TestUnknownFieldsPassThrough(t *testing.T) {
-	f := newFleet(t, shape{daemons: 1, perStage: 1})
+	f := newFleet(t, shape{daemons: 1, enginesPerStage: 1})
 	body := `{"model":"advice","seed":1,"max_tokens":2,"top_k":40,"vendor":{"x":[1]},"messages":[{"role":"user","content":[{"type":"text","text":"hive"}]}]}`
 	a := f.call("d1", http.MethodPost, "/v1/chat/completions", nil, body)
 	if a.status != http.StatusOK {
--- a/e2e/config_test.go
+++ b/e2e/config_test.go
@@ -11,16 +11,16 @@
 	"spanrill/state/config"
 )
 
-// edit changes one account and returns the revision.
-func (f *fleet) edit(i int) uint64 {
+// editAccount writes the account extra-i and returns the revision.
+func (f *fleet) editAccount(i int) uint64 {
 	name := fmt.Sprintf("extra-%d", i)
 	return f.commit(map[config.Name]json.RawMessage{
 		{Kind: config.KindAccount, Name: name}: json.RawMessage(`{"name":"` + name + `","template":"keeper","key_hashes":[]}`),
 	})
 }
 
-// awaitRevision waits until a daemon has the revision in force, and returns
-// how long that took.
+// awaitRevision waits until a daemon uses the revision and returns how long that
+// took.
 func (f *fleet) awaitRevision(name string, revision uint64) time.Duration {
 	f.t.Helper()
 	started := time.Now()
@@ -31,13 +31,13 @@
 	return time.Since(started)
 }
 
-// inForceLimit is how long an accepted edit may take to be in force.
+// inForceLimit is the time within which an accepted edit must take effect.
 const inForceLimit = 5 * time.Second
 
-func TestEditIsInForceEverywhereInTime(t *testing.T) {
+func TestEditTakesEffectOnAllDaemonsInTime(t *testing.T) {
 	f := newFleet(t, shape{daemons: 4})
 	for i := range 6 {
-		revision := f.edit(i)
+		revision := f.editAccount(i)
 		for name := range f.daemons {
 			if took := f.awaitRevision(name, revision); took > inForceLimit {
 				t.Errorf("%s took %v", name, took)
@@ -46,26 +46,26 @@
 	}
 }
 
-// A daemon that was frozen over several edits has the last one soon after it
-// is thawed, and never an older one.
+// A daemon that was frozen during several edits uses the last one soon after it
+// resumes.
 func TestFrozenDaemonCatchesUp(t *testing.T) {
 	f := newFleet(t, shape{daemons: 2})
 	f.signal("d2", syscall.SIGSTOP)
 	var revision uint64
 	for i := range 5 {
-		revision = f.edit(i)
+		revision = f.editAccount(i)
 	}
 	f.awaitRevision("d1", revision)
 	f.signal("d2", syscall.SIGCONT)
 	if took := f.awaitRevision("d2", revision); took > inForceLimit {
-		t.Errorf("took %v after the thaw", took)
+		t.Errorf("took %v after it resumed", took)
 	}
 }
 
-// A daemon that starts while the platform is out gets its configuration and
+// A daemon that starts while the platform is down gets its configuration and
 // the box list from a peer, and serves.
-func TestDaemonIsBornDuringAnOutage(t *testing.T) {
-	f := newFleet(t, shape{daemons: 2, perStage: 1, services: 1, noDaemons: true})
+func TestDaemonStartsDuringPlatformOutage(t *testing.T) {
+	f := newFleet(t, shape{daemons: 2, enginesPerStage: 1, services: 1, noDaemons: true})
 	f.start("d1")
 	f.await("d1 is ready", func() bool { s, err := f.status("d1"); return err == nil && s.Ready })
 	f.platform.SetFaults(platform.Faults{Down: true})
@@ -73,7 +73,7 @@
 	f.start("d2")
 	f.awaitRevision("d2", 1)
 	f.await("d2 is ready", func() bool { s, err := f.status("d2"); return err == nil && s.Ready })
-	if _, whole, a := f.ask("d2", chat{prompt: "hive", seed: 1, tokens: 4}); !whole {
+	if _, complete, a := f.ask("d2", chat{prompt: "hive", seed: 1, tokens: 4}); !complete {
 		t.Fatalf("status %d: %s", a.status, a.body)
 	}
 }
--- a/e2e/control_test.go
+++ b/e2e/control_test.go
@@ -17,62 +17,63 @@
 	"spanrill/state/config"
 )
 
-// envControl turns the measurement of control costs on. It takes minutes and
-// judges nothing.
+// envControl enables the measurements of control costs. They take minutes and
+// check nothing.
 const envControl = "SPANRILL_CONTROL"
 
-// size is one point of the measurement.
-type size struct {
+// fleetSize is the size of the fleet in one measurement.
+type fleetSize struct {
 	daemons, engines, accounts int
 	editsPerSecond             float64
 }
 
-// cost is what control takes of one daemon, on average.
-type cost struct {
+// controlCost is the average cost of control traffic for one daemon, where not
+// stated otherwise.
+type controlCost struct {
 	cpu      float64 // percent of a core
 	rss      float64 // MB
 	sent     float64 // KB/s
 	received float64 // KB/s
-	reads    float64 // platform reads and watches a second, whole fleet
-	writes   float64 // platform writes a second, whole fleet
-	boxes    float64 // box lists a second, whole fleet
+	reads    float64 // platform reads and watches per second, whole fleet
+	writes   float64 // platform writes per second, whole fleet
+	boxes    float64 // box list requests per second, whole fleet
 }
 
 const (
-	settleTime  = 4 * time.Second
+	warmupTime  = 4 * time.Second
 	measureTime = 8 * time.Second
 )
 
-// TestControlCost measures what an idle daemon costs, as slopes over the
-// numbers of daemons, engines, accounts and edits.
+// TestControlCost measures the cost of an idle daemon while the number of
+// daemons, engines, accounts or edits varies.
 func TestControlCost(t *testing.T) {
 	if os.Getenv(envControl) == "" {
 		t.Skipf("a measurement; set %s=1", envControl)
 	}
-	var points []size
+	var sizes []fleetSize
 	for _, n := range []int{2, 4, 8, 16, 32} {
-		points = append(points, size{daemons: n, engines: 42, accounts: 10})
+		sizes = append(sizes, fleetSize{daemons: n, engines: 42, accounts: 10})
 	}
 	for _, n := range []int{300, 900, 1800, 3600} {
-		points = append(points, size{daemons: 4, engines: n, accounts: 10})
+		sizes = append(sizes, fleetSize{daemons: 4, engines: n, accounts: 10})
 	}
 	for _, n := range []int{500, 1000, 2000, 4000} {
-		points = append(points, size{daemons: 4, engines: 42, accounts: n})
+		sizes = append(sizes, fleetSize{daemons: 4, engines: 42, accounts: n})
 	}
 	for _, n := range []float64{0.5, 1, 2, 4} {
-		points = append(points, size{daemons: 4, engines: 42, accounts: 1000, editsPerSecond: n})
+		sizes = append(sizes, fleetSize{daemons: 4, engines: 42, accounts: 1000, editsPerSecond: n})
 	}
 	t.Logf("%8s %8s %9s %8s | %8s %8s %10s %10s | %8s %8s %8s", "daemons", "engines", "accounts", "edits/s",
 		"cpu %", "rss MB", "sent KB/s", "recv KB/s", "reads/s", "writes/s", "boxes/s")
-	for _, p := range points {
+	for _, p := range sizes {
 		c := measureControl(t, p)
 		t.Logf("%8d %8d %9d %8.1f | %8.2f %8.1f %10.2f %10.2f | %8.2f %8.2f %8.2f", p.daemons, p.engines, p.accounts, p.editsPerSecond,
 			c.cpu, c.rss, c.sent, c.received, c.reads, c.writes, c.boxes)
 	}
 }
 
-func measureControl(t *testing.T, p size) cost {
-	var c cost
+func measureControl(t *testing.T, p fleetSize) controlCost {
+	var c controlCost
 	t.Run(fmt.Sprintf("%d_%d_%d_%g", p.daemons, p.engines, p.accounts, p.editsPerSecond), func(t *testing.T) {
 		f := newFleet(t, shape{daemons: p.daemons, noDaemons: true})
 		f.listStubs(p.engines)
@@ -84,14 +85,14 @@
 			f.start(name)
 		}
 		f.awaitReady(p.daemons)
-		<-time.After(settleTime)
-		c = f.costs(p)
+		<-time.After(warmupTime)
+		c = f.measureCost(p)
 	})
 	return c
 }
 
-// listStubs lists engines that serve nothing but their report. All engines of
-// one range share a server.
+// listStubs adds engines to the box list that serve only their status report.
+// All engines of one layer range share a server.
 func (f *fleet) listStubs(n int) {
 	var addrs []string
 	for _, layers := range testLayers {
@@ -125,7 +126,8 @@
 	f.commit(docs)
 }
 
-// usage is what was used so far.
+// usage is the cumulated usage of all daemons: processor time in ticks and peer
+// traffic in bytes.
 type usage struct {
 	ticks, sent, received float64
 }
@@ -139,7 +141,7 @@
 // ticksPerSecond is the unit of processor time in /proc.
 const ticksPerSecond = 100
 
-func (f *fleet) used() usage {
+func (f *fleet) measureUsage() usage {
 	var u usage
 	for _, p := range f.daemons {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
@@ -151,13 +153,13 @@
 			u.ticks += n
 		}
 		_, metrics := get("http://" + p.settings.AdminListen + "/metrics")
-		u.sent += number(sentPattern, metrics)
-		u.received += number(receivedPattern, metrics)
+		u.sent += matchNumber(sentPattern, metrics)
+		u.received += matchNumber(receivedPattern, metrics)
 	}
 	return u
 }
 
-func number(pattern *regexp.Regexp, text string) float64 {
+func matchNumber(pattern *regexp.Regexp, text string) float64 {
 	m := pattern.FindStringSubmatch(text)
 	if m == nil {
 		return 0
@@ -166,28 +168,28 @@
 	return n
 }
 
-func (f *fleet) costs(p size) cost {
-	calls, before := f.platform.Calls(), f.used()
+func (f *fleet) measureCost(p fleetSize) controlCost {
+	callsBefore, usageBefore := f.platform.Calls(), f.measureUsage()
 	f.editFor(measureTime, p.editsPerSecond)
-	after, now := f.used(), f.platform.Calls()
+	usageAfter, callsAfter := f.measureUsage(), f.platform.Calls()
 	seconds, daemons := measureTime.Seconds(), float64(len(f.daemons))
-	c := cost{
-		cpu:      100 * (after.ticks - before.ticks) / ticksPerSecond / seconds / daemons,
-		sent:     (after.sent - before.sent) / 1000 / seconds / daemons,
-		received: (after.received - before.received) / 1000 / seconds / daemons,
-		reads:    float64(now.Reads+now.Watches-calls.Reads-calls.Watches) / seconds,
-		writes:   float64(now.Writes-calls.Writes) / seconds,
-		boxes:    float64(now.Boxes-calls.Boxes) / seconds,
+	c := controlCost{
+		cpu:      100 * (usageAfter.ticks - usageBefore.ticks) / ticksPerSecond / seconds / daemons,
+		sent:     (usageAfter.sent - usageBefore.sent) / 1000 / seconds / daemons,
+		received: (usageAfter.received - usageBefore.received) / 1000 / seconds / daemons,
+		reads:    float64(callsAfter.Reads+callsAfter.Watches-callsBefore.Reads-callsBefore.Watches) / seconds,
+		writes:   float64(callsAfter.Writes-callsBefore.Writes) / seconds,
+		boxes:    float64(callsAfter.Boxes-callsBefore.Boxes) / seconds,
 	}
 	for _, p := range f.daemons {
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 		f.check(err)
-		c.rss += number(rssPattern, string(status)) / 1000 / daemons
+		c.rss += matchNumber(rssPattern, string(status)) / 1000 / daemons
 	}
 	return c
 }
 
-// editFor makes edits at a steady rate for a while.
+// editFor edits accounts at a steady rate for the duration d.
 func (f *fleet) editFor(d time.Duration, perSecond float64) {
 	end := time.After(d)
 	if perSecond == 0 {
@@ -201,31 +203,31 @@
 		case <-end:
 			return
 		case <-tick.C:
-			f.edit(i)
+			f.editAccount(i)
 		}
 	}
 }
 
-// TestTokenCost measures the processor time that a daemon spends on a token and
-// on a call of a plain service.
+// TestTokenCost measures the processor time that a daemon spends per token and
+// per call of a plain service.
 func TestTokenCost(t *testing.T) {
 	if os.Getenv(envControl) == "" {
 		t.Skipf("a measurement; set %s=1", envControl)
 	}
 	speed := testSpeed
 	speed.Slots, speed.Step = 128, time.Millisecond
-	f := newFleet(t, shape{daemons: 1, perStage: 2, services: 1, speed: speed})
+	f := newFleet(t, shape{daemons: 1, enginesPerStage: 2, services: 1, speed: speed})
 	const callers, tokens, calls = 64, 300, 2000
-	before := f.used()
-	whole := f.askAll(callers, tokens, nil)
-	after := f.used()
+	before := f.measureUsage()
+	complete := f.askConcurrently(callers, tokens, nil)
+	after := f.measureUsage()
 	micros := (after.ticks - before.ticks) / ticksPerSecond * 1e6
-	t.Logf("%d whole answers of %d tokens: %.0f us a token", whole, tokens, micros/callers/tokens)
-	before = f.used()
+	t.Logf("%d complete answers of %d tokens: %.0f us per token", complete, tokens, micros/callers/tokens)
+	before = f.measureUsage()
 	for i := range calls {
-		f.post("d1", strconv.Itoa(i), "")
+		f.postReading("d1", strconv.Itoa(i), "")
 	}
-	after = f.used()
+	after = f.measureUsage()
 	micros = (after.ticks - before.ticks) / ticksPerSecond * 1e6
-	t.Logf("%d calls of a plain service: %.0f us a call", calls, micros/calls)
+	t.Logf("%d calls of a plain service: %.0f us per call", calls, micros/calls)
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -29,24 +29,24 @@
 	"spanrill/transport/httpcall"
 )
 
-// fleet is a whole system: daemons as real processes, and stand-ins behind
-// fault-injecting proxies.
+// fleet is a complete installation: daemons as separate processes, and stand-ins
+// for the platform and the upstreams behind fault-injecting proxies.
 type fleet struct {
-	t        *testing.T
-	ip       string
-	platform *platform.Platform
-	platAddr string
-	platFace *faultproxy.Proxy // between daemons and platform
-	engines  map[string]*engine.Engine
-	services map[string]*service.Service
-	proxies  map[string]*faultproxy.Proxy // by upstream name
-	daemons  map[string]*process
-	mu       sync.Mutex
-	boxes    []spanrill.Box
-	spec     model.Spec
+	t             *testing.T
+	ip            string
+	platform      *platform.Platform
+	platformAddr  string
+	platformProxy *faultproxy.Proxy // between daemons and platform
+	engines       map[string]*engine.Engine
+	services      map[string]*service.Service
+	proxies       map[string]*faultproxy.Proxy // by upstream name
+	daemons       map[string]*process
+	mu            sync.Mutex
+	boxes         []spanrill.Box
+	spec          model.Spec
 }
 
-// process is a daemon that runs as a process of its own.
+// process is one daemon process.
 type process struct {
 	name     string
 	settings settings.Settings
@@ -62,23 +62,23 @@
 	maxTokens  = 400
 )
 
-// shape says what a fleet consists of.
+// shape sets the size and properties of a fleet.
 type shape struct {
-	daemons   int
-	perStage  int // engines for each of the three stages
-	services  int
-	boxLag    time.Duration
-	speed     engine.Speed
-	noDaemons bool // daemons are started by the test
-	limits    string
+	daemons         int
+	enginesPerStage int // engines for each of the three stages
+	services        int
+	boxLag          time.Duration
+	speed           engine.Speed
+	noDaemons       bool // whether the test starts the daemons itself
+	limits          string
 }
 
 var testSpeed = engine.Speed{Kind: "t", Slots: 32, Step: 2 * time.Millisecond, TokenLayer: time.Microsecond, MemLayers: 24}
 
 var testLayers = []spanrill.LayerRange{{From: 0, To: 8}, {From: 8, To: 16}, {From: 16, To: 24}}
 
-// newFleet starts a fleet and waits until its daemons are ready and know one
-// another.
+// newFleet starts a fleet and, unless noDaemons is set, waits until its daemons
+// are ready and know one another.
 func newFleet(t *testing.T, s shape) *fleet {
 	t.Helper()
 	if s.speed.Slots == 0 {
@@ -91,7 +91,7 @@
 	}
 	f.startPlatform(s)
 	for stage, layers := range testLayers {
-		for i := range s.perStage {
+		for i := range s.enginesPerStage {
 			f.addEngine(fmt.Sprintf("e%d%c", stage+1, 'a'+i), layers, s.speed)
 		}
 	}
@@ -124,20 +124,21 @@
 	f.platform = platform.New(platform.WithBoxLag(s.boxLag))
 	addr, err := f.platform.Listen(f.ip + ":7000")
 	f.check(err)
-	f.platFace = faultproxy.New(addr)
-	f.platAddr, err = f.platFace.Listen(f.ip + ":7001")
+	f.platformProxy = faultproxy.New(addr)
+	f.platformAddr, err = f.platformProxy.Listen(f.ip + ":7001")
 	f.check(err)
-	f.t.Cleanup(func() { f.platFace.Close(); f.platform.Close() })
+	f.t.Cleanup(func() { f.platformProxy.Close(); f.platform.Close() })
 }
 
-// face puts a proxy before an upstream and lists it.
-func (f *fleet) face(b spanrill.Box, addr string) {
+// listBehindProxy starts a proxy in front of an upstream and adds the upstream to
+// the boxes with the address of the proxy.
+func (f *fleet) listBehindProxy(b spanrill.Box, addr string) {
 	p := faultproxy.New(addr)
-	front, err := p.Listen(f.ip + ":0")
+	proxyAddr, err := p.Listen(f.ip + ":0")
 	f.check(err)
 	f.t.Cleanup(p.Close)
 	f.proxies[b.Name] = p
-	b.Addr, b.Zone, b.State = front, testZone, spanrill.BoxLive
+	b.Addr, b.Zone, b.State = proxyAddr, testZone, spanrill.BoxLive
 	f.boxes = append(f.boxes, b)
 }
 
@@ -147,7 +148,7 @@
 	f.check(err)
 	f.t.Cleanup(e.Close)
 	f.engines[name] = e
-	f.face(spanrill.Box{Name: name, Role: spanrill.RoleEngine}, addr)
+	f.listBehindProxy(spanrill.Box{Name: name, Role: spanrill.RoleEngine}, addr)
 }
 
 func (f *fleet) addService(name string) {
@@ -156,12 +157,12 @@
 	f.check(err)
 	f.t.Cleanup(s.Close)
 	f.services[name] = s
-	f.face(spanrill.Box{Name: name, Role: spanrill.RoleService, Service: "readings"}, addr)
+	f.listBehindProxy(spanrill.Box{Name: name, Role: spanrill.RoleService, Service: "readings"}, addr)
 }
 
 func (f *fleet) addDaemon(name string, i int) {
 	s := settings.Default()
-	s.Name, s.Zone, s.Platform, s.FleetSecret = name, testZone, f.platAddr, testSecret
+	s.Name, s.Zone, s.Platform, s.FleetSecret = name, testZone, f.platformAddr, testSecret
 	s.Listen = fmt.Sprintf("%s:%d", f.ip, 9001+i)
 	s.AdminListen = fmt.Sprintf("%s:%d", f.ip, 9201+i)
 	s.PeerListen = fmt.Sprintf("%s:%d", f.ip, 9401+i)
@@ -176,7 +177,7 @@
 	})
 }
 
-// start starts a daemon's process.
+// start starts the process of a daemon. After a failed test its log is printed.
 func (f *fleet) start(name string) {
 	p := f.daemons[name]
 	data, err := p.settings.JSON()
@@ -210,34 +211,34 @@
 	f.check(f.daemons[name].cmd.Process.Signal(s))
 }
 
-// awaitExit waits until a daemon has stopped by itself.
+// awaitExit waits until a daemon exits and checks that it exits without an error.
 func (f *fleet) awaitExit(name string) {
 	f.t.Helper()
 	select {
 	case err := <-f.daemons[name].exited:
 		f.check(err)
 	case <-time.After(awaitLimit):
-		f.t.Fatalf("%s does not stop", name)
+		f.t.Fatalf("%s does not exit", name)
 	}
 }
 
-func (f *fleet) awaitReady(alive int) {
+func (f *fleet) awaitReady(peers int) {
 	f.t.Helper()
 	for name := range f.daemons {
 		f.await(name+" is ready", func() bool {
 			s, err := f.status(name)
-			return err == nil && s.Ready && len(s.Peers) >= alive
+			return err == nil && s.Ready && len(s.Peers) >= peers
 		})
 	}
 }
 
-// await waits until a condition holds.
-func (f *fleet) await(what string, holds func() bool) {
+// await waits until a condition holds and fails the test after awaitLimit.
+func (f *fleet) await(condition string, isMet func() bool) {
 	f.t.Helper()
-	limit := time.Now().Add(awaitLimit)
-	for !holds() {
-		if time.Now().After(limit) {
-			f.t.Fatalf("not in time: %s", what)
+	deadline := time.Now().Add(awaitLimit)
+	for !isMet() {
+		if time.Now().After(deadline) {
+			f.t.Fatalf("condition not met in time: %s", condition)
 		}
 		<-time.After(10 * time.Millisecond)
 	}
@@ -259,15 +260,16 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// store returns a client of the platform that no fault proxy is before.
-func (f *fleet) store() *objectapi.Client { return objectapi.New(f.ip+":7000", httpcall.New()) }
+// storeClient returns a client of the store that bypasses the fault-injecting
+// proxy.
+func (f *fleet) storeClient() *objectapi.Client { return objectapi.New(f.ip+":7000", httpcall.New()) }
 
-// commit makes an edit and returns its revision.
+// commit commits an edit and returns its revision.
 func (f *fleet) commit(docs map[config.Name]json.RawMessage) uint64 {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
 	defer cancel()
-	edit, err := config.NewEditor(f.store()).Commit(ctx, config.Change{Author: "test", Documents: docs})
+	edit, err := config.NewEditor(f.storeClient()).Commit(ctx, config.Change{Author: "test", Documents: docs})
 	f.check(err)
 	return edit.Revision
 }
@@ -290,7 +292,7 @@
 	})
 }
 
-// answer is what a caller received.
+// answer is the answer that a caller received.
 type answer struct {
 	status  int
 	outcome string
@@ -299,7 +301,7 @@
 	err     error
 }
 
-// client makes a new connection for each request, as the platform's balancer
+// client opens a new connection for each request, as the platform's balancer
 // may.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 30 * time.Second}
 
@@ -318,14 +320,14 @@
 		return answer{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	got, err := io.ReadAll(resp.Body)
+	respBody, err := io.ReadAll(resp.Body)
 	return answer{
 		status: resp.StatusCode, outcome: resp.Header.Get("Spanrill-Outcome"),
-		header: resp.Header, body: got, err: err,
+		header: resp.Header, body: respBody, err: err,
 	}
 }
 
-func (f *fleet) post(name, id, key string) answer {
+func (f *fleet) postReading(name, id, key string) answer {
 	headers := map[string]string{}
 	if key != "" {
 		headers["Idempotency-Key"] = key
@@ -333,8 +335,9 @@
 	return f.call(name, http.MethodPost, "/services/readings/readings", headers, `{"id":"`+id+`"}`)
 }
 
-// runs returns how often a reading ran, over all upstreams of the service.
-func (f *fleet) runs(id string) int {
+// runCount returns the number of runs of a reading over all upstreams of the
+// service.
+func (f *fleet) runCount(id string) int {
 	n := 0
 	for _, s := range f.services {
 		n += s.Runs()[id]
@@ -342,7 +345,7 @@
 	return n
 }
 
-// chat is one caller's question.
+// chat is one chat request.
 type chat struct {
 	prompt string
 	seed   int
@@ -355,23 +358,24 @@
 		c.seed, c.tokens, c.stream, c.prompt)
 }
 
-// want returns the answer computed in one place.
-func (f *fleet) want(c chat) string {
+// wantText returns the expected text, computed by the model stand-in in this
+// process.
+func (f *fleet) wantText(c chat) string {
 	return model.Text(model.Answer(f.spec, "<user> "+c.prompt, uint64(c.seed), c.tokens))
 }
 
-// ask sends a chat and returns the text and whether the answer says it is
-// whole.
-func (f *fleet) ask(name string, c chat) (text string, whole bool, a answer) {
+// ask sends a chat and returns the text and whether the answer ends as a complete
+// one.
+func (f *fleet) ask(name string, c chat) (text string, complete bool, a answer) {
 	a = f.call(name, http.MethodPost, "/v1/chat/completions", nil, c.body())
 	if a.err != nil || a.status != http.StatusOK {
 		return "", false, a
 	}
-	text, whole = parseChat(a.body, c.stream)
-	return text, whole, a
+	text, complete = parseChat(a.body, c.stream)
+	return text, complete, a
 }
 
-func parseChat(body []byte, stream bool) (text string, whole bool) {
+func parseChat(body []byte, stream bool) (text string, complete bool) {
 	for _, line := range bytes.Split(body, []byte("\n")) {
 		line = bytes.TrimPrefix(line, []byte("data: "))
 		if bytes.Equal(line, []byte("[DONE]")) {
--- a/e2e/gateway_test.go
+++ b/e2e/gateway_test.go
@@ -23,8 +23,8 @@
 	"spanrill/settings"
 )
 
-// router is a gateway that runs as a process of its own, before a plain service.
-type router struct {
+// gateway is a gateway daemon in a separate process, in front of a plain service.
+type gateway struct {
 	t        *testing.T
 	settings settings.Gateway
 	cmd      *exec.Cmd
@@ -33,11 +33,11 @@
 	fleet    *platformtest.Fleet
 }
 
-func newRouter(t *testing.T) *router {
+func newGateway(t *testing.T) *gateway {
 	t.Helper()
 	store := platformtest.NewStore()
 	addr, err := store.Listen()
-	r := &router{t: t, settings: settings.DefaultGateway(), fleet: platformtest.NewFleet(store, 1), exited: make(chan error, 1)}
+	r := &gateway{t: t, settings: settings.DefaultGateway(), fleet: platformtest.NewFleet(store, 1), exited: make(chan error, 1)}
 	r.check(err)
 	t.Cleanup(store.Close)
 	e, err := r.fleet.Start("p-0", "readings", testZone, "")
@@ -58,15 +58,15 @@
 	return r
 }
 
-func (r *router) check(err error) {
+func (r *gateway) check(err error) {
 	r.t.Helper()
 	if err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// start starts the process.
-func (r *router) start() {
+// start starts the process. After a failed test its log is printed.
+func (r *gateway) start() {
 	r.t.Helper()
 	s := r.settings
 	data, err := json.Marshal(map[string]any{
@@ -94,27 +94,27 @@
 	})
 }
 
-func (r *router) log() string {
+func (r *gateway) log() string {
 	data, err := os.ReadFile(r.logs)
 	r.check(err)
 	return string(data)
 }
 
-// await waits until a condition holds.
-func (r *router) await(what string, holds func() bool) {
+// await waits until a condition holds and fails the test after awaitLimit.
+func (r *gateway) await(condition string, isMet func() bool) {
 	r.t.Helper()
-	limit := time.Now().Add(awaitLimit)
-	for !holds() {
-		if time.Now().After(limit) {
-			r.t.Fatalf("not in time: %s", what)
+	deadline := time.Now().Add(awaitLimit)
+	for !isMet() {
+		if time.Now().After(deadline) {
+			r.t.Fatalf("condition not met in time: %s", condition)
 		}
 		<-time.After(10 * time.Millisecond)
 	}
 }
 
-// ready asks for readiness, as the balancer does. A kept connection is used where
-// there is one.
-func (r *router) ready() int {
+// readyStatus returns the status of a readiness request, as the balancer sends it, or 0
+// without an answer. An idle connection is reused if there is one.
+func (r *gateway) readyStatus() int {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + r.settings.ReadyListen + platform.ReadyPath)
 	if err != nil {
@@ -127,60 +127,61 @@
 	return resp.StatusCode
 }
 
-// limitDescriptors bounds how many descriptors the process may open, and returns
-// the bound before.
-func (r *router) limitDescriptors(n uint64) uint64 {
+// limitDescriptors sets the number of descriptors that the process may open and returns
+// the previous limit.
+func (r *gateway) limitDescriptors(n uint64) uint64 {
 	r.t.Helper()
-	var old unix.Rlimit
-	r.check(unix.Prlimit(r.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &old))
-	r.check(unix.Prlimit(r.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: old.Max}, nil))
-	return old.Cur
+	var previous unix.Rlimit
+	r.check(unix.Prlimit(r.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &previous))
+	r.check(unix.Prlimit(r.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: previous.Max}, nil))
+	return previous.Cur
 }
 
-// crowd is callers that connect all the time, and a balancer that asks for
-// readiness. Whoever connects while the daemon says that it is ready is answered.
-type crowd struct {
-	router *router
-	mu     sync.Mutex
-	asked  []readiness // in order
-	failed []failure
-	served int
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
+// callerPool runs callers that connect continuously and a balancer that checks
+// readiness. A caller that connects while the daemon reports that it is ready must get
+// an answer.
+type callerPool struct {
+	gateway         *gateway
+	mu              sync.Mutex
+	readinessChecks []readinessCheck // in order of time
+	failures        []failedCall
+	served          int
+	cancel          context.CancelFunc
+	wait            sync.WaitGroup
 }
 
-type readiness struct {
-	begun, ended time.Time
-	ready        bool
+type readinessCheck struct {
+	start, end time.Time
+	ready      bool
 }
 
-type failure struct {
-	begun, ended time.Time
-	err          error
+type failedCall struct {
+	start, end time.Time
+	err        error
 }
 
 const (
-	crowdSize  = 200
-	crowdPause = 100 * time.Millisecond // between two tries of a caller
-	askPause   = 20 * time.Millisecond
-	// openWait is how long callers of the users' platform wait for a connection
-	// and for its request to be read.
-	openWait = time.Second
+	callerCount    = 200
+	callPause      = 100 * time.Millisecond // between two calls of a caller
+	readinessPause = 20 * time.Millisecond
+	// callTimeout is how long callers wait for a connection, and then for the first byte of
+	// the answer, as callers of the users' platform do.
+	callTimeout = time.Second
 )
 
-func (r *router) crowd() *crowd {
+func (r *gateway) startCallers() *callerPool {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &crowd{router: r, cancel: cancel}
-	c.repeat(ctx, askPause, c.ask)
-	for range crowdSize {
-		c.repeat(ctx, crowdPause, c.call)
+	c := &callerPool{gateway: r, cancel: cancel}
+	c.repeat(ctx, readinessPause, c.checkReadiness)
+	for range callerCount {
+		c.repeat(ctx, callPause, c.call)
 	}
-	r.t.Cleanup(c.end)
+	r.t.Cleanup(c.stop)
 	return c
 }
 
-// repeat runs a step again and again, with a pause, until the context ends.
-func (c *crowd) repeat(ctx context.Context, pause time.Duration, step func()) {
+// repeat runs a step repeatedly, with a pause, until the context is done.
+func (c *callerPool) repeat(ctx context.Context, pause time.Duration, step func()) {
 	c.wait.Add(1)
 	go func() {
 		defer c.wait.Done()
@@ -194,141 +195,142 @@
 	}()
 }
 
-func (c *crowd) end() {
+func (c *callerPool) stop() {
 	c.cancel()
 	c.wait.Wait()
 }
 
-func (c *crowd) ask() {
-	begun := time.Now()
-	ready := c.router.ready() == http.StatusOK
+func (c *callerPool) checkReadiness() {
+	start := time.Now()
+	ready := c.gateway.readyStatus() == http.StatusOK
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = append(c.asked, readiness{begun: begun, ended: time.Now(), ready: ready})
+	c.readinessChecks = append(c.readinessChecks, readinessCheck{start: start, end: time.Now(), ready: ready})
 }
 
-// call opens a connection and makes one request. Any answer will do.
-func (c *crowd) call() {
-	begun := time.Now()
-	err := c.router.call()
+// call opens a connection, sends one request and records whether any answer came.
+func (c *callerPool) call() {
+	start := time.Now()
+	err := c.gateway.call()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.failed = append(c.failed, failure{begun: begun, ended: time.Now(), err: err})
+		c.failures = append(c.failures, failedCall{start: start, end: time.Now(), err: err})
 		return
 	}
 	c.served++
 }
 
-func (r *router) call() error {
-	conn, err := net.DialTimeout("tcp", r.settings.Listen, openWait)
+func (r *gateway) call() error {
+	conn, err := net.DialTimeout("tcp", r.settings.Listen, callTimeout)
 	if err != nil {
 		return fmt.Errorf("connect: %w", err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(openWait))
+	_ = conn.SetDeadline(time.Now().Add(callTimeout))
 	if _, err := fmt.Fprintf(conn, "GET /open/x HTTP/1.1\r\nHost: api.example\r\nX-Request-Id: r\r\nConnection: close\r\n\r\n"); err != nil {
 		return fmt.Errorf("send: %w", err)
 	}
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
-		return fmt.Errorf("answer: %w", err)
+		return fmt.Errorf("read answer: %w", err)
 	}
 	return nil
 }
 
-// more waits until the daemon has answered several rounds of callers again.
-func (c *crowd) more(what string) {
-	c.router.t.Helper()
-	before := c.count()
-	c.router.await("callers are answered: "+what, func() bool { return c.count() >= before+2*crowdSize })
+// awaitMoreAnswers waits until twice as many more calls are answered as there are
+// callers.
+func (c *callerPool) awaitMoreAnswers(phase string) {
+	c.gateway.t.Helper()
+	before := c.answerCount()
+	c.gateway.await("callers are answered: "+phase, func() bool { return c.answerCount() >= before+2*callerCount })
 }
 
-func (c *crowd) count() int {
+func (c *callerPool) answerCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.served
 }
 
-// wantNoneTurnedAway checks that no caller failed while the daemon said all the
-// time, from a question before its try until one behind it, that it was ready.
-func (c *crowd) wantNoneTurnedAway() {
-	c.router.t.Helper()
+// checkNoFailureWhileReady checks that no call failed while the daemon reported readiness
+// throughout, from the last check before the call to the first one after it.
+func (c *callerPool) checkNoFailureWhileReady() {
+	c.gateway.t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, f := range c.failed {
-		before, meanwhile, behind := false, true, false
-		for _, a := range c.asked {
+	for _, f := range c.failures {
+		readyBefore, readyDuring, readyAfter := false, true, false
+		for _, check := range c.readinessChecks {
 			switch {
-			case !a.ended.After(f.begun):
-				before = a.ready
-			case !a.begun.Before(f.ended):
-				if !behind {
-					meanwhile = meanwhile && a.ready
+			case !check.end.After(f.start):
+				readyBefore = check.ready
+			case !check.start.Before(f.end):
+				if !readyAfter {
+					readyDuring = readyDuring && check.ready
 				}
-				behind = true
+				readyAfter = true
 			default:
-				meanwhile = meanwhile && a.ready
+				readyDuring = readyDuring && check.ready
 			}
 		}
-		if before && meanwhile && behind {
-			c.router.t.Errorf("ready all the time, and a caller failed: %v", f.err)
+		if readyBefore && readyDuring && readyAfter {
+			c.gateway.t.Errorf("a call failed although the daemon reported readiness throughout: %v", f.err)
 		}
 	}
-	c.router.t.Logf("%d answered, %d failed, %d times asked for readiness", c.served, len(c.failed), len(c.asked))
+	c.gateway.t.Logf("%d calls answered, %d failed, %d readiness checks", c.served, len(c.failures), len(c.readinessChecks))
 }
 
-// A daemon that says that it is ready takes new connections: while it starts, is
-// told to read its settings, runs out of descriptors and stops.
-func TestReadyDaemonTakesConnections(t *testing.T) {
+// A daemon that reports readiness accepts new connections while it starts, reloads its
+// settings, runs out of descriptors and stops.
+func TestReadyDaemonAcceptsConnections(t *testing.T) {
 	t.Parallel()
-	r := newRouter(t)
-	c := r.crowd()
+	r := newGateway(t)
+	c := r.startCallers()
 	r.start()
-	c.more("at the start")
+	c.awaitMoreAnswers("at the start")
 	for range 5 {
 		r.check(r.cmd.Process.Signal(syscall.SIGHUP))
 	}
-	r.await("the settings are read again", func() bool { return strings.Contains(r.log(), `"event":106,`) })
-	c.more("after the settings were read")
+	r.await("the settings are reloaded", func() bool { return strings.Contains(r.log(), `"event":106,`) })
+	c.awaitMoreAnswers("after the settings were reloaded")
 	before := r.limitDescriptors(1)
-	r.await("no connection is taken", func() bool { return strings.Contains(r.log(), `"event":107,`) })
-	r.await("readiness fails", func() bool { return r.ready() == http.StatusServiceUnavailable })
+	r.await("no connection is accepted", func() bool { return strings.Contains(r.log(), `"event":107,`) })
+	r.await("readiness fails", func() bool { return r.readyStatus() == http.StatusServiceUnavailable })
 	r.limitDescriptors(before)
-	r.await("it is ready again", func() bool { return r.ready() == http.StatusOK })
-	c.more("after the lack of descriptors")
+	r.await("it is ready again", func() bool { return r.readyStatus() == http.StatusOK })
+	c.awaitMoreAnswers("after the descriptor limit was raised")
 	r.check(r.cmd.Process.Signal(syscall.SIGTERM))
 	select {
 	case err := <-r.exited:
 		r.check(err)
 	case <-time.After(awaitLimit):
-		t.Fatal("it does not stop")
+		t.Fatal("the daemon does not exit")
 	}
-	c.end()
-	c.wantNoneTurnedAway()
+	c.stop()
+	c.checkNoFailureWhileReady()
 }
 
-// A request whose caller gave up while the process stood still, before it was read,
-// reaches no engine.
-func TestCallerGivesUpBeforeItsRequestIsRead(t *testing.T) {
+// A request whose caller disconnects while the process is frozen, before the request is
+// read, reaches no upstream.
+func TestCallerDisconnectsBeforeItsRequestIsRead(t *testing.T) {
 	t.Parallel()
-	r := newRouter(t)
+	r := newGateway(t)
 	r.start()
-	r.await("it is ready", func() bool { return r.ready() == http.StatusOK })
+	r.await("it is ready", func() bool { return r.readyStatus() == http.StatusOK })
 	r.await("a request is answered", func() bool { return r.call() == nil && r.fleet.Work("r").Arrivals > 0 })
 	r.check(r.cmd.Process.Signal(syscall.SIGSTOP))
 	const callers = 20
 	for i := range callers {
-		conn, err := net.DialTimeout("tcp", r.settings.Listen, openWait)
+		conn, err := net.DialTimeout("tcp", r.settings.Listen, callTimeout)
 		r.check(err)
 		_, err = fmt.Fprintf(conn, "GET /open/x HTTP/1.1\r\nHost: api.example\r\nX-Request-Id: left-%d\r\n\r\n", i)
 		r.check(err)
 		r.check(conn.Close())
 	}
 	r.check(r.cmd.Process.Signal(syscall.SIGCONT))
-	r.await("all are noticed", func() bool { return strings.Count(r.log(), `"event":627,`) >= callers })
+	r.await("all disconnected callers are logged", func() bool { return strings.Count(r.log(), `"event":627,`) >= callers })
 	for i := range callers {
 		if n := r.fleet.Work(fmt.Sprintf("left-%d", i)).Arrivals; n > 0 {
-			t.Errorf("request %d reached an engine %d times", i, n)
+			t.Errorf("request %d reached an upstream %d times", i, n)
 		}
 	}
 }
--- a/e2e/random_test.go
+++ b/e2e/random_test.go
@@ -16,52 +16,52 @@
 	"spanrill/standin/service"
 )
 
-// Environment variables of the randomised run.
+// Environment variables of the randomized test.
 const (
-	envSeed    = "SPANRILL_SEED"    // repeats a run
+	envSeed    = "SPANRILL_SEED"    // seed of the faults
 	envSeconds = "SPANRILL_SECONDS" // how long faults are injected
 )
 
-func envInt(name string, otherwise int) int {
+func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-// chaos injects faults in an order that its seed decides.
-type chaos struct {
+// faultInjector injects faults that are determined by its seed.
+type faultInjector struct {
 	f      *fleet
 	random *rand.Rand
 	edits  int
 }
 
-// TestRandomFaults mixes faults for a bounded time while callers check what
-// they are told. The seed is fixed in CI and printed.
+// TestRandomFaults injects overlapping random faults for a bounded time while
+// callers check their answers. The seed is fixed in CI and logged.
 func TestRandomFaults(t *testing.T) {
 	seed, seconds := envInt(envSeed, 1), envInt(envSeconds, 10)
 	t.Logf("%s=%d %s=%d", envSeed, seed, envSeconds, seconds)
-	f := newFleet(t, shape{daemons: 3, perStage: 3, services: 2})
+	f := newFleet(t, shape{daemons: 3, enginesPerStage: 3, services: 2})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for w := range 6 {
-		wg.Go(func() { f.checkedLoad(w, stop) })
+		wg.Go(func() { f.runCheckedLoad(w, stop) })
 	}
-	wg.Go(func() { f.checkRevisions(stop) })
-	c := &chaos{f: f, random: rand.New(rand.NewPCG(uint64(seed), 0))}
+	wg.Go(func() { f.watchRevisions(stop) })
+	c := &faultInjector{f: f, random: rand.New(rand.NewPCG(uint64(seed), 0))}
 	for end := time.Now().Add(time.Duration(seconds) * time.Second); time.Now().Before(end); {
-		c.step()
+		c.injectTwo()
 	}
 	close(stop)
 	wg.Wait()
 	f.awaitReady(3)
-	if whole := f.askAll(12, 10, nil); whole != 12 {
-		t.Errorf("after the faults %d of 12 answers are whole", whole)
+	if complete := f.askConcurrently(12, 10, nil); complete != 12 {
+		t.Errorf("after the faults %d of 12 answers are complete", complete)
 	}
 }
 
-// checkedLoad sends requests and checks each answer.
-func (f *fleet) checkedLoad(worker int, stop <-chan struct{}) {
+// runCheckedLoad sends requests until stop is closed and checks each answer.
+func (f *fleet) runCheckedLoad(worker int, stop <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -71,17 +71,17 @@
 		name := fmt.Sprintf("d%d", 1+(i+worker)%3)
 		if i%3 == 0 {
 			id := fmt.Sprintf("x-%d-%d", worker, i)
-			f.checkOnce(id, f.post(name, id, "k-"+id))
-			f.checkOnce(id, f.post(fmt.Sprintf("d%d", 1+(i+worker+1)%3), id, "k-"+id))
+			f.checkOutcome(id, f.postReading(name, id, "k-"+id))
+			f.checkOutcome(id, f.postReading(fmt.Sprintf("d%d", 1+(i+worker+1)%3), id, "k-"+id))
 			continue
 		}
 		c := chat{prompt: fmt.Sprintf("hive %d of %d", i, worker), seed: i + 1, tokens: 30, stream: i%2 == 0}
-		f.checkedAsk(name, c)
+		f.askAndCheck(name, c)
 	}
 }
 
-// checkRevisions fails the test if the revision of a daemon's process falls.
-func (f *fleet) checkRevisions(stop <-chan struct{}) {
+// watchRevisions fails the test if the revision of a running daemon decreases.
+func (f *fleet) watchRevisions(stop <-chan struct{}) {
 	last := map[string]uint64{}
 	for {
 		select {
@@ -92,7 +92,7 @@
 		for name := range f.daemons {
 			s, err := f.status(name)
 			if err != nil || !s.Ready {
-				delete(last, name) // stopped; it starts again from nothing
+				delete(last, name) // a restarted daemon starts without a revision
 				continue
 			}
 			if s.Revision < last[name] {
@@ -103,19 +103,19 @@
 	}
 }
 
-// step injects one fault, lets it last, and ends it.
-func (c *chaos) step() {
-	steps := []func() func(){
+// injectTwo injects two faults, waits and removes them.
+func (c *faultInjector) injectTwo() {
+	faults := []func() func(){
 		c.cutUpstream, c.freezeUpstream, c.slowUpstream, c.loseServiceAnswers,
-		c.failPlatform, c.losePlatformAnswers, c.freezeDaemon, c.killDaemon, c.lieOfEngine, c.editConfig,
+		c.failPlatform, c.losePlatformAnswers, c.freezeDaemon, c.killDaemon, c.corruptTokens, c.editConfig,
 	}
-	first, second := steps[c.random.IntN(len(steps))](), steps[c.random.IntN(6)]()
+	endFirst, endSecond := faults[c.random.IntN(len(faults))](), faults[c.random.IntN(6)]()
 	<-time.After(time.Duration(100+c.random.IntN(500)) * time.Millisecond)
-	first()
-	second()
+	endFirst()
+	endSecond()
 }
 
-func (c *chaos) upstream() string {
+func (c *faultInjector) upstream() string {
 	names := make([]string, 0, len(c.f.boxes))
 	for _, b := range c.f.boxes {
 		if c.f.proxies[b.Name] != nil {
@@ -125,67 +125,69 @@
 	return names[c.random.IntN(len(names))]
 }
 
-func (c *chaos) engine() *engine.Engine {
+func (c *faultInjector) engine() *engine.Engine {
 	return c.f.engines[fmt.Sprintf("e%d%c", 1+c.random.IntN(3), 'a'+c.random.IntN(3))]
 }
 
-func (c *chaos) daemon() string { return fmt.Sprintf("d%d", 1+c.random.IntN(3)) }
+func (c *faultInjector) daemon() string { return fmt.Sprintf("d%d", 1+c.random.IntN(3)) }
 
-// proxyFault puts a fault before an upstream.
-func (c *chaos) proxyFault(fault faultproxy.Faults) func() {
+// proxyFault injects a fault into the proxy of a random upstream.
+func (c *faultInjector) proxyFault(fault faultproxy.Faults) func() {
 	p := c.f.proxies[c.upstream()]
 	p.Set(fault)
 	return func() { p.Set(faultproxy.Faults{}) }
 }
 
-func (c *chaos) cutUpstream() func() {
+func (c *faultInjector) cutUpstream() func() {
 	p := c.f.proxies[c.upstream()]
 	p.Set(faultproxy.Faults{Refuse: true})
 	p.Cut()
 	return func() { p.Set(faultproxy.Faults{}) }
 }
 
-func (c *chaos) freezeUpstream() func() { return c.proxyFault(faultproxy.Faults{Freeze: true}) }
+func (c *faultInjector) freezeUpstream() func() { return c.proxyFault(faultproxy.Faults{Freeze: true}) }
 
-func (c *chaos) slowUpstream() func() { return c.proxyFault(faultproxy.Faults{DelayMillis: 20}) }
+func (c *faultInjector) slowUpstream() func() {
+	return c.proxyFault(faultproxy.Faults{DelayMillis: 20})
+}
 
-func (c *chaos) loseServiceAnswers() func() {
+func (c *faultInjector) loseServiceAnswers() func() {
 	s := c.f.services["s1"]
 	s.SetFaults(service.Faults{LoseAnswers: 3})
 	return func() { s.SetFaults(service.Faults{}) }
 }
 
-func (c *chaos) failPlatform() func() {
+func (c *faultInjector) failPlatform() func() {
 	c.f.platform.SetFaults(platform.Faults{Down: c.random.IntN(2) == 0, FailEvery: 2})
 	return func() { c.f.platform.SetFaults(platform.Faults{}) }
 }
 
-func (c *chaos) losePlatformAnswers() func() {
+func (c *faultInjector) losePlatformAnswers() func() {
 	c.f.platform.SetFaults(platform.Faults{LoseAnswers: 2, LoseRequests: 1, StaleReads: 1})
 	return func() { c.f.platform.SetFaults(platform.Faults{}) }
 }
 
-func (c *chaos) lieOfEngine() func() {
+func (c *faultInjector) corruptTokens() func() {
 	e := c.engine()
 	e.SetFaults(engine.Faults{DoubleTokens: true, DropToken: 9})
 	return func() { e.SetFaults(engine.Faults{}) }
 }
 
-func (c *chaos) freezeDaemon() func() {
+func (c *faultInjector) freezeDaemon() func() {
 	name := c.daemon()
 	c.f.signal(name, syscall.SIGSTOP)
 	return func() { c.f.signal(name, syscall.SIGCONT) }
 }
 
-func (c *chaos) killDaemon() func() {
+func (c *faultInjector) killDaemon() func() {
 	name := c.daemon()
 	c.f.signal(name, syscall.SIGKILL)
 	<-c.f.daemons[name].exited
 	return func() { c.f.start(name) }
 }
 
-func (c *chaos) editConfig() func() {
+func (c *faultInjector) editConfig() func() {
 	c.edits++
-	c.f.edit(c.edits)
+	c.f.editAccount(c.edits)
 	return func() {}
 }
--- a/e2e/script_test.go
+++ b/e2e/script_test.go
@@ -1,7 +1,9 @@
-// Package e2e tests spanrill as real processes, by scenarios in testdata.
+// Package e2e tests spanrill end to end with separate processes, by the scripts
+// in testdata/script and by Go tests that run daemons behind fault-injecting
+// proxies.
 //
-// Each scenario has a loopback address of its own in $IP, so that ports are
-// fixed and scenarios run at the same time.
+// Each script gets its own loopback address in $IP, so that scripts use fixed
+// ports and can run concurrently.
 package e2e
 
 import (
@@ -38,7 +40,7 @@
 
 var scenarios atomic.Int64
 
-// nextIP returns a loopback address that no other scenario has.
+// nextIP returns an unused loopback address.
 func nextIP() string {
 	return fmt.Sprintf("127.%d.%d.1", 10+os.Getpid()%200, scenarios.Add(1))
 }
@@ -58,11 +60,11 @@
 	})
 }
 
-// awaitLimit bounds how long a scenario waits for a condition.
+// awaitLimit is the time within which an awaited condition must hold.
 const awaitLimit = 20 * time.Second
 
 // awaitCommand waits until a GET of the URL answers with the status and, if
-// given, with a body that the expression matches.
+// given, a body that matches the expression.
 //
 //	await URL STATUS [REGEXP]
 func awaitCommand(ts *testscript.TestScript, neg bool, args []string) {
@@ -72,10 +74,10 @@
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	pattern := regexp.MustCompile(strings.Join(args[2:], ""))
-	limit := time.Now().Add(awaitLimit)
+	deadline := time.Now().Add(awaitLimit)
 	var status int
 	var body string
-	for time.Now().Before(limit) {
+	for time.Now().Before(deadline) {
 		status, body = get(args[0])
 		if status == want && pattern.MatchString(body) {
 			return
@@ -98,7 +100,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// expandCommand replaces $NAME in files by the scenario's variables.
+// expandCommand replaces $NAME in files with the script's variables.
 //
 //	expand FILE...
 func expandCommand(ts *testscript.TestScript, neg bool, args []string) {
@@ -111,7 +113,8 @@
 	}
 }
 
-// replaceCommand replaces a text in a file, which must hold it.
+// replaceCommand replaces every occurrence of a text in a file, which must
+// contain it.
 //
 //	replace OLD NEW FILE
 func replaceCommand(ts *testscript.TestScript, neg bool, args []string) {
@@ -120,13 +123,13 @@
 	}
 	text := ts.ReadFile(args[2])
 	if !strings.Contains(text, args[0]) {
-		ts.Fatalf("%s does not hold %q", args[2], args[0])
+		ts.Fatalf("%s does not contain %q", args[2], args[0])
 	}
 	ts.Check(os.WriteFile(ts.MkAbs(args[2]), []byte(strings.ReplaceAll(text, args[0], args[1])), 0o600))
 }
 
-// callMain sends one HTTP request and prints the status, the headers of
-// spanrill and the body.
+// callMain sends one HTTP request and prints the status, the headers that
+// scripts check and the body.
 //
 //	call METHOD URL [NAME:VALUE ...] [BODY]
 func callMain() int {
@@ -168,8 +171,8 @@
 
 func isHeader(arg string) bool { return headerPattern.MatchString(arg) }
 
-// textMain prints the text in an answer that call has printed, whole or as a
-// stream, with nothing around it.
+// textMain prints only the text of an answer that call has printed, streamed or
+// not.
 //
 //	text FILE
 func textMain() int {
@@ -194,7 +197,7 @@
 	return 0
 }
 
-// answerMain prints the answer that a model gives, computed in one place.
+// answerMain prints the expected answer of a model, computed without engines.
 //
 //	answer NAME VERSION LAYERS SEED TOKENS PROMPT
 func answerMain() int {
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -60,7 +60,7 @@
 	random := rng.New(r.options.Seed<<16 + uint64(n))
 	caller := platformtest.NewCaller()
 	defer caller.Close()
-	daemon, left := r.daemons[random.IntN(len(r.daemons))], requestsPerConnection
+	daemon, remaining := r.daemons[random.IntN(len(r.daemons))], requestsPerConnection
 	for i := 0; ctx.Err() == nil; i++ {
 		s := callRecord{
 			id: fmt.Sprintf("c%d-%d", n, i), path: requestPaths[random.IntN(len(requestPaths))], daemon: daemon,
@@ -71,9 +71,9 @@
 		s.reply = caller.Call(callCtx, daemon.listenAddr, s.path, s.id, s.key, s.body, callDeadline)
 		cancel()
 		r.records.add(s)
-		if left--; left == 0 || s.reply.Status == 0 {
+		if remaining--; remaining == 0 || s.reply.Status == 0 {
 			caller.Close()
-			daemon, left = r.daemons[random.IntN(len(r.daemons))], requestsPerConnection
+			daemon, remaining = r.daemons[random.IntN(len(r.daemons))], requestsPerConnection
 		}
 		wait(ctx, callPause)
 	}
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -31,7 +31,7 @@
 	UpstreamLeaves       Kind = "upstream leaves"      // announces it in answers, in half of the variants also in its entry
 	UpstreamFails        Kind = "upstream fails"       // answers 500
 	UpstreamCutsStreams  Kind = "upstream breaks off"  // cuts streams in the middle
-	UpstreamReportsMuted Kind = "upstream mute"        // does not answer status reports but serves requests
+	UpstreamReportsMuted Kind = "upstream mute"        // leaves report calls unanswered but serves requests
 	UpstreamLimits       Kind = "upstream sets limit"  // sets a limit on its request rate, changes and removes it
 	ConfigChanges        Kind = "configuration changes"
 	KeyWithdrawn         Kind = "key withdrawn" // and a new one issued
--- a/soak/process.go
+++ b/soak/process.go
@@ -124,8 +124,8 @@
 }
 
 // isReady reports whether the process is ready, by the request that the platform's balancer sends.
-func (p *process) isReady(client *http.Client, path string) bool {
-	resp, err := client.Get("http://" + p.readyAddr + path)
+func (p *process) isReady(client *http.Client, readyPath string) bool {
+	resp, err := client.Get("http://" + p.readyAddr + readyPath)
 	if err != nil {
 		return false
 	}
