--- a/e2e/daemons_test.go
+++ b/e2e/daemons_test.go
@@ -355,8 +355,8 @@
 	}
 	f.awaitReady(2)
 	for _, p := range peerProxies {
-		p.Set(faultproxy.Faults{Refuse: true})
-		p.Cut()
+		p.SetFaults(faultproxy.Faults{Refuse: true})
+		p.CloseConnections()
 	}
 	f.await("each daemon is alone", func() bool { return f.peerCount("d1") == 1 && f.peerCount("d2") == 1 })
 	revision := f.editAccount(1)
@@ -369,7 +369,7 @@
 		t.Errorf("one key ran %d times on partitioned daemons", f.runCount("same"))
 	}
 	for _, p := range peerProxies {
-		p.Set(faultproxy.Faults{})
+		p.SetFaults(faultproxy.Faults{})
 	}
 	f.awaitReady(2)
 }
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -121,14 +121,14 @@
 		env.store.SetFaults(platformtest.StoreFaults{Down: true})
 	case StoreSilent:
 		for _, l := range env.storeLinks { // the store hangs in every call, but new calls are accepted
-			l.Set(faultproxy.Faults{Freeze: true})
+			l.SetFaults(faultproxy.Faults{Freeze: true})
 		}
 	}
 	wait(ctx, s.Duration)
 	env.store.SetFaults(platformtest.StoreFaults{})
 	if s.Kind == StoreSilent {
 		for _, l := range env.storeLinks {
-			l.Set(faultproxy.Faults{})
+			l.SetFaults(faultproxy.Faults{})
 		}
 	}
 	return nil
@@ -184,12 +184,12 @@
 		link = r.env.storeLinks[s.Target%len(r.env.storeLinks)]
 		r.recordStoreDisturbance(s.Duration)
 	}
-	link.Set(linkFaults(s))
+	link.SetFaults(linkFaults(s))
 	if s.Kind == StoreLinkCut || s.Variant == 1 {
-		link.Cut()
+		link.CloseConnections()
 	}
 	wait(ctx, s.Duration)
-	link.Set(faultproxy.Faults{})
+	link.SetFaults(faultproxy.Faults{})
 	return nil
 }
 
