--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,9 +1,9 @@
 // Package clock implements the clocks of spanrill.
 //
-// System reads the operating system's clocks. It counts the time for which a machine is
-// suspended, which Linux' steady clock leaves out: a lease, a proof or a deadline that was
-// good before may be over when the machine goes on. Manual stands still until a
-// test moves it, so that no test waits for time to pass.
+// System reads the clocks of the operating system. Its elapsed time includes the time for which
+// the machine was suspended, which CLOCK_MONOTONIC on Linux leaves out: a lease, a deadline
+// or a proof that the configuration is current may expire during a suspend. Manual advances only
+// when a test calls Advance, so that no test waits for real time to pass.
 //
 // # Usage
 //
@@ -23,41 +23,42 @@
 
 // System is the operating system's clock.
 type System struct {
-	boot  func() time.Duration
-	start time.Duration
+	sinceBoot func() time.Duration
+	start     time.Duration
 }
 
 // SystemOption changes a default of NewSystem.
 type SystemOption func(*System)
 
-// WithBoot sets where the time since the machine was started is read, suspended or not.
-func WithBoot(boot func() time.Duration) SystemOption {
-	return func(s *System) { s.boot = boot }
+// WithBootTime sets the function that returns the time since the machine booted, including the
+// time for which it was suspended.
+func WithBootTime(boot func() time.Duration) SystemOption {
+	return func(s *System) { s.sinceBoot = boot }
 }
 
 // NewSystem returns a clock whose zero point is now.
 func NewSystem(opts ...SystemOption) *System {
-	s := &System{boot: bootTime}
+	s := &System{sinceBoot: bootTime}
 	for _, o := range opts {
 		o(s)
 	}
-	s.start = s.boot()
+	s.start = s.sinceBoot()
 	return s
 }
 
-// bootTime reads CLOCK_BOOTTIME. A call takes 0.25 us, and 0.03 us of the steady clock
+// bootTime reads CLOCK_BOOTTIME. A call takes 0.25 us, against 0.03 us for CLOCK_MONOTONIC
 // (BenchmarkNow).
 func bootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic("clock: no time since the start of the machine: " + err.Error()) // as time.Now would
+		panic("clock: read CLOCK_BOOTTIME: " + err.Error()) // time.Now panics in this case, too
 	}
 	return time.Duration(t.Nano())
 }
 
-// Now returns the milliseconds since the clock was made.
+// Now returns the milliseconds since NewSystem was called.
 func (s *System) Now() spanrill.Millis {
-	return spanrill.MillisOf(s.boot() - s.start)
+	return spanrill.MillisOf(s.sinceBoot() - s.start)
 }
 
 // Unix returns the wall-clock time.
@@ -65,8 +66,9 @@
 	return spanrill.Millis(time.Now().UnixMilli())
 }
 
-// After returns a channel that receives Now once d has passed. A wait does not see that the
-// machine is suspended, and ends that much later: who waits looks at the time again.
+// After returns a channel that receives Now once d has passed. Its timer does not advance while
+// the machine is suspended and then fires that much later, so a caller reads Now again when the
+// channel delivers.
 func (s *System) After(d spanrill.Millis) <-chan spanrill.Millis {
 	fired := make(chan spanrill.Millis, 1)
 	time.AfterFunc(d.Duration(), func() { fired <- s.Now() })
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -7,19 +7,18 @@
 	"spanrill"
 )
 
-// The time for which a machine is suspended counts, and the zero point is when the clock was
-// made.
+// The clock starts at zero and counts the time for which the machine was suspended.
 func TestSuspendedTimeCounts(t *testing.T) {
 	boot := time.Hour
-	c := NewSystem(WithBoot(func() time.Duration { return boot }))
+	c := NewSystem(WithBootTime(func() time.Duration { return boot }))
 	before := c.Now()
 	boot += 5 * time.Second
 	if now := c.Now(); before != 0 || now != 5*spanrill.Second {
-		t.Fatalf("%d ms at first, %d ms behind 5 s in which the machine was suspended", before, now)
+		t.Fatalf("Now returned %d ms at the start, want 0, and %d ms after 5 s of suspend, want 5000", before, now)
 	}
 }
 
-// One reading took 0.03 us of the steady clock, and takes 0.25 us of that which counts all time.
+// Reading CLOCK_MONOTONIC takes 0.03 us, and CLOCK_BOOTTIME 0.25 us.
 func BenchmarkNow(b *testing.B) {
 	c := NewSystem()
 	for b.Loop() {
--- a/clock/manual.go
+++ b/clock/manual.go
@@ -6,15 +6,16 @@
 	"spanrill"
 )
 
-// Manual is a clock that a test moves.
+// Manual is a clock that a test advances.
 type Manual struct {
-	mu     sync.Mutex
-	now    spanrill.Millis
-	alarms []alarm
-	armed  *sync.Cond
+	mu         sync.Mutex
+	now        spanrill.Millis
+	timers     []timer
+	timerAdded *sync.Cond
 }
 
-type alarm struct {
+// timer is a pending call of After.
+type timer struct {
 	at    spanrill.Millis
 	fired chan spanrill.Millis
 }
@@ -22,24 +23,25 @@
 // manualEpoch is the wall-clock time at which a manual clock starts.
 const manualEpoch spanrill.Millis = 1_700_000_000_000
 
-// NewManual returns a clock that stands at zero.
+// NewManual returns a clock whose Now is zero.
 func NewManual() *Manual {
 	m := &Manual{}
-	m.armed = sync.NewCond(&m.mu)
+	m.timerAdded = sync.NewCond(&m.mu)
 	return m
 }
 
-// Now returns the time the clock was moved to.
+// Now returns the sum of all calls of Advance.
 func (m *Manual) Now() spanrill.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
-// Unix returns Now on a fixed epoch.
+// Unix returns Now plus a fixed epoch.
 func (m *Manual) Unix() spanrill.Millis { return manualEpoch + m.Now() }
 
-// After returns a channel that receives once the clock was moved by d.
+// After returns a channel that receives Now once the clock was advanced by d, or at once if d is
+// not positive.
 func (m *Manual) After(d spanrill.Millis) <-chan spanrill.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,32 +50,32 @@
 		fired <- m.now
 		return fired
 	}
-	m.alarms = append(m.alarms, alarm{at: m.now + d, fired: fired})
-	m.armed.Broadcast()
+	m.timers = append(m.timers, timer{at: m.now + d, fired: fired})
+	m.timerAdded.Broadcast()
 	return fired
 }
 
-// Advance moves the clock by d and fires what became due.
+// Advance moves the clock forward by d and fires the timers that are due.
 func (m *Manual) Advance(d spanrill.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now += d
-	waiting := m.alarms[:0]
-	for _, a := range m.alarms {
-		if a.at > m.now {
-			waiting = append(waiting, a)
+	pending := m.timers[:0]
+	for _, t := range m.timers {
+		if t.at > m.now {
+			pending = append(pending, t)
 			continue
 		}
-		a.fired <- m.now
+		t.fired <- m.now
 	}
-	m.alarms = waiting
+	m.timers = pending
 }
 
-// AwaitAlarms returns once at least n channels of After are waiting.
+// AwaitTimers blocks until at least n calls of After have not fired yet.
 func (m *Manual) AwaitAlarms(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for len(m.alarms) < n {
-		m.armed.Wait()
+	for len(m.timers) < n {
+		m.timerAdded.Wait()
 	}
 }
