--- a/task/task.go
+++ b/task/task.go
@@ -1,13 +1,13 @@
-// Package task starts goroutines that report their end.
+// Package task starts goroutines whose end and error can be awaited.
 //
 // Each goroutine of spanrill takes a context and has an owner. The owner keeps
 // the Task that Start returns and reads its Done channel, or keeps a Group and
-// waits for all of them.
+// waits for all of its tasks.
 //
 // # Usage
 //
 //	var g task.Group
-//	g.Start(ctx, "heartbeat", m.beat)
+//	g.Start(ctx, "heartbeat", m.sendHeartbeats)
 //	...
 //	err := g.Wait()
 package task
@@ -18,14 +18,14 @@
 	"sync"
 )
 
-// Task is a goroutine that was started.
+// Task is a goroutine with a name, and its error once it has ended.
 type Task struct {
 	name string
 	done chan struct{}
 	err  error
 }
 
-// Start runs f in a goroutine of its own.
+// Start runs f in a new goroutine. The name is a prefix of the error that f returns.
 func Start(ctx context.Context, name string, f func(context.Context) error) *Task {
 	t := &Task{name: name, done: make(chan struct{})}
 	go t.run(ctx, f)
@@ -45,19 +45,20 @@
 // Done returns a channel that is closed when the goroutine has ended.
 func (t *Task) Done() <-chan struct{} { return t.done }
 
-// Err returns why the goroutine ended, once Done is closed. The end of its
-// context is no error.
+// Err waits for the end of the goroutine and returns its error. It is nil if the
+// context had ended by then.
 func (t *Task) Err() error {
 	<-t.done
 	return t.err
 }
 
-// Group owns several tasks. Its zero value is ready to use. It forgets a task
-// when it has ended, so that a long-lived owner can start any number.
+// Group owns several tasks. Its zero value is ready to use. It keeps no
+// reference to a task that has ended, so that a long-lived owner can start any
+// number.
 type Group struct {
-	running sync.WaitGroup
-	mu      sync.Mutex
-	first   error
+	running  sync.WaitGroup
+	mu       sync.Mutex
+	firstErr error
 }
 
 // Start runs f in a goroutine that belongs to the group.
@@ -67,26 +68,27 @@
 	go func() {
 		defer g.running.Done()
 		t.run(ctx, f)
-		g.note(t.err)
+		g.recordError(t.err)
 	}()
 	return t
 }
 
-func (g *Group) note(err error) {
+// recordError keeps the first error.
+func (g *Group) recordError(err error) {
 	if err == nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.first == nil {
-		g.first = err
+	if g.firstErr == nil {
+		g.firstErr = err
 	}
 }
 
-// Wait returns when all tasks have ended, with the first error.
+// Wait blocks until all tasks have ended and returns the first error.
 func (g *Group) Wait() error {
 	g.running.Wait()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.first
+	return g.firstErr
 }
