--- a/rng/rng.go
+++ b/rng/rng.go
@@ -1,5 +1,5 @@
-// Package rng is a random source that many goroutines share without a lock,
-// and that repeats its sequence for the same seed and the same order of calls.
+// Package rng provides a random source that goroutines share without a lock. It
+// returns the same sequence for the same seed and the same order of calls.
 //
 // # Usage
 //
@@ -19,9 +19,11 @@
 	state atomic.Uint64
 }
 
-const golden = 0x9e3779b97f4a7c15
+// goldenGamma is the increment of SplitMix64: the odd integer closest to 2^64 divided by the
+// golden ratio.
+const goldenGamma = 0x9e3779b97f4a7c15
 
-// New returns a source with that seed.
+// New returns a source that starts at the seed.
 func New(seed uint64) *Source {
 	s := &Source{}
 	s.state.Store(seed)
@@ -30,7 +32,7 @@
 
 // Uint64 returns the next 64 random bits.
 func (s *Source) Uint64() uint64 {
-	z := s.state.Add(golden)
+	z := s.state.Add(goldenGamma)
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
@@ -39,7 +41,7 @@
 // IntN returns a number from 0 to n-1. It panics if n is not positive.
 func (s *Source) IntN(n int) int {
 	if n <= 0 {
-		panic("rng: IntN needs a positive number")
+		panic("rng: IntN called with n <= 0")
 	}
 	hi, _ := bits.Mul64(s.Uint64(), uint64(n))
 	return int(hi)
