--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,4 +1,4 @@
-// Package pool keeps idle values for reuse, a stack for each key.
+// Package pool keeps idle values, such as connections, for reuse. Each key has its own stack.
 //
 // # Usage
 //
@@ -17,18 +17,18 @@
 // Pool keeps idle values. It is safe for concurrent use.
 type Pool[K comparable, V any] struct {
 	mu       sync.Mutex
-	idle     map[K][]kept[V]
-	inOrder  *list.List // of the keys of all idle values, as they were put
+	idle     map[K][]idleValue[V]
+	byAge    *list.List // one key for each idle value, oldest first
 	maxIdle  func(K) int
-	maxTotal int // 0: no limit
+	maxTotal int // over all keys; 0 for no limit
 	discard  func(V)
 	closed   bool
 }
 
-// kept is an idle value and its place in the order of all.
-type kept[V any] struct {
-	value V
-	place *list.Element
+// idleValue is an idle value and its element in Pool.byAge.
+type idleValue[V any] struct {
+	value   V
+	element *list.Element
 }
 
 // Option changes a default of New.
@@ -39,19 +39,19 @@
 	return func(p *Pool[K, V]) { p.maxIdle = func(K) int { return n } }
 }
 
-// WithMaxIdleOf sets how many values are kept for each key by what it says whenever one is
-// put.
+// WithMaxIdleFunc sets a function that returns how many values are kept for a key. It is called
+// by each Put.
 func WithMaxIdleOf[K comparable, V any](n func(K) int) Option[K, V] {
 	return func(p *Pool[K, V]) { p.maxIdle = n }
 }
 
-// WithMaxTotal sets how many values are kept over all keys. Those that have lain longest are
+// WithMaxTotal sets how many values are kept over all keys. Beyond that, the oldest are
 // discarded.
 func WithMaxTotal[K comparable, V any](n int) Option[K, V] {
 	return func(p *Pool[K, V]) { p.maxTotal = n }
 }
 
-// WithDiscard sets what is done with a value that is not kept.
+// WithDiscard sets the function that is called with each value that is not kept.
 func WithDiscard[K comparable, V any](f func(V)) Option[K, V] {
 	return func(p *Pool[K, V]) { p.discard = f }
 }
@@ -60,14 +60,14 @@
 
 // New returns an empty pool.
 func New[K comparable, V any](opts ...Option[K, V]) *Pool[K, V] {
-	p := &Pool[K, V]{idle: map[K][]kept[V]{}, inOrder: list.New(), maxIdle: func(K) int { return defaultMaxIdle }, discard: func(V) {}}
+	p := &Pool[K, V]{idle: map[K][]idleValue[V]{}, byAge: list.New(), maxIdle: func(K) int { return defaultMaxIdle }, discard: func(V) {}}
 	for _, o := range opts {
 		o(p)
 	}
 	return p
 }
 
-// Get removes and returns the value that was put last for the key.
+// Get removes and returns the newest value of the key.
 func (p *Pool[K, V]) Get(key K) (v V, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,49 +77,49 @@
 	}
 	last := len(stack) - 1
 	v = stack[last].value
-	p.inOrder.Remove(stack[last].place)
-	stack[last] = kept[V]{}
-	p.set(key, stack[:last])
+	p.byAge.Remove(stack[last].element)
+	stack[last] = idleValue[V]{}
+	p.setStack(key, stack[:last])
 	return v, true
 }
 
-// Put keeps a value for the next Get. When there are enough, those that have lain there
-// longest are discarded.
+// Put keeps a value for the next Get. If this exceeds a limit, the oldest values are discarded.
 func (p *Pool[K, V]) Put(key K, v V) {
-	for _, old := range p.keep(key, v, p.maxIdle(key)) {
-		p.discard(old)
+	for _, evicted := range p.add(key, v, p.maxIdle(key)) {
+		p.discard(evicted)
 	}
 }
 
-// keep keeps a value and returns those that are too many.
-func (p *Pool[K, V]) keep(key K, v V, most int) (over []V) {
+// add keeps a value and returns those that exceed a limit, which may include v itself.
+func (p *Pool[K, V]) add(key K, v V, limit int) (evicted []V) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || most <= 0 {
-		return append(p.take(key, len(p.idle[key])), v)
+	if p.closed || limit <= 0 {
+		return append(p.removeOldest(key, len(p.idle[key])), v)
 	}
-	p.idle[key] = append(p.idle[key], kept[V]{value: v, place: p.inOrder.PushBack(key)})
-	over = p.take(key, max(0, len(p.idle[key])-most))
-	for p.maxTotal > 0 && p.inOrder.Len() > p.maxTotal {
-		over = append(over, p.take(p.inOrder.Front().Value.(K), 1)...)
+	p.idle[key] = append(p.idle[key], idleValue[V]{value: v, element: p.byAge.PushBack(key)})
+	evicted = p.removeOldest(key, max(0, len(p.idle[key])-limit))
+	for p.maxTotal > 0 && p.byAge.Len() > p.maxTotal {
+		evicted = append(evicted, p.removeOldest(p.byAge.Front().Value.(K), 1)...)
 	}
-	return over
+	return evicted
 }
 
-// take removes and returns the first n values of a key. The caller holds the lock.
-func (p *Pool[K, V]) take(key K, n int) []V {
+// removeOldest removes and returns the n oldest values of a key. The caller holds the lock.
+func (p *Pool[K, V]) removeOldest(key K, n int) []V {
 	stack := p.idle[key]
-	taken := make([]V, n)
-	for i := range taken {
-		taken[i] = stack[i].value
-		p.inOrder.Remove(stack[i].place)
+	removed := make([]V, n)
+	for i := range removed {
+		removed[i] = stack[i].value
+		p.byAge.Remove(stack[i].element)
 	}
-	p.set(key, stack[n:])
-	return taken
+	p.setStack(key, stack[n:])
+	return removed
 }
 
-// set replaces the values of a key. The caller holds the lock.
-func (p *Pool[K, V]) set(key K, stack []kept[V]) {
+// setStack replaces the idle values of a key, and removes the key if there are none. The caller
+// holds the lock.
+func (p *Pool[K, V]) setStack(key K, stack []idleValue[V]) {
 	if len(stack) == 0 {
 		delete(p.idle, key)
 		return
@@ -130,20 +130,20 @@
 // Drop discards the idle values of a key and returns how many there were.
 func (p *Pool[K, V]) Drop(key K) int {
 	p.mu.Lock()
-	taken := p.take(key, len(p.idle[key]))
+	removed := p.removeOldest(key, len(p.idle[key]))
 	p.mu.Unlock()
-	for _, v := range taken {
+	for _, v := range removed {
 		p.discard(v)
 	}
-	return len(taken)
+	return len(removed)
 }
 
-// Close discards all values and keeps none from now on.
+// Close discards all idle values. A value that is put later is discarded, too.
 func (p *Pool[K, V]) Close() {
 	p.mu.Lock()
 	idle := p.idle
-	p.idle, p.closed = map[K][]kept[V]{}, true
-	p.inOrder.Init()
+	p.idle, p.closed = map[K][]idleValue[V]{}, true
+	p.byAge.Init()
 	p.mu.Unlock()
 	for _, stack := range idle {
 		for _, k := range stack {
