--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring keeps the last values of a sequence.
+// Package ring provides a ring buffer that keeps the newest values of a sequence.
 //
 // # Usage
 //
@@ -9,20 +9,20 @@
 
 import "sync"
 
-// Ring keeps the last values that were added. It is safe for concurrent use.
+// Ring keeps the newest of the values that were added. It is safe for concurrent use.
 type Ring[V any] struct {
 	mu     sync.Mutex
 	values []V
-	next   int
+	next   int // index of the next write
 	full   bool
 }
 
-// New returns a ring that keeps n values.
+// New returns a ring that keeps the newest n values.
 func New[V any](n int) *Ring[V] {
 	return &Ring[V]{values: make([]V, n)}
 }
 
-// Add adds a value, in place of the oldest one when the ring is full.
+// Add adds a value. It replaces the oldest one if the ring is full.
 func (r *Ring[V]) Add(v V) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,9 +39,9 @@
 	if r.full {
 		n = len(r.values)
 	}
-	all := make([]V, 0, n)
+	newestFirst := make([]V, 0, n)
 	for i := 1; i <= n; i++ {
-		all = append(all, r.values[(r.next-i+len(r.values))%len(r.values)])
+		newestFirst = append(newestFirst, r.values[(r.next-i+len(r.values))%len(r.values)])
 	}
-	return all
+	return newestFirst
 }
