--- a/knownred/list.go
+++ b/knownred/list.go
@@ -10,19 +10,19 @@
 	"github.com/pkg/errors"
 )
 
-// maxReds is how many tests may be known to fail at a time (CONTRIBUTING.md).
-const maxReds = 3
+// maxKnownFailures is the maximum length of the list (CONTRIBUTING.md).
+const maxKnownFailures = 3
 
-// red is a test that is known to fail.
-type red struct {
+// knownFailure is a line of the list: a test that is known to fail.
+type knownFailure struct {
 	line, pkg, test string
 }
 
-// lineForm is the form of a line: package, test, cause and the number of the issue.
-var lineForm = regexp.MustCompile(`^(\S+) ((?:Test|Fuzz|Example)\S*): \S.*, issue [0-9]+$`)
+// linePattern matches a line: package, test, cause and issue number.
+var linePattern = regexp.MustCompile(`^(\S+) ((?:Test|Fuzz|Example)\S*): \S.*, issue [0-9]+$`)
 
-// readList reads a list from a file. No file is an empty list.
-func readList(file string) ([]red, error) {
+// readList reads the list from a file. A missing file is an empty list.
+func readList(file string) ([]knownFailure, error) {
 	data, err := os.ReadFile(file)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("read the list of known red tests: %w", err)
@@ -30,27 +30,27 @@
 	return parseList(string(data))
 }
 
-// parseList reads a list of at most maxReds lines. Empty lines do not count.
-func parseList(text string) ([]red, error) {
-	var reds []red
+// parseList parses a list of at most maxKnownFailures tests. It skips empty lines.
+func parseList(text string) ([]knownFailure, error) {
+	var known []knownFailure
 	seen := map[[2]string]bool{}
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
 		if line == "" {
 			continue
 		}
-		m := lineForm.FindStringSubmatch(line)
-		if m == nil {
+		match := linePattern.FindStringSubmatch(line)
+		if match == nil {
 			return nil, fmt.Errorf("known red test %q is not of the form \"package TestName: cause, issue N\"", line)
 		}
-		if key := [2]string{m[1], m[2]}; seen[key] {
-			return nil, fmt.Errorf("known red test %s of %s is listed twice", m[2], m[1])
+		if key := [2]string{match[1], match[2]}; seen[key] {
+			return nil, fmt.Errorf("known red test %s of %s is listed twice", match[2], match[1])
 		}
-		seen[[2]string{m[1], m[2]}] = true
-		reds = append(reds, red{line: line, pkg: m[1], test: m[2]})
+		seen[[2]string{match[1], match[2]}] = true
+		known = append(known, knownFailure{line: line, pkg: match[1], test: match[2]})
 	}
-	if len(reds) > maxReds {
-		return nil, fmt.Errorf("%d known red tests, at most %d are allowed", len(reds), maxReds)
+	if len(known) > maxKnownFailures {
+		return nil, fmt.Errorf("%d known red tests, at most %d are allowed", len(known), maxKnownFailures)
 	}
-	return reds, nil
+	return known, nil
 }
--- a/knownred/main.go
+++ b/knownred/main.go
@@ -1,11 +1,11 @@
-// Knownred judges a run of the project's tests against the list of tests that are
-// known to fail, KNOWN-RED.txt. A listed test may fail; everything else that goes
-// wrong fails the run, and so does a listed test that passes or did not run.
+// Knownred checks the results of go test against KNOWN-RED.txt, the list of tests
+// that are known to fail. A listed test may fail. Any other failure is a problem, and
+// so is a listed test that passes, is skipped or does not run.
 //
 // # Usage
 //
-// It reads the output of go test -json, followed by a line with its exit code, and
-// prints what go test prints without -json:
+// It reads the output of go test -json, followed by a line with its exit code, prints
+// what go test prints without -json, and exits with 1 if there is a problem:
 //
 //	{ code=0; go test -json ./... || code=$?; echo "exit $code"; } | knownred KNOWN-RED.txt
 package main
@@ -27,25 +27,26 @@
 	}
 }
 
-// check reads the list and a run, prints both and returns an error if the run fails.
+// check compares a test run with the list, prints both, and returns an error if there
+// are problems.
 func check(list string, in io.Reader, out io.Writer) error {
-	reds, err := readList(list)
+	known, err := readList(list)
 	if err != nil {
 		return err
 	}
-	r := newRun(reds, out)
+	r := newTestRun(known, out)
 	if err := r.read(in); err != nil {
 		return fmt.Errorf("read the output of go test: %w", err)
 	}
-	r.end()
-	for _, red := range reds {
-		fmt.Fprintln(out, "known red:", red.line)
+	r.finish()
+	for _, failure := range known {
+		fmt.Fprintln(out, "known red:", failure.line)
 	}
 	for _, p := range r.problems {
-		fmt.Fprintln(out, "not passed over:", p)
+		fmt.Fprintln(out, "problem:", p)
 	}
 	if len(r.problems) > 0 {
-		return fmt.Errorf("%d problems beside the known red tests", len(r.problems))
+		return fmt.Errorf("%d problems other than known red tests", len(r.problems))
 	}
 	return nil
 }
--- a/knownred/result.go
+++ b/knownred/result.go
@@ -6,39 +6,39 @@
 	"strings"
 )
 
-// print writes what go test prints without -json: the closing line, and for a package
-// that failed what it wrote outside of tests that passed.
-func (o *outcome) print(w io.Writer, failed bool) {
-	for i, e := range o.output {
-		closing := i == len(o.output)-1
-		hidden := e.Test != "" && o.tests[e.Test] == "pass" && o.normal() || isProgress(e.Output)
+// print writes what go test prints without -json: the last line, and for a package that
+// failed also all output except that of tests that passed.
+func (p *packageResult) print(w io.Writer, failed bool) {
+	for i, e := range p.output {
+		closing := i == len(p.output)-1
+		hidden := e.Test != "" && p.tests[e.Test] == "pass" && p.completed() || isRunMarker(e.Output)
 		if closing || failed && !hidden {
 			fmt.Fprint(w, e.Output)
 		}
 	}
 }
 
-// normal reports whether a package that failed came to the end of its tests. The
-// testing package then writes FAIL, and go test a line with FAIL and the package.
-// After a panic, a time-out or a call of os.Exit the first of the two is missing.
-func (o *outcome) normal() bool {
-	n := len(o.output)
+// completed reports whether a package that failed ran all of its tests. The testing
+// package then writes FAIL, and go test a line with FAIL and the package. After a
+// panic, a timeout or a call of os.Exit the first of the two is missing.
+func (p *packageResult) completed() bool {
+	n := len(p.output)
 	if n < 2 {
 		return false
 	}
-	fail, closing := o.output[n-2], o.output[n-1]
+	fail, closing := p.output[n-2], p.output[n-1]
 	return fail.Test == "" && fail.Output == "FAIL\n" && strings.HasPrefix(closing.Output, "FAIL\t")
 }
 
-// silent reports whether a test wrote nothing itself, its parts apart.
-func (o *outcome) silent(test string) bool {
-	for _, e := range o.output {
-		if e.Test == test && !isProgress(e.Output) && !strings.HasPrefix(e.Output, "--- ") {
+// wroteNothing reports whether a test wrote nothing itself; its subtests may have.
+func (p *packageResult) wroteNothing(test string) bool {
+	for _, e := range p.output {
+		if e.Test == test && !isRunMarker(e.Output) && !strings.HasPrefix(e.Output, "--- ") {
 			return false
 		}
 	}
 	return true
 }
 
-// isProgress reports whether a line only says which test runs.
-func isProgress(line string) bool { return strings.HasPrefix(line, "=== ") }
+// isRunMarker reports whether a line only says which test runs, such as "=== RUN".
+func isRunMarker(line string) bool { return strings.HasPrefix(line, "=== ") }
--- a/knownred/run.go
+++ b/knownred/run.go
@@ -11,44 +11,44 @@
 	"github.com/pkg/errors"
 )
 
-// event is a line of go test -json. Action is one of those of "go doc test2json" or
-// of "go help buildjson".
+// event is a line of the output of go test -json. "go doc test2json" and "go help
+// buildjson" list the values of Action.
 type event struct {
 	Action, Package, ImportPath, Test, Output string
 }
 
-// run is what is known of a run of go test.
-type run struct {
-	reds     []red
-	out      io.Writer
-	packages map[string]*outcome
-	problems []string
-	failed   int    // packages that failed
-	exit     string // the exit code of go test, empty until it is read
+// testRun collects the results and problems of one run of go test.
+type testRun struct {
+	knownFailures  []knownFailure
+	out            io.Writer
+	packages       map[string]*packageResult
+	problems       []string
+	failedPackages int    // number of packages that failed
+	exitCode       string // of go test; empty until its line is read
 }
 
-// outcome is what is known of one package.
-type outcome struct {
-	output []event
-	tests  map[string]string // how each test ended: pass, fail or skip
-	ended  bool
+// packageResult is the output of one package and the results of its tests.
+type packageResult struct {
+	output   []event
+	tests    map[string]string // pass, fail or skip by test name
+	finished bool
 }
 
-func newRun(reds []red, out io.Writer) *run {
-	return &run{reds: reds, out: out, packages: map[string]*outcome{}}
+func newTestRun(known []knownFailure, out io.Writer) *testRun {
+	return &testRun{knownFailures: known, out: out, packages: map[string]*packageResult{}}
 }
 
-func (r *run) problem(format string, args ...any) {
+func (r *testRun) addProblem(format string, args ...any) {
 	r.problems = append(r.problems, fmt.Sprintf(format, args...))
 }
 
-// read takes all lines of a run.
-func (r *run) read(in io.Reader) error {
+// read handles all lines of the input.
+func (r *testRun) read(in io.Reader) error {
 	lines := bufio.NewReader(in)
 	for {
 		line, err := lines.ReadString('\n')
 		if line != "" {
-			r.take(line)
+			r.readLine(line)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -59,141 +59,143 @@
 	}
 }
 
-func (r *run) take(line string) {
+// readLine handles one line: the exit code of go test or an event.
+func (r *testRun) readLine(line string) {
 	if code, ok := strings.CutPrefix(line, "exit "); ok {
-		r.exit = strings.TrimSpace(code)
+		r.exitCode = strings.TrimSpace(code)
 		return
 	}
 	var e event
 	if err := json.Unmarshal([]byte(line), &e); err != nil {
 		fmt.Fprint(r.out, line)
-		r.problem("go test printed a line that is not JSON: %s", strings.TrimSpace(line))
+		r.addProblem("go test printed a line that is not JSON: %s", strings.TrimSpace(line))
 		return
 	}
-	r.takeEvent(e)
+	r.handleEvent(e)
 }
 
-func (r *run) takeEvent(e event) {
+func (r *testRun) handleEvent(e event) {
 	switch {
 	case e.Action == "build-output":
 		fmt.Fprint(r.out, e.Output)
 	case e.Action == "build-fail":
-		r.problem("%s does not build", e.ImportPath)
+		r.addProblem("%s does not build", e.ImportPath)
 	case e.Action == "output":
-		o := r.outcome(e.Package)
-		o.output = append(o.output, e)
+		p := r.result(e.Package)
+		p.output = append(p.output, e)
 	case e.Action != "pass" && e.Action != "fail" && e.Action != "skip":
-		r.outcome(e.Package)
+		r.result(e.Package)
 	case e.Test != "":
-		r.outcome(e.Package).tests[e.Test] = e.Action
+		r.result(e.Package).tests[e.Test] = e.Action
 	default:
-		r.endPackage(e.Package, e.Action)
+		r.finishPackage(e.Package, e.Action)
 	}
 }
 
-func (r *run) outcome(pkg string) *outcome {
+// result returns the result of a package, which it adds if it is new.
+func (r *testRun) result(pkg string) *packageResult {
 	if r.packages[pkg] == nil {
-		r.packages[pkg] = &outcome{tests: map[string]string{}}
+		r.packages[pkg] = &packageResult{tests: map[string]string{}}
 	}
 	return r.packages[pkg]
 }
 
-// endPackage prints a package's output and judges it.
-func (r *run) endPackage(pkg, action string) {
-	o := r.outcome(pkg)
-	o.ended = true
-	o.print(r.out, action == "fail")
-	r.judgeRaces(pkg, o)
+// finishPackage prints the output of a package that has ended and records its problems.
+func (r *testRun) finishPackage(pkg, action string) {
+	p := r.result(pkg)
+	p.finished = true
+	p.print(r.out, action == "fail")
+	r.checkRaces(pkg, p)
 	if action != "fail" {
 		return
 	}
-	r.failed++
-	if !o.normal() {
-		r.problem("%s failed outside of its tests, or did not run all of them", pkg)
+	r.failedPackages++
+	if !p.completed() {
+		r.addProblem("%s failed outside its tests or did not run all of them", pkg)
 	}
-	r.judgeTests(pkg, o)
+	r.checkTests(pkg, p)
 }
 
-// judgeTests finds tests that failed and may not.
-func (r *run) judgeTests(pkg string, o *outcome) {
-	for _, test := range sortedKeys(o.tests) {
-		if o.tests[test] == "fail" && !r.mayFail(pkg, o, test) {
-			r.problem("%s %s failed", pkg, test)
+// checkTests records each failed test that is not known to fail.
+func (r *testRun) checkTests(pkg string, p *packageResult) {
+	for _, test := range sortedKeys(p.tests) {
+		if p.tests[test] == "fail" && !r.mayFail(pkg, p, test) {
+			r.addProblem("%s %s failed", pkg, test)
 		}
 	}
 }
 
-// judgeRaces finds data races outside of the tests that may fail.
-func (r *run) judgeRaces(pkg string, o *outcome) {
-	for _, e := range o.output {
-		if strings.HasPrefix(e.Output, "WARNING: DATA RACE") && !r.mayFail(pkg, o, e.Test) {
-			r.problem("%s has a data race outside of the known red tests", pkg)
+// checkRaces records a data race outside the tests that are known to fail.
+func (r *testRun) checkRaces(pkg string, p *packageResult) {
+	for _, e := range p.output {
+		if strings.HasPrefix(e.Output, "WARNING: DATA RACE") && !r.mayFail(pkg, p, e.Test) {
+			r.addProblem("%s has a data race outside the known red tests", pkg)
 			return
 		}
 	}
 }
 
-// mayFail reports whether a test is listed, is a part of one that is, or failed for
-// nothing but a listed part of it.
-func (r *run) mayFail(pkg string, o *outcome, test string) bool {
-	for _, red := range r.reds {
-		if red.pkg != pkg {
+// mayFail reports whether a test is listed, is a subtest of a listed test, or is the
+// parent of a listed subtest that failed and wrote nothing itself.
+func (r *testRun) mayFail(pkg string, p *packageResult, test string) bool {
+	for _, known := range r.knownFailures {
+		if known.pkg != pkg {
 			continue
 		}
-		if test == red.test || strings.HasPrefix(test, red.test+"/") {
+		if test == known.test || strings.HasPrefix(test, known.test+"/") {
 			return true
 		}
-		if test != "" && strings.HasPrefix(red.test, test+"/") && o.tests[red.test] == "fail" && o.silent(test) {
+		if test != "" && strings.HasPrefix(known.test, test+"/") && p.tests[known.test] == "fail" && p.wroteNothing(test) {
 			return true
 		}
 	}
 	return false
 }
 
-// end judges what is known when the run is over.
-func (r *run) end() {
+// finish records the problems that show only at the end of the input.
+func (r *testRun) finish() {
 	for _, pkg := range sortedKeys(r.packages) {
-		if !r.packages[pkg].ended {
+		if !r.packages[pkg].finished {
 			r.packages[pkg].print(r.out, true)
-			r.problem("%s did not end", pkg)
+			r.addProblem("%s did not finish", pkg)
 		}
 	}
-	for _, red := range r.reds {
-		r.judgeRed(red)
+	for _, known := range r.knownFailures {
+		r.checkKnownFailure(known)
 	}
-	r.judgeExit()
+	r.checkExitCode()
 }
 
-// judgeRed finds listed tests that do not fail.
-func (r *run) judgeRed(red red) {
-	o := r.packages[red.pkg]
-	if o == nil {
-		o = &outcome{}
+// checkKnownFailure records a listed test that did not fail.
+func (r *testRun) checkKnownFailure(known knownFailure) {
+	p := r.packages[known.pkg]
+	if p == nil {
+		p = &packageResult{}
 	}
-	switch o.tests[red.test] {
+	switch p.tests[known.test] {
 	case "fail":
 	case "pass":
-		r.problem("%s %s is listed and passed: take it off the list", red.pkg, red.test)
+		r.addProblem("%s %s is listed but passed: remove it from the list", known.pkg, known.test)
 	case "skip":
-		r.problem("%s %s is listed and was skipped", red.pkg, red.test)
+		r.addProblem("%s %s is listed but was skipped", known.pkg, known.test)
 	default:
-		r.problem("%s %s is listed and did not run to its end", red.pkg, red.test)
+		r.addProblem("%s %s is listed but did not finish", known.pkg, known.test)
 	}
 }
 
-// judgeExit holds the exit code of go test against what was read.
-func (r *run) judgeExit() {
+// checkExitCode compares the exit code of go test with the failures in its output.
+func (r *testRun) checkExitCode() {
 	want := "0"
-	if r.failed > 0 {
+	if r.failedPackages > 0 {
 		want = "1"
 	}
 	switch {
 	case len(r.packages) == 0:
-		r.problem("no package was tested")
-	case r.exit == "":
-		r.problem("the exit code of go test is missing")
-	case r.exit != want:
-		r.problem("go test ended with %s, its output says %s", r.exit, want)
+		r.addProblem("no package was tested")
+	case r.exitCode == "":
+		r.addProblem("the exit code of go test is missing")
+	case r.exitCode != want:
+		r.addProblem("go test exited with %s, but its output implies %s", r.exitCode, want)
 	}
 }
 
--- a/knownred/run_test.go
+++ b/knownred/run_test.go
@@ -8,20 +8,19 @@
 	"testing"
 )
 
-// redTest, redParts and redFirst are lines of a list. The packages are those whose
-// recorded runs are in testdata.
+// Lines of a list. The output of their packages is recorded in testdata.
 const (
-	redTest  = "sample/red TestRed: counts too few, issue 30\n"
-	redParts = "sample/parts TestParts: parts differ, issue 30\n"
-	redFirst = "sample/parts TestParts/first: first differs, issue 30\n"
+	listedTest    = "sample/red TestRed: counts too few, issue 30\n"
+	listedParent  = "sample/parts TestParts: parts differ, issue 30\n"
+	listedSubtest = "sample/parts TestParts/first: first differs, issue 30\n"
 )
 
-// redOf is a line that lists TestRed of a package.
-func redOf(pkg string) string { return "sample/" + pkg + " TestRed: known, issue 30\n" }
+// listRed returns the line that lists TestRed of a package.
+func listRed(pkg string) string { return "sample/" + pkg + " TestRed: known, issue 30\n" }
 
-// recorded returns the recorded runs of some packages as one run, with the exit code
-// that go test gave for them.
-func recorded(t *testing.T, names ...string) string {
+// recordedRun joins the recorded output of the named packages into one run, with the exit
+// code that go test returns for it.
+func recordedRun(t *testing.T, names ...string) string {
 	t.Helper()
 	var events strings.Builder
 	code := "exit 0\n"
@@ -39,24 +38,26 @@
 	return events.String() + code
 }
 
-// judged returns the problems of a run and what was printed.
-func judged(t *testing.T, list, input string) (problems []string, printed string) {
+// checkRun returns the problems of a run and the printed output.
+func checkRun(t *testing.T, list, input string) (problems []string, printed string) {
 	t.Helper()
-	reds, err := parseList(list)
+	known, err := parseList(list)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	r := newRun(reds, &out)
+	r := newTestRun(known, &out)
 	if err := r.read(strings.NewReader(input)); err != nil {
 		t.Fatal(err)
 	}
-	r.end()
+	r.finish()
 	return r.problems, out.String()
 }
 
-func TestRule(t *testing.T) {
-	const outside = " failed outside of its tests, or did not run all of them"
+// Each failure that the list does not cover is a problem, and so is each listed test that
+// does not fail.
+func TestProblems(t *testing.T) {
+	const outside = " failed outside its tests or did not run all of them"
 	for _, c := range []struct {
 		name, list string
 		runs       []string
@@ -64,55 +65,55 @@
 	}{
 		{"all pass", "", []string{"green", "none"}, nil},
 		{"a test fails", "", []string{"green", "red"}, []string{"sample/red TestRed failed"}},
-		{"a listed test fails", redTest, []string{"green", "red"}, nil},
-		{"a test fails beside a listed one", redTest, []string{"red", "parts"}, []string{
+		{"a listed test fails", listedTest, []string{"green", "red"}, nil},
+		{"a test fails in addition to a listed one", listedTest, []string{"red", "parts"}, []string{
 			"sample/parts TestParts failed", "sample/parts TestParts/first failed",
 		}},
-		{"a test of the same name fails elsewhere", redOf("skips"), []string{"red", "skips"}, []string{
-			"sample/red TestRed failed", "sample/skips TestRed is listed and was skipped",
+		{"a test of the same name fails in another package", listRed("skips"), []string{"red", "skips"}, []string{
+			"sample/red TestRed failed", "sample/skips TestRed is listed but was skipped",
 		}},
-		{"a listed test has parts", redParts, []string{"parts"}, nil},
-		{"a listed part fails", redFirst, []string{"parts"}, nil},
-		{"the whole fails beside a listed part", "sample/partsown TestParts/first: known, issue 30", []string{"partsown"}, []string{
+		{"a listed test has subtests", listedParent, []string{"parts"}, nil},
+		{"a listed subtest fails", listedSubtest, []string{"parts"}, nil},
+		{"a parent fails by itself and has a listed subtest", "sample/partsown TestParts/first: known, issue 30", []string{"partsown"}, []string{
 			"sample/partsown TestParts failed",
 		}},
-		{"another part fails", "sample/parts TestParts/second: known, issue 30", []string{"parts"}, []string{
+		{"another subtest fails", "sample/parts TestParts/second: known, issue 30", []string{"parts"}, []string{
 			"sample/parts TestParts failed", "sample/parts TestParts/first failed",
-			"sample/parts TestParts/second is listed and passed: take it off the list",
+			"sample/parts TestParts/second is listed but passed: remove it from the list",
 		}},
-		{"the start of a name is listed", "sample/red TestRe: known, issue 30", []string{"red"}, []string{
-			"sample/red TestRed failed", "sample/red TestRe is listed and did not run to its end",
+		{"a prefix of a name is listed", "sample/red TestRe: known, issue 30", []string{"red"}, []string{
+			"sample/red TestRed failed", "sample/red TestRe is listed but did not finish",
 		}},
 		{"a listed test passes", "sample/green TestGreen: known, issue 30", []string{"green"}, []string{
-			"sample/green TestGreen is listed and passed: take it off the list",
+			"sample/green TestGreen is listed but passed: remove it from the list",
 		}},
-		{"a listed test is skipped", redOf("skips"), []string{"skips"}, []string{
-			"sample/skips TestRed is listed and was skipped",
+		{"a listed test is skipped", listRed("skips"), []string{"skips"}, []string{
+			"sample/skips TestRed is listed but was skipped",
 		}},
-		{"a listed test is not there", "sample/green TestGone: known, issue 30", []string{"green"}, []string{
-			"sample/green TestGone is listed and did not run to its end",
+		{"a listed test does not exist", "sample/green TestGone: known, issue 30", []string{"green"}, []string{
+			"sample/green TestGone is listed but did not finish",
 		}},
-		{"a listed package is not there", redOf("gone"), []string{"green"}, []string{
-			"sample/gone TestRed is listed and did not run to its end",
+		{"a listed package does not exist", listRed("gone"), []string{"green"}, []string{
+			"sample/gone TestRed is listed but did not finish",
 		}},
-		{"a package does not build", redTest, []string{"broken", "red"}, []string{
+		{"a package does not build", listedTest, []string{"broken", "red"}, []string{
 			"sample/broken [sample/broken.test] does not build", "sample/broken" + outside,
 		}},
-		{"a listed test panics", redOf("panics"), []string{"panics"}, []string{"sample/panics" + outside}},
-		{"a listed test times out", redOf("slow"), []string{"slow"}, []string{
-			"sample/slow" + outside, "sample/slow TestRed is listed and did not run to its end",
+		{"a listed test panics", listRed("panics"), []string{"panics"}, []string{"sample/panics" + outside}},
+		{"a listed test times out", listRed("slow"), []string{"slow"}, []string{
+			"sample/slow" + outside, "sample/slow TestRed is listed but did not finish",
 		}},
-		{"a test ends the process after a listed one", redOf("leaves"), []string{"leaves"}, []string{"sample/leaves" + outside}},
-		{"a listed test has a race", redOf("races"), []string{"races"}, nil},
-		{"a test has a race", redTest, []string{"races", "red"}, []string{
-			"sample/races has a data race outside of the known red tests", "sample/races TestRed failed",
+		{"a test calls os.Exit after a listed one", listRed("leaves"), []string{"leaves"}, []string{"sample/leaves" + outside}},
+		{"a listed test has a race", listRed("races"), []string{"races"}, nil},
+		{"a test has a race", listedTest, []string{"races", "red"}, []string{
+			"sample/races has a data race outside the known red tests", "sample/races TestRed failed",
 		}},
-		{"a race outside of the listed test", redOf("racelate"), []string{"racelate"}, []string{
-			"sample/racelate has a data race outside of the known red tests",
+		{"a race outside the listed test", listRed("racelate"), []string{"racelate"}, []string{
+			"sample/racelate has a data race outside the known red tests",
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			problems, _ := judged(t, c.list, recorded(t, c.runs...))
+			problems, _ := checkRun(t, c.list, recordedRun(t, c.runs...))
 			if !slices.Equal(problems, c.want) {
 				t.Errorf("problems:\n%s\nwant:\n%s", strings.Join(problems, "\n"), strings.Join(c.want, "\n"))
 			}
@@ -120,24 +121,24 @@
 	}
 }
 
-// A run whose output is cut off or does not agree with its exit code fails.
-func TestUnclearRun(t *testing.T) {
-	green, red := recorded(t, "green"), recorded(t, "red")
-	half := red[:strings.Index(red, "{\"Action\":\"fail\",\"Package\":\"sample/red\",\"Elapsed\"")]
+// Input that is truncated or contradicts the exit code is a problem.
+func TestInconsistentInput(t *testing.T) {
+	green, red := recordedRun(t, "green"), recordedRun(t, "red")
+	truncated := red[:strings.Index(red, "{\"Action\":\"fail\",\"Package\":\"sample/red\",\"Elapsed\"")]
 	for _, c := range []struct {
 		name, list, input, want string
 	}{
-		{"nothing", "", "exit 0\n", "no package was tested"},
-		{"nothing but a listed test", redTest, "exit 0\n", "sample/red TestRed is listed and did not run to its end"},
+		{"empty", "", "exit 0\n", "no package was tested"},
+		{"empty with a listed test", listedTest, "exit 0\n", "sample/red TestRed is listed but did not finish"},
 		{"no exit code", "", strings.TrimSuffix(green, "exit 0\n"), "the exit code of go test is missing"},
-		{"another exit code", "", strings.Replace(green, "exit 0", "exit 1", 1), "go test ended with 1, its output says 0"},
-		{"exit code 0 in spite of a failure", redTest, strings.Replace(red, "exit 1", "exit 0", 1), "go test ended with 0, its output says 1"},
-		{"killed", redTest, strings.Replace(red, "exit 1", "exit 137", 1), "go test ended with 137, its output says 1"},
-		{"a package without an end", redTest, half + "exit 1\n", "sample/red did not end"},
+		{"exit code 1 without a failure", "", strings.Replace(green, "exit 0", "exit 1", 1), "go test exited with 1, but its output implies 0"},
+		{"exit code 0 despite a failure", listedTest, strings.Replace(red, "exit 1", "exit 0", 1), "go test exited with 0, but its output implies 1"},
+		{"killed", listedTest, strings.Replace(red, "exit 1", "exit 137", 1), "go test exited with 137, but its output implies 1"},
+		{"a package that did not finish", listedTest, truncated + "exit 1\n", "sample/red did not finish"},
 		{"not JSON", "", "no space left\n" + green, "go test printed a line that is not JSON: no space left"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			problems, _ := judged(t, c.list, c.input)
+			problems, _ := checkRun(t, c.list, c.input)
 			if !slices.Contains(problems, c.want) {
 				t.Errorf("problems:\n%s\nwant among them:\n%s", strings.Join(problems, "\n"), c.want)
 			}
@@ -145,8 +146,9 @@
 	}
 }
 
-func TestPrinted(t *testing.T) {
-	_, printed := judged(t, redTest, recorded(t, "broken", "green", "none", "red"))
+// The output is the same as without -json.
+func TestOutput(t *testing.T) {
+	_, printed := checkRun(t, listedTest, recordedRun(t, "broken", "green", "none", "red"))
 	const want = "# sample/broken [sample/broken.test]\n" +
 		"broken/x_test.go:3:33: undefined: undefined\n" +
 		"FAIL\tsample/broken [build failed]\n" +
@@ -159,25 +161,26 @@
 	if printed != want {
 		t.Errorf("printed:\n%s\nwant:\n%s", printed, want)
 	}
-	_, printed = judged(t, redOf("panics"), recorded(t, "panics"))
+	_, printed = checkRun(t, listRed("panics"), recordedRun(t, "panics"))
 	if !strings.Contains(printed, "panic: out of order") {
-		t.Errorf("the panic is not printed:\n%s", printed)
+		t.Errorf("printed output lacks the panic:\n%s", printed)
 	}
 }
 
-func TestList(t *testing.T) {
+// A list has at most three lines of the given form, each test once.
+func TestParseList(t *testing.T) {
 	for _, c := range []struct{ name, list, want string }{
 		{"empty", "", ""},
 		{"empty lines", "\n\n", ""},
-		{"three", redTest + redParts + redFirst, ""},
-		{"four", redTest + redParts + redFirst + redOf("green"), "4 known red tests, at most 3 are allowed"},
-		{"twice", redTest + redTest, "known red test TestRed of sample/red is listed twice"},
+		{"three", listedTest + listedParent + listedSubtest, ""},
+		{"four", listedTest + listedParent + listedSubtest + listRed("green"), "4 known red tests, at most 3 are allowed"},
+		{"twice", listedTest + listedTest, "known red test TestRed of sample/red is listed twice"},
 		{"no cause", "sample/red TestRed: , issue 30", "is not of the form"},
 		{"no issue", "sample/red TestRed: counts too few", "is not of the form"},
 		{"no number", "sample/red TestRed: counts too few, issue none", "is not of the form"},
 		{"no package", "TestRed: counts too few, issue 30", "is not of the form"},
 		{"a pattern", "sample/red .*: counts too few, issue 30", "is not of the form"},
-		{"a remark", "# nothing is red", "is not of the form"},
+		{"a comment", "# nothing is red", "is not of the form"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := parseList(c.list)
@@ -188,21 +191,21 @@
 	}
 }
 
-// The whole program: no list is an empty one, and a problem is an error.
+// A missing list file is an empty list, and a problem is an error.
 func TestCheck(t *testing.T) {
 	list := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
-	run := recorded(t, "red")
+	run := recordedRun(t, "red")
 	if err := check(list, strings.NewReader(run), &strings.Builder{}); err == nil {
-		t.Error("a test that is not listed failed, and the run passed")
+		t.Error("check returned no error for a failed test that is not listed")
 	}
-	if err := os.WriteFile(list, []byte(redTest), 0o600); err != nil {
+	if err := os.WriteFile(list, []byte(listedTest), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
 	if err := check(list, strings.NewReader(run), &out); err != nil {
-		t.Errorf("a listed test failed, and the run with it: %v", err)
+		t.Errorf("check returned an error for a failed test that is listed: %v", err)
 	}
-	if !strings.HasSuffix(out.String(), "known red: "+redTest) {
-		t.Errorf("the listed test is not printed at the end:\n%s", out.String())
+	if !strings.HasSuffix(out.String(), "known red: "+listedTest) {
+		t.Errorf("output does not end with the listed test:\n%s", out.String())
 	}
 }
