--- a/bench/bound.go
+++ b/bench/bound.go
@@ -8,47 +8,47 @@
 	"spanrill/standin/engine"
 )
 
-// Mix is what callers ask for.
+// Mix describes the prompts and answer lengths of the requests.
 type Mix struct {
-	PromptWords int // words of each prompt
-	SharedWords int // words of it that many prompts begin with
-	MinTokens   int
-	MaxTokens   int
-	Prompts     int // different shared beginnings
+	PromptWords    int // words of each prompt
+	SharedWords    int // length of the shared prefix, within PromptWords
+	MinTokens      int // length of the shortest answer
+	MaxTokens      int // length of the longest answer
+	SharedPrefixes int // number of different shared prefixes
 }
 
-// DefaultMix is the mix of scenes that name none.
-var DefaultMix = Mix{PromptWords: 40, SharedWords: 32, MinTokens: 12, MaxTokens: 36, Prompts: 64}
+// DefaultMix is used if Options sets no Mix.
+var DefaultMix = Mix{PromptWords: 40, SharedWords: 32, MinTokens: 12, MaxTokens: 36, SharedPrefixes: 64}
 
-// meanTokens returns the mean length of an answer.
+// meanTokens returns the mean length of an answer in tokens.
 func (m Mix) meanTokens() float64 { return float64(m.MinTokens+m.MaxTokens) / 2 }
 
-// The cost of prefill in the stand-in engines.
+// The cost of prefill in the stand-in engines (standin/engine).
 const (
 	prefillWeight = 0.1
 	prefillChunk  = 64
 	cacheBlock    = 16
 )
 
-// jobs returns the batch places that a request takes on each stage, and their
-// weight. The best case is counted: all shared words are cached.
-func (m Mix) jobs() (places, weight float64) {
+// cost returns the batch slots that a request takes on each stage, and their
+// total weight. It assumes the best case: all shared words are cached.
+func (m Mix) cost() (slots, weight float64) {
 	cached := m.SharedWords / cacheBlock * cacheBlock
 	positions := float64(m.PromptWords - cached)
 	return math.Ceil(positions/prefillChunk) + m.meanTokens(), prefillWeight*positions + m.meanTokens()
 }
 
-// engineRate returns the requests a second that an engine can carry when all
+// engineRate returns the requests a second that an engine can serve when all
 // its batches are full.
 func engineRate(s engine.Speed, layers int, m Mix) float64 {
-	places, weight := m.jobs()
-	perPlace := weight / places
-	step := float64(s.Step) + float64(s.TokenLayer)*float64(layers)*float64(s.Slots)*perPlace
-	return float64(s.Slots) / (step / float64(time.Second)) / places
+	slots, weight := m.cost()
+	weightPerSlot := weight / slots
+	step := float64(s.Step) + float64(s.TokenLayer)*float64(layers)*float64(s.Slots)*weightPerSlot
+	return float64(s.Slots) / (step / float64(time.Second)) / slots
 }
 
-// Bound returns the requests a second that the engines of a scene could carry
-// at the most: the largest flow from the first layer to the last one.
+// Bound returns an upper bound on the requests a second that the engines of a
+// scene can serve: the maximum flow from the first layer to the last one.
 func Bound(engines []scene.Engine, layers int, m Mix) float64 {
 	capacity := make([][]float64, layers+1)
 	for i := range capacity {
@@ -73,34 +73,37 @@
 	}
 }
 
-// augment returns a path with room from the first layer to the last one, found
-// breadth first (Edmonds and Karp, 1972), and its room.
+// augment returns the shortest augmenting path from the first layer to the last
+// one, found by breadth-first search (Edmonds and Karp, 1972), and the flow that
+// it can take. The flow is 0 if there is no path.
 func augment(capacity [][]float64) (path []int, flow float64) {
 	last := len(capacity) - 1
-	before := make([]int, last+1)
-	for i := range before {
-		before[i] = -1
+	parent := make([]int, last+1)
+	for i := range parent {
+		parent[i] = -1
 	}
 	queue := []int{0}
-	for len(queue) > 0 && before[last] < 0 {
-		at := queue[0]
+	for len(queue) > 0 && parent[last] < 0 {
+		node := queue[0]
 		queue = queue[1:]
-		for to, room := range capacity[at] {
-			if room > smallestFlow && before[to] < 0 && to != 0 {
-				before[to] = at
+		for to, residual := range capacity[node] {
+			if residual > minFlow && parent[to] < 0 && to != 0 {
+				parent[to] = node
 				queue = append(queue, to)
 			}
 		}
 	}
-	if before[last] < 0 {
+	if parent[last] < 0 {
 		return nil, 0
 	}
 	flow = math.Inf(1)
-	for at := last; at != 0; at = before[at] {
-		path = append([]int{at}, path...)
-		flow = math.Min(flow, capacity[before[at]][at])
+	for node := last; node != 0; node = parent[node] {
+		path = append([]int{node}, path...)
+		flow = math.Min(flow, capacity[parent[node]][node])
 	}
 	return append([]int{0}, path...), flow
 }
 
-const smallestFlow = 1e-9
+// minFlow is the residual capacity, in requests a second, up to which an edge counts
+// as full.
+const minFlow = 1e-9
--- a/bench/control.go
+++ b/bench/control.go
@@ -8,8 +8,8 @@
 	"spanrill/scene"
 )
 
-// Control is what it costs to keep a quiet fleet together, for each daemon and
-// second.
+// ControlTraffic is the traffic of a fleet without requests: messages between
+// daemons and calls of the platform, for each daemon and second.
 type Control struct {
 	Daemons  int     `json:"daemons"`
 	Engines  int     `json:"engines"`
@@ -20,38 +20,39 @@
 	Boxes    float64 `json:"box_lists"`
 }
 
-// MeasureControl counts messages and calls of a quiet fleet for a while.
-func MeasureControl(ctx context.Context, spec scene.Spec, d time.Duration) (*Control, error) {
+// MeasureControlTraffic measures a fleet without requests for a duration.
+func MeasureControl(ctx context.Context, spec scene.Spec, duration time.Duration) (*Control, error) {
 	s, err := scene.Start(ctx, spec)
 	if err != nil {
 		return nil, fmt.Errorf("start scene: %w", err)
 	}
 	defer s.Close()
-	before, calls := traffic(s), s.Platform().Calls()
+	bytesBefore, callsBefore := peerTraffic(s), s.Platform().Calls()
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
-	after, now := traffic(s), s.Platform().Calls()
-	per := d.Seconds() * float64(len(s.Daemons()))
+	bytesAfter, callsAfter := peerTraffic(s), s.Platform().Calls()
+	daemonSeconds := duration.Seconds() * float64(len(s.Daemons()))
 	return &Control{
 		Daemons: len(s.Daemons()), Engines: len(spec.Engines),
-		SentKB:   float64(after.sent-before.sent) / per / 1000,
-		Received: float64(after.received-before.received) / per / 1000,
-		Reads:    float64(now.Reads+now.Watches-calls.Reads-calls.Watches) / per,
-		Writes:   float64(now.Writes-calls.Writes) / per,
-		Boxes:    float64(now.Boxes-calls.Boxes) / per,
+		SentKB:   float64(bytesAfter.sent-bytesBefore.sent) / daemonSeconds / 1000,
+		Received: float64(bytesAfter.received-bytesBefore.received) / daemonSeconds / 1000,
+		Reads:    float64(callsAfter.Reads+callsAfter.Watches-callsBefore.Reads-callsBefore.Watches) / daemonSeconds,
+		Writes:   float64(callsAfter.Writes-callsBefore.Writes) / daemonSeconds,
+		Boxes:    float64(callsAfter.Boxes-callsBefore.Boxes) / daemonSeconds,
 	}, nil
 }
 
-type bytesCount struct{ sent, received uint64 }
+// byteCounts is the traffic of all daemons with their peers.
+type byteCounts struct{ sent, received uint64 }
 
-func traffic(s *scene.Scene) bytesCount {
-	var b bytesCount
+func peerTraffic(s *scene.Scene) byteCounts {
+	var total byteCounts
 	for _, d := range s.Daemons() {
-		b.sent += d.Meters().PeerBytesSent.Get()
-		b.received += d.Meters().PeerBytesReceived.Get()
+		total.sent += d.Meters().PeerBytesSent.Get()
+		total.received += d.Meters().PeerBytesReceived.Get()
 	}
-	return b
+	return total
 }
--- a/bench/load.go
+++ b/bench/load.go
@@ -1,9 +1,10 @@
-// Package bench measures a fleet of spanrill daemons before stand-ins.
+// Package bench measures a fleet of spanrill daemons in front of stand-ins.
 //
-// Requests arrive open loop: at times that were drawn in advance and do not
-// wait for answers, so that a slow fleet is not offered less. Latencies are
-// taken from the intended send time. Every answer is compared with the one
-// computed in one place; one that differs, is late or is cut counts nothing.
+// The load is open loop: requests are sent at times that are drawn in advance
+// and do not depend on answers, so that a slow fleet is not offered less.
+// Latencies are measured from the intended send time. Every answer is compared
+// with the one that the model computes locally. An answer that differs, is late
+// or is cut off does not count as useful.
 //
 // # Usage
 //
@@ -32,19 +33,19 @@
 	"spanrill/task"
 )
 
-// Options says what is offered.
+// Options sets the load of a run.
 type Options struct {
-	Load     float64       // offered, as a part of the bound
-	Duration time.Duration // of the measurement
-	Warmup   time.Duration // before it
+	Load     float64       // offered rate as a fraction of Bound
+	Duration time.Duration // of the measurement, after Warmup
+	Warmup   time.Duration // at the start, not measured
 	Mix      Mix
 	Seed     uint64
-	Deadline time.Duration // an answer that is later counts nothing
-	Shares   []float64     // of the accounts in the offered load; empty: equal
-	Steady   bool          // arrivals at equal distances, so that a dip is the fault's
+	Deadline time.Duration // a later answer is not useful
+	Shares   []float64     // of each client account in the offered load; empty: equal shares
+	Steady   bool          // evenly spaced requests and a fixed cycle of lengths, so that a dip is due to the fault
 }
 
-// withDefaults fills in what is left out.
+// withDefaults returns o with defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.Duration == 0 {
 		o.Duration = 10 * time.Second
@@ -64,9 +65,9 @@
 	return o
 }
 
-// arrival is one request of the plan.
+// arrival is one planned request.
 type arrival struct {
-	at      time.Duration // after the start
+	sendAt  time.Duration // since the start of the run
 	daemon  int
 	account int
 	prompt  string
@@ -74,34 +75,34 @@
 	tokens  int
 }
 
-// plan draws the requests of a whole run.
-func plan(s *scene.Scene, o Options, perSecond float64) []arrival {
+// planArrivals draws all requests of a run, at perSecond requests a second on average.
+func planArrivals(s *scene.Scene, o Options, perSecond float64) []arrival {
 	r := rand.New(rand.NewPCG(o.Seed, 0))
-	var all []arrival
+	var arrivals []arrival
 	end := (o.Warmup + o.Duration).Seconds()
-	for at := gap(r, o, perSecond); at < end; at += gap(r, o, perSecond) {
-		all = append(all, arrival{
-			at:      time.Duration(at * float64(time.Second)),
-			daemon:  len(all) % len(s.Daemons()),
+	for sendAt := nextInterval(r, o, perSecond); sendAt < end; sendAt += nextInterval(r, o, perSecond) {
+		arrivals = append(arrivals, arrival{
+			sendAt:  time.Duration(sendAt * float64(time.Second)),
+			daemon:  len(arrivals) % len(s.Daemons()),
 			account: pickAccount(r, o.Shares, len(s.Spec().Accounts)),
-			prompt:  prompt(r, o.Mix, len(all)),
-			seed:    len(all) + 1,
-			tokens:  tokens(r, o, len(all)),
+			prompt:  buildPrompt(r, o.Mix, len(arrivals)),
+			seed:    len(arrivals) + 1,
+			tokens:  answerTokens(r, o, len(arrivals)),
 		})
 	}
-	return all
+	return arrivals
 }
 
-// gap returns the time until the next request, in seconds.
-func gap(r *rand.Rand, o Options, perSecond float64) float64 {
+// nextInterval returns the time until the next request, in seconds.
+func nextInterval(r *rand.Rand, o Options, perSecond float64) float64 {
 	if o.Steady {
 		return 1 / perSecond
 	}
 	return r.ExpFloat64() / perSecond
 }
 
-// tokens returns the length of the n-th answer.
-func tokens(r *rand.Rand, o Options, n int) int {
+// answerTokens returns the length in tokens of the n-th answer.
+func answerTokens(r *rand.Rand, o Options, n int) int {
 	span := o.Mix.MaxTokens - o.Mix.MinTokens + 1
 	if o.Steady {
 		return o.Mix.MinTokens + n*7%span
@@ -109,6 +110,7 @@
 	return o.Mix.MinTokens + r.IntN(span)
 }
 
+// pickAccount draws the index of a client account.
 func pickAccount(r *rand.Rand, shares []float64, accounts int) int {
 	if len(shares) == 0 {
 		return r.IntN(accounts)
@@ -122,9 +124,10 @@
 	return len(shares) - 1
 }
 
-// prompt begins like many others and ends like none.
-func prompt(r *rand.Rand, m Mix, n int) string {
-	shared := r.IntN(m.Prompts)
+// buildPrompt returns a prompt that starts with one of the shared prefixes and ends with words
+// of its own.
+func buildPrompt(r *rand.Rand, m Mix, n int) string {
+	shared := r.IntN(m.SharedPrefixes)
 	var b strings.Builder
 	for i := range m.PromptWords {
 		if i < m.SharedWords {
@@ -136,55 +139,57 @@
 	return strings.TrimSpace(b.String())
 }
 
-// Tally counts what a run delivered. Its histograms are in microseconds.
+// Tally collects the results of a run. Its histograms are in microseconds.
 type Tally struct {
-	mu       sync.Mutex
-	started  time.Time
-	offered  int
-	useful   int
-	wrong    int
-	late     int
-	failed   map[string]int // by code
-	tokens   []int          // delivered in each window
-	first    *hdrhistogram.Histogram
-	between  *hdrhistogram.Histogram
-	refusal  *hdrhistogram.Histogram // time until a refusal
-	accounts []accountTally
+	mu            sync.Mutex
+	started       time.Time
+	offered       int
+	useful        int
+	wrong         int
+	late          int
+	failed        map[string]int // by error code
+	tokens        []int          // received in each window
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
+	refusals      *hdrhistogram.Histogram // time until a refusal or another failure
+	accounts      []accountTally
 }
 
-// accountTally counts for one account.
+// accountTally collects the results of one client account.
 type accountTally struct {
 	offered int
 	useful  int
-	whole   *hdrhistogram.Histogram
+	answers *hdrhistogram.Histogram // time until the whole answer was received
 }
 
-// window is the length of the windows in which tokens are counted.
+// window is the length of the intervals in which received tokens are counted.
 const window = 250 * time.Millisecond
 
 const (
-	highestMicros = 120_000_000
-	digits        = 3
+	maxLatencyMicros  = 120_000_000
+	significantDigits = 3
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, highestMicros, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyMicros, significantDigits)
+}
 
-func newTally(started time.Time, accounts int, whole time.Duration) *Tally {
+func newTally(started time.Time, accounts int, length time.Duration) *Tally {
 	t := &Tally{
-		started: started, failed: map[string]int{}, first: newHistogram(), between: newHistogram(),
-		refusal: newHistogram(), tokens: make([]int, int(whole/window)+400),
+		started: started, failed: map[string]int{}, firstToken: newHistogram(), betweenTokens: newHistogram(),
+		refusals: newHistogram(), tokens: make([]int, int(length/window)+400),
 	}
 	for range accounts {
-		t.accounts = append(t.accounts, accountTally{whole: newHistogram()})
+		t.accounts = append(t.accounts, accountTally{answers: newHistogram()})
 	}
 	return t
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(1, min(d.Microseconds(), highestMicros)))
+	_ = h.RecordValue(max(1, min(d.Microseconds(), maxLatencyMicros)))
 }
 
-// runner sends the requests of a plan.
+// runner sends the planned requests of a run.
 type runner struct {
 	scene  *scene.Scene
 	opts   Options
@@ -206,99 +211,103 @@
 	}
 }
 
-// run sends every request at its time and returns when all have ended.
+// run sends each request at its time and returns when all have ended, or at the end of ctx.
 func (r *runner) run(ctx context.Context, arrivals []arrival) {
 	var tasks task.Group
 	for _, a := range arrivals {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(r.tally.started.Add(a.at))):
+		case <-time.After(time.Until(r.tally.started.Add(a.sendAt))):
 		}
 		tasks.Start(ctx, "request", func(ctx context.Context) error {
-			r.send(ctx, a)
+			r.sendAndCheck(ctx, a)
 			return nil
 		})
 	}
 	_ = tasks.Wait()
 }
 
-// outcome is how one request ended.
-type outcome struct {
-	code  string // why it failed, or ""
-	text  string
-	first time.Duration
-	whole time.Duration
+// requestResult is the answer or failure of one request. Its times count from the intended send
+// time.
+type requestResult struct {
+	code       string // error code, empty if it succeeded
+	text       string
+	firstToken time.Duration
+	total      time.Duration
 }
 
-func (r *runner) send(ctx context.Context, a arrival) {
+// sendAndCheck sends a request and counts its result against the expected answer.
+func (r *runner) sendAndCheck(ctx context.Context, a arrival) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.Deadline+time.Second)
 	defer cancel()
-	out := r.ask(ctx, a)
+	got := r.stream(ctx, a)
 	want := ""
-	if out.code == "" {
+	if got.code == "" {
 		want = model.Text(model.Answer(r.spec, "<user> "+a.prompt, uint64(a.seed), a.tokens))
 	}
-	r.tally.count(a, out, want, r.opts)
+	r.tally.count(a, got, want, r.opts)
 }
 
-// count takes the end of a request. What was delivered counts by the time at
-// which it was whole, and all else by the time at which it was to be sent: after
-// an overload the answers of the backlog would count for more than was carried.
-func (t *Tally) count(a arrival, out outcome, want string, o Options) {
+// count records the result of a request. A useful answer counts if it was complete within the
+// measured time: by send time, the backlog that is answered after an overload would count as
+// carried during it. Offered requests, failures and latencies count if the intended send time is
+// after the warmup. Wrong and late answers always count.
+func (t *Tally) count(a arrival, got requestResult, want string, o Options) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	account := &t.accounts[a.account]
-	measured := a.at >= o.Warmup
+	measured := a.sendAt >= o.Warmup
 	if measured {
 		t.offered++
 		account.offered++
 	}
 	switch {
-	case out.code != "":
+	case got.code != "":
 		if measured {
-			t.failed[out.code]++
-			record(t.refusal, out.whole)
+			t.failed[got.code]++
+			record(t.refusals, got.total)
 		}
 		return
-	case out.text != want:
+	case got.text != want:
 		t.wrong++
 		return
-	case out.whole > o.Deadline:
+	case got.total > o.Deadline:
 		t.late++
 		return
 	}
-	if end := a.at + out.whole; end >= o.Warmup && end < o.Warmup+o.Duration {
+	if end := a.sendAt + got.total; end >= o.Warmup && end < o.Warmup+o.Duration {
 		t.useful++
 		account.useful++
 	}
 	if measured {
-		record(account.whole, out.whole)
-		record(t.first, out.first)
+		record(account.answers, got.total)
+		record(t.firstToken, got.firstToken)
 	}
 }
 
-// ask streams one answer. Times count from the intended send time.
-func (r *runner) ask(ctx context.Context, a arrival) outcome {
-	intended := r.tally.started.Add(a.at)
+// stream sends a request and reads its answer as a stream.
+func (r *runner) stream(ctx context.Context, a arrival) requestResult {
+	intended := r.tally.started.Add(a.sendAt)
 	body := fmt.Sprintf(`{"model":%q,"seed":%d,"max_tokens":%d,"stream":true,"messages":[{"role":"user","content":%q}]}`,
 		r.spec.Name, a.seed, a.tokens, a.prompt)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.scene.URL(a.daemon)+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		return outcome{code: "request"}
+		return requestResult{code: "request"}
 	}
 	req.Header.Set("Authorization", "Bearer "+scene.KeyPrefix+r.scene.Spec().Accounts[a.account].Name)
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return outcome{code: "connection", whole: time.Since(intended)}
+		return requestResult{code: "connection", total: time.Since(intended)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return outcome{code: errorCode(json.NewDecoder(resp.Body)), whole: time.Since(intended)}
+		return requestResult{code: errorCode(json.NewDecoder(resp.Body)), total: time.Since(intended)}
 	}
-	return r.read(bufio.NewReader(resp.Body), a, intended)
+	return r.readStream(bufio.NewReader(resp.Body), a, intended)
 }
 
+// errorCode returns the code of an error body.
 func errorCode(d *json.Decoder) string {
 	var e struct{ Error struct{ Code string } }
 	if d.Decode(&e) != nil || e.Error.Code == "" {
@@ -307,55 +316,56 @@
 	return e.Error.Code
 }
 
-// chunk is one event of a stream.
+// chunk is one event of a streamed answer.
 type chunk struct {
 	Choices []struct{ Delta struct{ Content string } }
 	Error   *struct{ Code string }
 }
 
-func (r *runner) read(lines *bufio.Reader, a arrival, intended time.Time) outcome {
-	var out outcome
+// readStream reads an answer to its end and counts its tokens.
+func (r *runner) readStream(lines *bufio.Reader, a arrival, intended time.Time) requestResult {
+	var got requestResult
 	var text strings.Builder
-	last := intended
+	previous := intended
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return outcome{code: "cut", whole: time.Since(intended)}
+			return requestResult{code: "cut", total: time.Since(intended)}
 		}
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
 		if !ok {
 			continue
 		}
 		if string(data) == "[DONE]" {
-			out.text, out.whole = text.String(), time.Since(intended)
-			return out
+			got.text, got.total = text.String(), time.Since(intended)
+			return got
 		}
 		var c chunk
 		if json.Unmarshal(data, &c) != nil {
-			return outcome{code: "unreadable", whole: time.Since(intended)}
+			return requestResult{code: "unreadable", total: time.Since(intended)}
 		}
 		if c.Error != nil {
-			return outcome{code: c.Error.Code, whole: time.Since(intended)}
+			return requestResult{code: c.Error.Code, total: time.Since(intended)}
 		}
 		if len(c.Choices) > 0 && c.Choices[0].Delta.Content != "" {
 			text.WriteString(c.Choices[0].Delta.Content)
-			last = r.tally.token(a, last, &out, intended, r.opts.Warmup)
+			previous = r.tally.recordToken(a, previous, &got, intended, r.opts.Warmup)
 		}
 	}
 }
 
-// token counts one token and returns its time.
-func (t *Tally) token(a arrival, last time.Time, out *outcome, intended time.Time, warmup time.Duration) time.Time {
+// recordToken counts a token that was received now, and returns the current time.
+func (t *Tally) recordToken(a arrival, previous time.Time, got *requestResult, intended time.Time, warmup time.Duration) time.Time {
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w := int(now.Sub(t.started) / window); w < len(t.tokens) {
 		t.tokens[w]++
 	}
-	if out.first == 0 {
-		out.first = now.Sub(intended)
-	} else if a.at >= warmup {
-		record(t.between, now.Sub(last))
+	if got.firstToken == 0 {
+		got.firstToken = now.Sub(intended)
+	} else if a.sendAt >= warmup {
+		record(t.betweenTokens, now.Sub(previous))
 	}
 	return now
 }
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -16,7 +16,8 @@
 	"spanrill/scene"
 )
 
-// Overhead compares calls through a daemon with direct ones, in milliseconds.
+// Overhead compares the latency of calls through a daemon with that of direct
+// calls, in milliseconds.
 type Overhead struct {
 	Name      string  `json:"name"`
 	DirectP50 float64 `json:"direct_p50"`
@@ -27,8 +28,8 @@
 	AddedP99  float64 `json:"added_p99"`
 }
 
-// MeasureOverhead calls the same stand-ins directly and through a daemon, in
-// turn and one at a time.
+// MeasureOverhead calls the same stand-ins directly and through a daemon,
+// alternately and one call at a time.
 func MeasureOverhead(ctx context.Context, calls int) ([]Overhead, error) {
 	spec := scene.Demo()
 	spec.Daemons, spec.Engines = 1, spec.Engines[:3]
@@ -40,7 +41,7 @@
 		return nil, fmt.Errorf("start scene: %w", err)
 	}
 	defer s.Close()
-	o := &overhead{scene: s, calls: calls, client: &http.Client{}}
+	o := &overheadRunner{scene: s, calls: calls, client: &http.Client{}}
 	service, err := o.compare(ctx, "plain service call", o.directService, o.routedService)
 	if err != nil {
 		return nil, err
@@ -52,38 +53,39 @@
 	return []Overhead{service, chain}, nil
 }
 
-type overhead struct {
+type overheadRunner struct {
 	scene  *scene.Scene
 	calls  int
 	client *http.Client
 }
 
-func (o *overhead) compare(ctx context.Context, name string, direct, routed func(context.Context, int) error) (Overhead, error) {
-	d, r := newHistogram(), newHistogram()
+// compare measures direct and routed calls alternately.
+func (o *overheadRunner) compare(ctx context.Context, name string, direct, routed func(context.Context, int) error) (Overhead, error) {
+	directTimes, routedTimes := newHistogram(), newHistogram()
 	for i := range o.calls + o.calls/10 {
-		for _, m := range []struct {
-			call func(context.Context, int) error
-			into *hdrhistogram.Histogram
-		}{{direct, d}, {routed, r}} {
+		for _, variant := range []struct {
+			call  func(context.Context, int) error
+			times *hdrhistogram.Histogram
+		}{{direct, directTimes}, {routed, routedTimes}} {
 			started := time.Now()
-			if err := m.call(ctx, i); err != nil {
+			if err := variant.call(ctx, i); err != nil {
 				return Overhead{}, fmt.Errorf("%s: %w", name, err)
 			}
-			if i >= o.calls/10 { // the first ones warm up
-				record(m.into, time.Since(started))
+			if i >= o.calls/10 { // the first calls are the warmup
+				record(variant.times, time.Since(started))
 			}
 		}
 	}
-	v := Overhead{
+	comparison := Overhead{
 		Name:      name,
-		DirectP50: percentile(d, 50), DirectP99: percentile(d, 99),
-		RoutedP50: percentile(r, 50), RoutedP99: percentile(r, 99),
+		DirectP50: percentile(directTimes, 50), DirectP99: percentile(directTimes, 99),
+		RoutedP50: percentile(routedTimes, 50), RoutedP99: percentile(routedTimes, 99),
 	}
-	v.AddedP50, v.AddedP99 = v.RoutedP50-v.DirectP50, v.RoutedP99-v.DirectP99
-	return v, nil
+	comparison.AddedP50, comparison.AddedP99 = comparison.RoutedP50-comparison.DirectP50, comparison.RoutedP99-comparison.DirectP99
+	return comparison, nil
 }
 
-func (o *overhead) post(ctx context.Context, url string, body []byte) error {
+func (o *overheadRunner) post(ctx context.Context, url string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("make request: %w", err)
@@ -104,21 +106,21 @@
 	return nil
 }
 
-func (o *overhead) directService(ctx context.Context, i int) error {
+func (o *overheadRunner) directService(ctx context.Context, i int) error {
 	return o.post(ctx, "http://"+o.scene.Addr("readings-1")+"/readings", fmt.Appendf(nil, `{"id":"direct-%d"}`, i))
 }
 
-func (o *overhead) routedService(ctx context.Context, i int) error {
+func (o *overheadRunner) routedService(ctx context.Context, i int) error {
 	return o.post(ctx, o.scene.URL(0)+"/services/readings/readings", fmt.Appendf(nil, `{"id":"routed-%d"}`, i))
 }
 
-func (o *overhead) chatBody(i int) []byte {
+func (o *overheadRunner) chatBody(i int) []byte {
 	return fmt.Appendf(nil, `{"model":%q,"seed":1,"max_tokens":1,"messages":[{"role":"user","content":"hive %d"}]}`,
 		o.scene.Spec().Model.Name, i)
 }
 
-// directRun gives a chain to its first engine, as a daemon does.
-func (o *overhead) directRun(ctx context.Context, i int) error {
+// directRun sends a run request to the first engine of a chain, as a daemon does.
+func (o *overheadRunner) directRun(ctx context.Context, i int) error {
 	m := o.scene.Spec().Model
 	run := spanrill.RunRequest{
 		ID: fmt.Sprintf("direct-%d", i), Path: "/v1/chat/completions", Body: o.chatBody(i),
@@ -131,8 +133,9 @@
 	return o.post(ctx, "http://"+run.Chain[0].Addr+"/v1/run", body)
 }
 
-// chain is made of the first engine that the daemon knows of each stage.
-func (o *overhead) chain() []spanrill.StageRef {
+// chain builds a chain from the engines that the daemon knows: for each stage, the
+// first one that begins at the layer at which the stage before ends.
+func (o *overheadRunner) chain() []spanrill.StageRef {
 	var chain []spanrill.StageRef
 	for layer := 0; layer < o.scene.Spec().Model.Layers; {
 		next := layer
@@ -151,6 +154,6 @@
 	return chain
 }
 
-func (o *overhead) routedRun(ctx context.Context, i int) error {
+func (o *overheadRunner) routedRun(ctx context.Context, i int) error {
 	return o.post(ctx, o.scene.URL(0)+"/v1/chat/completions", o.chatBody(i))
 }
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -13,34 +13,35 @@
 	"spanrill/standin/engine"
 )
 
-// Fault is what befalls a scene in the middle of a run.
+// Fault names a fault that is injected during a run.
 type Fault string
 
 // The faults of a recovery run.
 const (
-	FaultKill       Fault = "kill"        // a tenth of the engines dies
-	FaultStage      Fault = "stage"       // one engine dies
+	FaultKill       Fault = "kill"        // a tenth of the engines is killed
+	FaultStage      Fault = "stage"       // one engine is killed
 	FaultSlowEngine Fault = "slow-engine" // the fastest engine runs at a tenth of its speed
-	FaultSlowLink   Fault = "slow-link"   // the links into one engine slow down a hundredfold
-	FaultDaemon     Fault = "daemon"      // one daemon stops as planned, and callers use the others
-	FaultZone       Fault = "zone"        // the engines of one availability zone die
-	FaultFlap       Fault = "flap"        // one engine is slow and fast in turn, every second
+	FaultSlowLink   Fault = "slow-link"   // the links into one engine are a hundred times slower
+	FaultDaemon     Fault = "daemon"      // one daemon shuts down, and callers use the others
+	FaultZone       Fault = "zone"        // the engines of one availability zone are killed
+	FaultFlap       Fault = "flap"        // one engine alternates between slow and fast every second
 )
 
-// Faults lists the faults.
+// Faults returns all faults.
 func Faults() []Fault {
 	return []Fault{FaultStage, FaultKill, FaultSlowEngine, FaultSlowLink, FaultDaemon, FaultZone, FaultFlap}
 }
 
-// recoveredPart is the part of the throughput before the fault, or of what the
-// engines left can carry, that counts as recovered.
-const recoveredPart = 0.95
+// recoveredShare is the share of the throughput before the fault that counts as
+// recovered. If the remaining engines cannot serve the offered load, it is the share
+// of what they can serve.
+const recoveredShare = 0.95
 
-// smoothing is how many windows a throughput is taken over.
-const smoothing = 4
+// smoothingWindows is the number of windows over which the throughput is averaged.
+const smoothingWindows = 4
 
-// Recovery offers a load, lets a fault happen, and reports how long it took
-// until the tokens a second were back.
+// Recovery offers a load, injects a fault, and reports how long it took until the
+// throughput in tokens a second had recovered.
 func Recovery(ctx context.Context, spec scene.Spec, o Options, fault Fault) (*Report, error) {
 	o = o.withDefaults()
 	o.Steady = true
@@ -49,89 +50,93 @@
 		return nil, fmt.Errorf("start scene: %w", err)
 	}
 	defer s.Close()
-	left, inject, err := prepare(s, fault)
+	remaining, inject, err := prepareFault(s, fault)
 	if err != nil {
 		return nil, err
 	}
 	bound := Bound(spec.Engines, spec.Model.Layers, o.Mix)
 	r := newRunner(s, o, time.Now())
-	at := o.Warmup + o.Duration/3
-	arrivals := plan(s, o, bound*o.Load)
+	faultAt := o.Warmup + o.Duration/3
+	arrivals := planArrivals(s, o, bound*o.Load)
 	if fault == FaultDaemon {
-		avoidDaemon(arrivals, at, len(s.Daemons()))
+		redirectFromDaemon(arrivals, faultAt, len(s.Daemons()))
 	}
 	stop := make(chan struct{})
-	timer := time.AfterFunc(time.Until(r.tally.started.Add(at)), func() { inject(stop) })
+	timer := time.AfterFunc(time.Until(r.tally.started.Add(faultAt)), func() { inject(stop) })
 	r.run(ctx, arrivals)
 	timer.Stop()
 	close(stop)
 	report := newReport(s, o, bound, r.tally)
-	report.Recovery = r.tally.recovery(at, o, Bound(left, spec.Model.Layers, o.Mix)/bound/o.Load)
+	report.Recovery = r.tally.recovery(faultAt, o, Bound(remaining, spec.Model.Layers, o.Mix)/bound/o.Load)
 	return report, nil
 }
 
-// avoidDaemon sends requests that come after a stop to the other daemons, as
-// the platform's balancer does.
-func avoidDaemon(arrivals []arrival, at time.Duration, daemons int) {
+// redirectFromDaemon moves the requests to daemon 0 after the fault to the other
+// daemons, as the platform's load balancer does.
+func redirectFromDaemon(arrivals []arrival, faultAt time.Duration, daemons int) {
 	for i := range arrivals {
-		if arrivals[i].at >= at && arrivals[i].daemon == 0 {
+		if arrivals[i].sendAt >= faultAt && arrivals[i].daemon == 0 {
 			arrivals[i].daemon = 1 + i%(daemons-1)
 		}
 	}
 }
 
-// prepare returns the engines that are left after a fault at the speed they
-// are left with, and what makes the fault happen.
-func prepare(s *scene.Scene, fault Fault) (left []scene.Engine, inject func(stop <-chan struct{}), err error) {
-	all := s.Spec().Engines
+// prepareFault returns the engines whose capacity remains after a fault, and a
+// function that injects the fault. An engine that the fault slows down does not
+// count as remaining. Links that it slows down do not reduce the capacity.
+func prepareFault(s *scene.Scene, fault Fault) (remaining []scene.Engine, inject func(stop <-chan struct{}), err error) {
+	engines := s.Spec().Engines
 	switch fault {
 	case FaultStage:
-		return kill(s, func(i int, _ scene.Engine) bool { return i == 0 })
+		return killEngines(s, func(i int, _ scene.Engine) bool { return i == 0 })
 	case FaultKill:
-		return kill(s, func(i int, _ scene.Engine) bool { return i%10 == 0 })
+		return killEngines(s, func(i int, _ scene.Engine) bool { return i%10 == 0 })
 	case FaultZone:
-		return kill(s, func(_ int, e scene.Engine) bool { return e.Zone == all[0].Zone })
+		return killEngines(s, func(_ int, e scene.Engine) bool { return e.Zone == engines[0].Zone })
 	case FaultSlowEngine:
-		return all[1:], func(<-chan struct{}) {
-			slow(s, all[0].Name, engine.Faults{Slowdown: slowFactor})
+		return engines[1:], func(<-chan struct{}) {
+			setFaults(s, engines[0].Name, engine.Faults{Slowdown: slowFactor})
 		}, nil
 	case FaultSlowLink:
-		return all, func(<-chan struct{}) { slowLinks(s, all[1]) }, nil
+		return engines, func(<-chan struct{}) { slowLinksInto(s, engines[1]) }, nil
 	case FaultDaemon:
-		return all, func(<-chan struct{}) { s.StopDaemon(0) }, nil
+		return engines, func(<-chan struct{}) { s.StopDaemon(0) }, nil
 	case FaultFlap:
-		return all[1:], func(stop <-chan struct{}) { flap(s, all[0].Name, stop) }, nil
+		return engines[1:], func(stop <-chan struct{}) { alternateSpeed(s, engines[0].Name, stop) }, nil
 	}
 	return nil, nil, errors.Errorf("unknown fault %q: allowed are %v", fault, Faults())
 }
 
+// slowFactor is the slowdown of an engine by FaultSlowEngine and FaultFlap.
 const slowFactor = 10
 
-func kill(s *scene.Scene, dies func(int, scene.Engine) bool) ([]scene.Engine, func(<-chan struct{}), error) {
-	var left []scene.Engine
-	var dead []string
+// killEngines returns the engines that are not selected, and a function that kills
+// the others.
+func killEngines(s *scene.Scene, selected func(int, scene.Engine) bool) ([]scene.Engine, func(<-chan struct{}), error) {
+	var remaining []scene.Engine
+	var killed []string
 	for i, e := range s.Spec().Engines {
-		if dies(i, e) {
-			dead = append(dead, e.Name)
+		if selected(i, e) {
+			killed = append(killed, e.Name)
 			continue
 		}
-		left = append(left, e)
+		remaining = append(remaining, e)
 	}
-	return left, func(<-chan struct{}) {
-		for _, name := range dead {
+	return remaining, func(<-chan struct{}) {
+		for _, name := range killed {
 			s.Engine(name).Kill()
 		}
 	}, nil
 }
 
-// slow changes the faults of an engine and keeps its links.
-func slow(s *scene.Scene, name string, f engine.Faults) {
-	f.LinkMicros = s.Links(name)
-	s.Engine(name).SetFaults(f)
+// setFaults replaces the faults of an engine and keeps the latency of its links.
+func setFaults(s *scene.Scene, name string, faults engine.Faults) {
+	faults.LinkMicros = s.Links(name)
+	s.Engine(name).SetFaults(faults)
 }
 
-// slowLinks makes every link into an engine a hundred times slower.
-func slowLinks(s *scene.Scene, to scene.Engine) {
+// slowLinksInto makes every link into an engine a hundred times slower.
+func slowLinksInto(s *scene.Scene, to scene.Engine) {
 	for _, e := range s.Spec().Engines {
 		links := s.Links(e.Name)
 		links[to.Name] *= 100
@@ -139,13 +144,15 @@
 	}
 }
 
-func flap(s *scene.Scene, name string, stop <-chan struct{}) {
+// alternateSpeed slows an engine down and restores its speed in turn, every second
+// until stop is closed.
+func alternateSpeed(s *scene.Scene, name string, stop <-chan struct{}) {
 	for i := 0; ; i++ {
-		f := engine.Faults{}
+		faults := engine.Faults{}
 		if i%2 == 0 {
-			f.Slowdown = slowFactor
+			faults.Slowdown = slowFactor
 		}
-		slow(s, name, f)
+		setFaults(s, name, faults)
 		select {
 		case <-stop:
 			return
@@ -154,35 +161,36 @@
 	}
 }
 
-// recovery returns the tokens a second before and after the fault, and the
-// seconds until they were back. Possible is what the engines left can carry,
-// as a part of what is offered.
-func (t *Tally) recovery(at time.Duration, o Options, possible float64) map[string]float64 {
-	fault := int(at / window)
+// recovery returns the tokens a second before and after the fault, the lowest rate
+// after it, and the seconds until the rate had recovered, or -1 if it had not.
+// capacityShare is the capacity of the remaining engines as a share of the offered
+// load.
+func (t *Tally) recovery(faultAt time.Duration, o Options, capacityShare float64) map[string]float64 {
+	faultWindow := int(faultAt / window)
 	end := int((o.Warmup + o.Duration) / window)
-	before := t.rate(int(o.Warmup/window), fault)
-	target := recoveredPart * before * math.Min(1, possible)
+	before := t.rate(int(o.Warmup/window), faultWindow)
+	target := recoveredShare * before * math.Min(1, capacityShare)
 	result := map[string]float64{
-		"tokens_before": before, "tokens_after": t.rate(end-3*smoothing, end), "lowest": math.Inf(1), "seconds": -1,
+		"tokens_before": before, "tokens_after": t.rate(end-3*smoothingWindows, end), "lowest": math.Inf(1), "seconds": -1,
 	}
-	for w := fault; w+smoothing <= end; w++ {
-		now := t.rate(w, w+smoothing)
-		result["lowest"] = math.Min(result["lowest"], now)
-		if now >= target && result["seconds"] < 0 && w > fault {
-			result["seconds"] = (time.Duration(w-fault) * window).Seconds()
+	for w := faultWindow; w+smoothingWindows <= end; w++ {
+		rate := t.rate(w, w+smoothingWindows)
+		result["lowest"] = math.Min(result["lowest"], rate)
+		if rate >= target && result["seconds"] < 0 && w > faultWindow {
+			result["seconds"] = (time.Duration(w-faultWindow) * window).Seconds()
 		}
-		if now < target && result["lowest"] == now {
+		if rate < target && result["lowest"] == rate {
 			result["seconds"] = -1
 		}
 	}
 	return result
 }
 
-// rate returns the tokens a second over some windows.
+// rate returns the mean tokens a second of the windows from (inclusive) to (exclusive).
 func (t *Tally) rate(from, to int) float64 {
-	n := 0
-	for _, w := range t.tokens[from:to] {
-		n += w
+	tokens := 0
+	for _, count := range t.tokens[from:to] {
+		tokens += count
 	}
-	return float64(n) / (time.Duration(to-from) * window).Seconds()
+	return float64(tokens) / (time.Duration(to-from) * window).Seconds()
 }
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -13,38 +13,40 @@
 	"spanrill/scene"
 )
 
-// Report is what a run measured. Times are in milliseconds.
+// Report is the result of a run. Times are in milliseconds. Useful answers are
+// correct, complete and in time.
 type Report struct {
-	Scene     string             `json:"scene"`
-	Policy    string             `json:"policy"`
-	Load      float64            `json:"load"`  // offered over bound
-	Bound     float64            `json:"bound"` // requests a second
-	Offered   float64            `json:"offered"`
-	Useful    float64            `json:"useful"` // requests a second
-	OverBound float64            `json:"useful_over_bound"`
-	OverOffer float64            `json:"useful_over_offered"`
-	FirstP50  float64            `json:"first_token_p50"`
-	FirstP95  float64            `json:"first_token_p95"`
-	FirstP99  float64            `json:"first_token_p99"`
-	BetweenP  float64            `json:"between_tokens_p95"`
-	RefusalP  float64            `json:"refusal_p99"`
-	Wrong     int                `json:"wrong"`
-	Late      int                `json:"late"`
-	Failed    map[string]int     `json:"failed"`
-	Retries   map[string]uint64  `json:"retries"`
-	Accounts  []AccountReport    `json:"accounts,omitempty"`
-	Recovery  map[string]float64 `json:"recovery,omitempty"`
+	Scene             string             `json:"scene"`
+	Policy            string             `json:"policy"`
+	Load              float64            `json:"load"`    // offered load as a fraction of the bound
+	Bound             float64            `json:"bound"`   // requests a second, see the function Bound
+	Offered           float64            `json:"offered"` // requests a second
+	Useful            float64            `json:"useful"`  // requests a second
+	UsefulOverBound   float64            `json:"useful_over_bound"`
+	UsefulOverOffered float64            `json:"useful_over_offered"`
+	FirstTokenP50     float64            `json:"first_token_p50"`
+	FirstTokenP95     float64            `json:"first_token_p95"`
+	FirstTokenP99     float64            `json:"first_token_p99"`
+	BetweenTokensP95  float64            `json:"between_tokens_p95"`
+	RefusalP99        float64            `json:"refusal_p99"`
+	Wrong             int                `json:"wrong"`
+	Late              int                `json:"late"`
+	Failed            map[string]int     `json:"failed"`
+	Retries           map[string]uint64  `json:"retries"`
+	Accounts          []AccountReport    `json:"accounts,omitempty"`
+	Recovery          map[string]float64 `json:"recovery,omitempty"`
 }
 
-// AccountReport is what a run measured for one client account.
+// AccountReport is the result of a run for one client account, in requests a second
+// and milliseconds.
 type AccountReport struct {
-	Account string  `json:"account"`
-	Offered float64 `json:"offered"`
-	Useful  float64 `json:"useful"`
-	WholeP  float64 `json:"whole_p99"`
+	Account  string  `json:"account"`
+	Offered  float64 `json:"offered"`
+	Useful   float64 `json:"useful"`
+	WholeP99 float64 `json:"whole_p99"`
 }
 
-// Throughput offers a load to a scene and reports what was delivered.
+// Throughput offers a load to a scene and reports the answers that it delivered.
 func Throughput(ctx context.Context, spec scene.Spec, o Options) (*Report, error) {
 	o = o.withDefaults()
 	s, err := scene.Start(ctx, spec)
@@ -54,7 +56,7 @@
 	defer s.Close()
 	bound := Bound(spec.Engines, spec.Model.Layers, o.Mix)
 	r := newRunner(s, o, time.Now())
-	r.run(ctx, plan(s, o, bound*o.Load))
+	r.run(ctx, planArrivals(s, o, bound*o.Load))
 	return newReport(s, o, bound, r.tally), nil
 }
 
@@ -63,32 +65,32 @@
 	r := &Report{
 		Scene: s.Spec().Model.Name, Policy: s.Daemons()[0].Status().RoutingPolicy, Load: o.Load, Bound: bound,
 		Offered: float64(t.offered) / seconds, Useful: float64(t.useful) / seconds,
-		FirstP50: percentile(t.first, 50), FirstP95: percentile(t.first, 95), FirstP99: percentile(t.first, 99),
-		BetweenP: percentile(t.between, 95), RefusalP: percentile(t.refusal, 99),
-		Wrong: t.wrong, Late: t.late, Failed: t.failed, Retries: retries(s),
+		FirstTokenP50: percentile(t.firstToken, 50), FirstTokenP95: percentile(t.firstToken, 95), FirstTokenP99: percentile(t.firstToken, 99),
+		BetweenTokensP95: percentile(t.betweenTokens, 95), RefusalP99: percentile(t.refusals, 99),
+		Wrong: t.wrong, Late: t.late, Failed: t.failed, Retries: retriesByReason(s),
 	}
-	r.OverBound = r.Useful / bound
-	r.OverOffer = float64(t.useful) / float64(max(1, t.offered))
+	r.UsefulOverBound = r.Useful / bound
+	r.UsefulOverOffered = float64(t.useful) / float64(max(1, t.offered))
 	for i, a := range t.accounts {
 		r.Accounts = append(r.Accounts, AccountReport{
 			Account: s.Spec().Accounts[i].Name, Offered: float64(a.offered) / seconds,
-			Useful: float64(a.useful) / seconds, WholeP: percentile(a.whole, 99),
+			Useful: float64(a.useful) / seconds, WholeP99: percentile(a.answers, 99),
 		})
 	}
 	return r
 }
 
-// retries sums the retries of all daemons by reason.
-func retries(s *scene.Scene) map[string]uint64 {
-	all := map[string]uint64{}
+// retriesByReason sums the retries of all daemons by reason.
+func retriesByReason(s *scene.Scene) map[string]uint64 {
+	total := map[string]uint64{}
 	for _, d := range s.Daemons() {
 		for _, reason := range meter.RetryReasons() {
 			if n := d.Meters().Retries(reason); n > 0 {
-				all[reason.String()] += n
+				total[reason.String()] += n
 			}
 		}
 	}
-	return all
+	return total
 }
 
 // WriteJSON writes the report as JSON.
@@ -99,31 +101,32 @@
 	return nil
 }
 
-// Header is the heading of the rows that WriteRow writes.
+// RowHeader is the heading of the rows that WriteRow writes.
 const Header = "scene           policy           load  bound/s useful/s  /bound /offer  first p50    p95    p99  between p95  refused in p99  failed; retries"
 
 // WriteRow writes the report as one row of a table.
 func (r *Report) WriteRow(w io.Writer) {
 	fmt.Fprintf(w, "%-15s %-15s %5.2f %8.1f %8.1f %7.3f %6.3f %10.1f %6.1f %6.1f %12.1f %15.1f  %s; %s\n",
-		r.Scene, r.Policy, r.Load, r.Bound, r.Useful, r.OverBound, r.OverOffer,
-		r.FirstP50, r.FirstP95, r.FirstP99, r.BetweenP, r.RefusalP, failures(r), counts(r.Retries))
+		r.Scene, r.Policy, r.Load, r.Bound, r.Useful, r.UsefulOverBound, r.UsefulOverOffered,
+		r.FirstTokenP50, r.FirstTokenP95, r.FirstTokenP99, r.BetweenTokensP95, r.RefusalP99, formatFailures(r), formatCounts(r.Retries))
 }
 
-func failures(r *Report) string {
-	all := map[string]uint64{}
+// formatFailures formats the counts of failed, wrong and late answers.
+func formatFailures(r *Report) string {
+	byCode := map[string]uint64{}
 	for code, n := range r.Failed {
-		all[code] = uint64(n)
+		byCode[code] = uint64(n)
 	}
 	if r.Wrong > 0 {
-		all["WRONG"] = uint64(r.Wrong)
+		byCode["WRONG"] = uint64(r.Wrong)
 	}
 	if r.Late > 0 {
-		all["late"] = uint64(r.Late)
+		byCode["late"] = uint64(r.Late)
 	}
-	return counts(all)
+	return formatCounts(byCode)
 }
 
-func counts(m map[string]uint64) string {
+func formatCounts(m map[string]uint64) string {
 	if len(m) == 0 {
 		return "none"
 	}
@@ -135,10 +138,10 @@
 	return strings.Join(parts, " ")
 }
 
-// WriteAccounts writes a row for each account.
+// WriteAccounts writes a heading and a row for each client account.
 func (r *Report) WriteAccounts(w io.Writer) {
 	fmt.Fprintf(w, "  %-14s %10s %10s %12s\n", "account", "offered/s", "useful/s", "whole p99")
 	for _, a := range r.Accounts {
-		fmt.Fprintf(w, "  %-14s %10.1f %10.1f %12.1f\n", a.Account, a.Offered, a.Useful, a.WholeP)
+		fmt.Fprintf(w, "  %-14s %10.1f %10.1f %12.1f\n", a.Account, a.Offered, a.Useful, a.WholeP99)
 	}
 }
