--- a/tools/compare.awk
+++ b/tools/compare.awk
@@ -1,8 +1,8 @@
-# Reads lines of variant, build, site, day, seed, worth, refused and broken, and prints for
-# each site the means of both variants, how far their builds' means lie apart, how far their
-# seeds' means do, and the mean difference of plays of one day, seed and build.
+# Reads lines of variant, build, site, day, seed, worth, refused and broken. Prints for each site
+# the means of both variants, the spread of the means of their builds and of their seeds, and the
+# mean difference between the variants over pairs of runs of the same day, seed and build.
 
-$6 == "none" { lost[$3]++; next }
+$6 == "none" { missing[$3]++; next }
 
 {
 	n[$3, $1]++; sum[$3, $1] += $6; refused[$3, $1] += $7; broken[$3, $1] += $8
@@ -12,8 +12,8 @@
 	sites[$3]; builds[$2]; seeds[$5]; cases[$3, $4, $5, $2] = $3
 }
 
-# apart returns by how much the means of one variant lie apart, over the keys given.
-function apart(site, variant, keys, count, total,   k, m, low, high, first) {
+# spread returns the difference between the largest and the smallest mean of a variant over keys.
+function spread(site, variant, keys, count, total,   k, m, low, high, first) {
 	first = 1
 	for (k in keys) {
 		if (!count[site, variant, k]) continue
@@ -25,10 +25,11 @@
 	return high - low
 }
 
+# row prints the means and spreads of one variant.
 function row(site, variant) {
 	if (!n[site, variant]) return
 	printf "%-28s %-6s %4d  %.3f  %.3f  %.3f  %.4f  %d\n", site, variant, n[site, variant], sum[site, variant] / n[site, variant], \
-		apart(site, variant, builds, bn, bsum), apart(site, variant, seeds, sn, ssum), refused[site, variant] / n[site, variant], broken[site, variant]
+		spread(site, variant, builds, bn, bsum), spread(site, variant, seeds, sn, ssum), refused[site, variant] / n[site, variant], broken[site, variant]
 }
 
 END {
@@ -47,6 +48,6 @@
 			error = sqrt((square - pairs * mean * mean) / (pairs - 1) / pairs)
 			printf "%-28s differ by %+.3f in %d pairs, standard error %.3f\n", site, mean, pairs, error
 		}
-		if (lost[site]) printf "%-28s %d plays gave no figure\n", site, lost[site]
+		if (missing[site]) printf "%-28s %d runs gave no result\n", site, missing[site]
 	}
 }
