--- a/clock/manual.go
+++ b/clock/manual.go
@@ -71,7 +71,7 @@
 	m.timers = pending
 }
 
-// AwaitTimers blocks until at least n calls of After have not fired yet.
+// AwaitTimers blocks until at least n calls of After are waiting to fire.
 func (m *Manual) AwaitAlarms(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
