--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -25,7 +25,7 @@
 
 // At the limit of a key its oldest value is discarded, and several of them after the limit has
 // fallen.
-func TestMaxIdleOf(t *testing.T) {
+func TestMaxIdleFunc(t *testing.T) {
 	var discarded []int
 	limit := 2
 	p := New(WithMaxIdleOf[string, int](func(string) int { return limit }), WithDiscard[string](func(v int) { discarded = append(discarded, v) }))
