--- a/bench/load.go
+++ b/bench/load.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	report, err := bench.Throughput(ctx, scene.Quebec(), bench.Options{Load: 0.9})
-//	report.WriteTable(os.Stdout)
+//	report.WriteRow(os.Stdout)
 package bench
 
 import (
@@ -145,12 +145,12 @@
 	started       time.Time
 	offered       int
 	useful        int
-	wrong         int
-	late          int
-	failed        map[string]int // by error code
-	tokens        []int          // received in each window
-	firstToken    *hdrhistogram.Histogram
-	betweenTokens *hdrhistogram.Histogram
+	wrong         int                     // answers whose text differs
+	late          int                     // answers after the deadline
+	failed        map[string]int          // by error code
+	tokens        []int                   // received in each window
+	firstToken    *hdrhistogram.Histogram // time until the first token
+	betweenTokens *hdrhistogram.Histogram // time between two tokens
 	refusals      *hdrhistogram.Histogram // time until a refusal or another failure
 	accounts      []accountTally
 }
@@ -185,6 +185,7 @@
 	return t
 }
 
+// record adds a duration to a histogram, within its range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(max(1, min(d.Microseconds(), maxLatencyMicros)))
 }
@@ -250,9 +251,9 @@
 }
 
 // count records the result of a request. A useful answer counts if it was complete within the
-// measured time: by send time, the backlog that is answered after an overload would count as
-// carried during it. Offered requests, failures and latencies count if the intended send time is
-// after the warmup. Wrong and late answers always count.
+// measured time. If it counted by its send time, the backlog that is answered after an overload
+// would add to the throughput. Offered requests, failures and latencies count if the intended
+// send time is after the warmup. Wrong and late answers always count.
 func (t *Tally) count(a arrival, got requestResult, want string, o Options) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -53,6 +53,7 @@
 	return []Overhead{service, chain}, nil
 }
 
+// overheadRunner sends the calls of MeasureOverhead.
 type overheadRunner struct {
 	scene  *scene.Scene
 	calls  int
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -186,7 +186,7 @@
 	return result
 }
 
-// rate returns the mean tokens a second of the windows from (inclusive) to (exclusive).
+// rate returns the mean tokens a second from window from up to, but not including, window to.
 func (t *Tally) rate(from, to int) float64 {
 	tokens := 0
 	for _, count := range t.tokens[from:to] {
