--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -84,15 +84,15 @@
 // prepareFault returns the engines whose capacity remains after a fault, and a
 // function that injects the fault. An engine that the fault slows down does not
 // count as remaining. Links that it slows down do not reduce the capacity.
-func prepareFault(s *scene.Scene, fault Fault) (remaining []scene.Engine, inject func(stop <-chan struct{}), err error) {
+func prepareFault(s *scene.Scene, fault Fault) (remaining []scene.EngineSpec, inject func(stop <-chan struct{}), err error) {
 	engines := s.Spec().Engines
 	switch fault {
 	case FaultStage:
-		return killEngines(s, func(i int, _ scene.Engine) bool { return i == 0 })
+		return killEngines(s, func(i int, _ scene.EngineSpec) bool { return i == 0 })
 	case FaultKill:
-		return killEngines(s, func(i int, _ scene.Engine) bool { return i%10 == 0 })
+		return killEngines(s, func(i int, _ scene.EngineSpec) bool { return i%10 == 0 })
 	case FaultZone:
-		return killEngines(s, func(_ int, e scene.Engine) bool { return e.Zone == engines[0].Zone })
+		return killEngines(s, func(_ int, e scene.EngineSpec) bool { return e.Zone == engines[0].Zone })
 	case FaultSlowEngine:
 		return engines[1:], func(<-chan struct{}) {
 			setFaults(s, engines[0].Name, engine.Faults{Slowdown: slowFactor})
@@ -112,8 +112,8 @@
 
 // killEngines returns the engines that are not selected, and a function that kills
 // the others.
-func killEngines(s *scene.Scene, selected func(int, scene.Engine) bool) ([]scene.Engine, func(<-chan struct{}), error) {
-	var remaining []scene.Engine
+func killEngines(s *scene.Scene, selected func(int, scene.EngineSpec) bool) ([]scene.EngineSpec, func(<-chan struct{}), error) {
+	var remaining []scene.EngineSpec
 	var killed []string
 	for i, e := range s.Spec().Engines {
 		if selected(i, e) {
@@ -131,14 +131,14 @@
 
 // setFaults replaces the faults of an engine and keeps the latency of its links.
 func setFaults(s *scene.Scene, name string, faults engine.Faults) {
-	faults.LinkMicros = s.Links(name)
+	faults.LinkMicros = s.LinkDelays(name)
 	s.Engine(name).SetFaults(faults)
 }
 
 // slowLinksInto makes every link into an engine a hundred times slower.
-func slowLinksInto(s *scene.Scene, to scene.Engine) {
+func slowLinksInto(s *scene.Scene, to scene.EngineSpec) {
 	for _, e := range s.Spec().Engines {
-		links := s.Links(e.Name)
+		links := s.LinkDelays(e.Name)
 		links[to.Name] *= 100
 		s.Engine(e.Name).SetFaults(engine.Faults{LinkMicros: links})
 	}
