--- a/cli/spanrillcmd/bench.go
+++ b/cli/spanrillcmd/bench.go
@@ -15,7 +15,7 @@
 
 func benchCommand() *cli.Command {
 	return &cli.Command{
-		Name: "bench", Usage: "measure a fleet of daemons before stand-ins, in this process",
+		Name: "bench", Usage: "measure a fleet of daemons in front of stand-ins, in this process",
 		Description: "spanrill bench throughput --policy least-work,random --load 0.5,0.9\n" +
 			"spanrill bench recovery --fault kill\nspanrill bench overhead\nspanrill bench control",
 		Commands: []*cli.Command{throughputCommand(), recoveryCommand(), overheadCommand(), controlCommand()},
@@ -25,19 +25,20 @@
 func benchFlags(load string) []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "scene", Value: "quebec", Usage: "quebec, dakar or demo"},
-		&cli.StringFlag{Name: "policy", Value: "least-work", Usage: "routing policies, with commas"},
-		&cli.StringFlag{Name: "load", Value: load, Usage: "offered loads as parts of the bound, with commas"},
+		&cli.StringFlag{Name: "policy", Value: "least-work", Usage: "comma-separated routing policies"},
+		&cli.StringFlag{Name: "load", Value: load, Usage: "comma-separated offered loads, as fractions of what the engines could deliver"},
 		&cli.DurationFlag{Name: "duration", Value: 10 * time.Second, Usage: "length of each measurement"},
-		&cli.DurationFlag{Name: "warmup", Value: 5 * time.Second, Usage: "time before each measurement"},
-		&cli.IntFlag{Name: "daemons", Usage: "daemons in place of those of the scene"},
-		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the arrivals and of all choices"},
-		&cli.BoolFlag{Name: "accounts", Usage: "show each account"},
-		&cli.BoolFlag{Name: "greedy", Usage: "let the first account send ten times as much as each other one"},
+		&cli.DurationFlag{Name: "warmup", Value: 5 * time.Second, Usage: "warm-up time before each measurement"},
+		&cli.IntFlag{Name: "daemons", Usage: "number of daemons, instead of that of the scene"},
+		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the arrivals and of all random choices"},
+		&cli.BoolFlag{Name: "accounts", Usage: "show the results of each account as well"},
+		&cli.BoolFlag{Name: "greedy", Usage: "let the first account send ten times as much as each other account"},
 	}
 }
 
-// sceneOf returns the scene that the flags name.
-func sceneOf(c *cli.Command) (scene.Spec, error) {
+// sceneFromFlags returns the scene that --scene names, with the seed and number of daemons from
+// the other flags.
+func sceneFromFlags(c *cli.Command) (scene.Spec, error) {
 	var spec scene.Spec
 	switch name := c.String("scene"); name {
 	case "quebec":
@@ -56,7 +57,7 @@
 	return spec, nil
 }
 
-func optionsOf(c *cli.Command, spec scene.Spec, load float64) bench.Options {
+func optionsFromFlags(c *cli.Command, spec scene.Spec, load float64) bench.Options {
 	o := bench.Options{Load: load, Duration: c.Duration("duration"), Warmup: c.Duration("warmup"), Seed: c.Uint64("seed")}
 	if c.Bool("greedy") {
 		o.Shares = greedyShares(len(spec.Accounts))
@@ -66,7 +67,8 @@
 
 const greedyFactor = 10
 
-// greedyShares gives the first account ten times the share of each other one.
+// greedyShares returns the share of the load for each account. The share of the first account is
+// greedyFactor times that of each other one.
 func greedyShares(accounts int) []float64 {
 	shares := make([]float64, accounts)
 	for i := range shares {
@@ -76,12 +78,12 @@
 	return shares
 }
 
-func loadsOf(c *cli.Command) ([]float64, error) {
+func loadsFromFlags(c *cli.Command) ([]float64, error) {
 	var loads []float64
 	for _, text := range strings.Split(c.String("load"), ",") {
 		var load float64
 		if _, err := fmt.Sscanf(text, "%g", &load); err != nil || load <= 0 {
-			return nil, cli.Exit(fmt.Sprintf("load %q is no positive number", text), exitBadInput)
+			return nil, cli.Exit(fmt.Sprintf("load %q is not a positive number", text), exitBadInput)
 		}
 		loads = append(loads, load)
 	}
@@ -90,9 +92,9 @@
 
 func throughputCommand() *cli.Command {
 	return &cli.Command{
-		Name: "throughput", Usage: "useful answers over what the engines could deliver", Flags: benchFlags("0.9"),
+		Name: "throughput", Usage: "measure useful answers relative to what the engines could deliver", Flags: benchFlags("0.9"),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			return eachRun(ctx, c, func(ctx context.Context, spec scene.Spec, o bench.Options) (*bench.Report, error) {
+			return measureEach(ctx, c, func(ctx context.Context, spec scene.Spec, o bench.Options) (*bench.Report, error) {
 				return bench.Throughput(ctx, spec, o)
 			})
 		},
@@ -101,21 +103,21 @@
 
 func recoveryCommand() *cli.Command {
 	return &cli.Command{
-		Name: "recovery", Usage: "time until the throughput is back after a fault",
+		Name: "recovery", Usage: "measure the time until the throughput has recovered from a fault",
 		Flags: append(benchFlags("0.8"), &cli.StringFlag{
 			Name: "fault", Value: "kill", Usage: "stage, kill, slow-engine, slow-link, daemon, zone or flap",
 		}),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			return eachRun(ctx, c, func(ctx context.Context, spec scene.Spec, o bench.Options) (*bench.Report, error) {
+			return measureEach(ctx, c, func(ctx context.Context, spec scene.Spec, o bench.Options) (*bench.Report, error) {
 				return bench.Recovery(ctx, spec, o, bench.Fault(c.String("fault")))
 			})
 		},
 	}
 }
 
-// eachRun measures each load with each policy.
-func eachRun(ctx context.Context, c *cli.Command, run func(context.Context, scene.Spec, bench.Options) (*bench.Report, error)) error {
-	loads, err := loadsOf(c)
+// measureEach calls run for each combination of load and routing policy, and shows the reports.
+func measureEach(ctx context.Context, c *cli.Command, run func(context.Context, scene.Spec, bench.Options) (*bench.Report, error)) error {
+	loads, err := loadsFromFlags(c)
 	if err != nil {
 		return err
 	}
@@ -124,12 +126,12 @@
 	}
 	for _, load := range loads {
 		for _, policy := range strings.Split(c.String("policy"), ",") {
-			spec, err := sceneOf(c)
+			spec, err := sceneFromFlags(c)
 			if err != nil {
 				return err
 			}
 			spec.Policy = policy
-			report, err := run(ctx, spec, optionsOf(c, spec, load))
+			report, err := run(ctx, spec, optionsFromFlags(c, spec, load))
 			if err != nil {
 				return err
 			}
@@ -141,8 +143,9 @@
 	return nil
 }
 
-// errWrongAnswers means that answers differed from those computed in one place.
-var errWrongAnswers = errors.New("answers were wrong")
+// errWrongAnswers means that answers differed from the reference, which is computed with all layers
+// in one place.
+var errWrongAnswers = errors.New("some answers differ from the reference")
 
 func showReport(c *cli.Command, r *bench.Report) error {
 	if c.Bool(flagJSON) {
--- a/cli/spanrillcmd/benchother.go
+++ b/cli/spanrillcmd/benchother.go
@@ -12,7 +12,7 @@
 
 func overheadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "overhead", Usage: "what a daemon adds to a direct call of the same stand-in",
+		Name: "overhead", Usage: "measure the latency that a daemon adds to a direct call of the same stand-in",
 		Flags: []cli.Flag{&cli.IntFlag{Name: "calls", Value: 500, Usage: "calls of each kind"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			all, err := bench.MeasureOverhead(ctx, c.Int("calls"))
@@ -34,7 +34,7 @@
 
 func controlCommand() *cli.Command {
 	return &cli.Command{
-		Name: "control", Usage: "messages and platform calls of a quiet fleet, for each daemon and second",
+		Name: "control", Usage: "measure messages and platform calls of an idle fleet, per daemon and second",
 		Flags: []cli.Flag{&cli.DurationFlag{Name: "duration", Value: 10 * time.Second, Usage: "length of each measurement"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			var all []*bench.Control
--- a/cli/spanrillcmd/bundle.go
+++ b/cli/spanrillcmd/bundle.go
@@ -14,16 +14,15 @@
 	"spanrill/state/config"
 )
 
-// bundle is a set of documents as get prints and edit reads it.
+// bundle is a set of documents in the form that get prints and edit reads.
 type bundle struct {
-	Revision  uint64  `json:"revision,omitempty"`
-	Documents []entry `json:"documents"`
+	Revision  uint64           `json:"revision,omitempty"`
+	Documents []bundleDocument `json:"documents"`
 }
 
-// entry is one document of a bundle. Base is the hash of the value that get
-// printed; edit takes it as the value that the operator started from. Without
-// a base the document is written whatever it was.
-type entry struct {
+// bundleDocument is one document of a bundle. Base is the hash of the value that get printed. An
+// edit conflicts if the stored value no longer has that hash; without a base it overwrites any value.
+type bundleDocument struct {
 	Kind     config.Kind     `json:"kind"`
 	Name     string          `json:"name"`
 	Base     *string         `json:"base,omitempty"`
@@ -36,7 +35,7 @@
   "additionalProperties": false,
   "required": ["documents"],
   "properties": {
-    "revision": {"type": "integer", "description": "the revision that get printed; not read"},
+    "revision": {"type": "integer", "description": "the revision that get printed; ignored on input"},
     "documents": {
       "type": "array",
       "items": {
@@ -55,20 +54,20 @@
   }
 }`))
 
-func (e entry) key() config.Name { return config.Name{Kind: e.Kind, Name: e.Name} }
+func (e bundleDocument) documentName() config.Name { return config.Name{Kind: e.Kind, Name: e.Name} }
 
-// newBundle returns the documents that match in the order of their names.
+// newBundle returns a bundle of the documents that match, sorted by kind and name.
 func newBundle(revision uint64, docs config.Documents, match func(config.Name) bool) bundle {
-	b := bundle{Revision: revision, Documents: []entry{}}
-	for n, doc := range docs {
-		if !match(n) {
+	b := bundle{Revision: revision, Documents: []bundleDocument{}}
+	for name, doc := range docs {
+		if !match(name) {
 			continue
 		}
 		base := config.HashDocument(doc)
-		b.Documents = append(b.Documents, entry{Kind: n.Kind, Name: n.Name, Base: &base, Document: doc})
+		b.Documents = append(b.Documents, bundleDocument{Kind: name.Kind, Name: name.Name, Base: &base, Document: doc})
 	}
 	sort.Slice(b.Documents, func(i, k int) bool {
-		return b.Documents[i].key().String() < b.Documents[k].key().String()
+		return b.Documents[i].documentName().String() < b.Documents[k].documentName().String()
 	})
 	return b
 }
@@ -101,26 +100,26 @@
 	return data, nil
 }
 
-// change checks each document by itself and returns the change that the bundle
-// asks for, with every mistake at once.
-func (b bundle) change(file, author string) (config.Change, error) {
+// toChange validates each document by itself and returns the bundle as a change by author. Its error
+// lists the problems of all documents.
+func (b bundle) toChange(file, author string) (config.Change, error) {
 	c := config.Change{
 		Author: author, Documents: map[config.Name]json.RawMessage{}, Base: map[config.Name]string{},
 	}
 	var problems checked.Problems
 	for i, e := range b.Documents {
 		if e.Base != nil {
-			c.Base[e.key()] = *e.Base
+			c.Base[e.documentName()] = *e.Base
 		}
 		if e.Remove {
-			c.Documents[e.key()] = nil
+			c.Documents[e.documentName()] = nil
 			continue
 		}
-		doc, err := config.Check(fmt.Sprintf("%s#/documents/%d", file, i), e.key(), indent(e.Document))
-		if err := collect(&problems, err); err != nil {
+		doc, err := config.Check(fmt.Sprintf("%s#/documents/%d", file, i), e.documentName(), indent(e.Document))
+		if err := appendProblems(&problems, err); err != nil {
 			return c, err
 		}
-		c.Documents[e.key()] = doc
+		c.Documents[e.documentName()] = doc
 	}
 	if len(problems) > 0 {
 		return c, problems
@@ -128,17 +127,19 @@
 	return c, nil
 }
 
-// collect adds the problems of err, and returns any other error.
-func collect(all *checked.Problems, err error) error {
-	var ps checked.Problems
-	if errors.As(err, &ps) {
-		*all = append(*all, ps...)
+// appendProblems appends the problems that err consists of and returns nil, or returns err if it is
+// another error.
+func appendProblems(problems *checked.Problems, err error) error {
+	var more checked.Problems
+	if errors.As(err, &more) {
+		*problems = append(*problems, more...)
 		return nil
 	}
 	return err
 }
 
-// indent lays a document out, so that the place of a problem means something.
+// indent formats a document with one field a line, so that the line and column of a problem are
+// useful. It returns invalid JSON unchanged.
 func indent(doc json.RawMessage) []byte {
 	var out bytes.Buffer
 	if json.Indent(&out, doc, "", "  ") != nil {
--- a/cli/spanrillcmd/config.go
+++ b/cli/spanrillcmd/config.go
@@ -14,9 +14,9 @@
 	"spanrill/state/config"
 )
 
-// matcher returns which documents an argument names: none for all, a kind, or
-// kind/name.
-func matcher(arg string) (func(config.Name) bool, error) {
+// documentFilter returns a predicate for the documents that an argument selects: KIND selects those
+// of a kind, KIND/NAME a single one, and an empty argument all.
+func documentFilter(arg string) (func(config.Name) bool, error) {
 	if arg == "" {
 		return func(config.Name) bool { return true }, nil
 	}
@@ -35,11 +35,11 @@
 		Description: "spanrill get template/keeper > keeper.json\n" +
 			"spanrill get account",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			match, err := matcher(c.Args().First())
+			match, err := documentFilter(c.Args().First())
 			if err != nil {
 				return cli.Exit(err.Error(), exitBadInput)
 			}
-			head, docs, err := readAll(ctx, c)
+			head, docs, err := readConfiguration(ctx, c)
 			if err != nil {
 				return err
 			}
@@ -48,8 +48,8 @@
 	}
 }
 
-func readAll(ctx context.Context, c *cli.Command) (*config.Head, config.Documents, error) {
-	store, err := platformOf(c)
+func readConfiguration(ctx context.Context, c *cli.Command) (*config.Head, config.Documents, error) {
+	store, err := platformClient(c)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -75,28 +75,28 @@
 	return &cli.StringFlag{Name: flagFile, Aliases: []string{"f"}, Required: true, Usage: "read documents from `FILE`, or - for standard input"}
 }
 
-// readChange reads the change that the file of the command asks for.
+// readChange reads the bundle that --file names and returns it as a change by author.
 func readChange(c *cli.Command, author string) (config.Change, error) {
 	b, err := readBundle(c.String(flagFile))
 	if err != nil {
 		return config.Change{}, err
 	}
-	return b.change(c.String(flagFile), author)
+	return b.toChange(c.String(flagFile), author)
 }
 
 func editCommand() *cli.Command {
 	return &cli.Command{
-		Name: "edit", Usage: "change documents, all at once or not at all",
+		Name: "edit", Usage: "change documents in one atomic edit",
 		Description: "spanrill get template/keeper > keeper.json\n" +
 			"(change keeper.json)\n" +
 			"spanrill edit --file keeper.json --wait\n\n" +
-			"A document with a base is written only if it still has that value.\n" +
-			"An entry with \"remove\": true removes the document.\n\n" + exitHelp,
+			"A document with a base is written only if its stored value still has that hash.\n" +
+			"A document with \"remove\": true is removed.\n\n" + exitCodeHelp,
 		Flags: []cli.Flag{
 			fileFlag(),
-			&cli.StringFlag{Name: flagAuthor, Value: os.Getenv("USER"), Usage: "who makes the edit"},
-			&cli.BoolFlag{Name: flagWait, Usage: "wait until every live box has the edit in force"},
-			&cli.DurationFlag{Name: flagTimeout, Value: 30 * time.Second, Usage: "bound on the whole command"},
+			&cli.StringFlag{Name: flagAuthor, Value: os.Getenv("USER"), Usage: "author recorded with the edit"},
+			&cli.BoolFlag{Name: flagWait, Usage: "wait until all entry boxes have the edit in force"},
+			&cli.DurationFlag{Name: flagTimeout, Value: 30 * time.Second, Usage: "time limit of the whole command"},
 		},
 		Action: runEdit,
 	}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	store, err := platformOf(c)
+	store, err := platformClient(c)
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// showConflict prints both sides of a conflict.
+// showConflict prints the stored and the submitted document, and returns conflict as the error.
 func showConflict(c *cli.Command, conflict *config.Conflict) error {
 	printf(c, "--- theirs: %s\n%s\n+++ yours\n%s\n", conflict.Document, indent(conflict.Theirs), indent(conflict.Mine))
 	return conflict
@@ -152,7 +152,7 @@
 			if err != nil {
 				return err
 			}
-			_, docs, err := readAll(ctx, c)
+			_, docs, err := readConfiguration(ctx, c)
 			if err != nil {
 				return err
 			}
@@ -161,35 +161,35 @@
 	}
 }
 
-// difference is one document that an edit would change.
+// difference is a document that an edit would change, with its current and its proposed text.
 type difference struct {
 	Document string `json:"document"`
-	Now      string `json:"now"`
-	Then     string `json:"then"`
+	Current  string `json:"now"`
+	Proposed string `json:"then"`
 }
 
 func differences(docs config.Documents, change config.Change) []difference {
-	ds := []difference{}
+	changed := []difference{}
 	for n, doc := range change.Documents {
 		if string(docs[n]) != string(doc) {
-			ds = append(ds, difference{Document: n.String(), Now: string(indent(docs[n])), Then: string(indent(doc))})
+			changed = append(changed, difference{Document: n.String(), Current: string(indent(docs[n])), Proposed: string(indent(doc))})
 		}
 	}
-	return ds
+	return changed
 }
 
-func showDiff(c *cli.Command, ds []difference) error {
+func showDiff(c *cli.Command, changed []difference) error {
 	if c.Bool(flagJSON) {
-		return printJSON(c, ds)
+		return printJSON(c, changed)
 	}
-	for _, d := range ds {
-		printf(c, "%s\n%s", d.Document, lineDiff(d.Now, d.Then))
+	for _, d := range changed {
+		printf(c, "%s\n%s", d.Document, lineDiff(d.Current, d.Proposed))
 	}
 	return nil
 }
 
-// lineDiff shows removed lines with - and added lines with +, around the
-// lines that both texts have at their start and end.
+// lineDiff returns the removed lines prefixed with - and the added lines prefixed with +. It leaves
+// out the lines that both texts have in common at their start and end.
 func lineDiff(before, after string) string {
 	a, b := strings.Split(before, "\n"), strings.Split(after, "\n")
 	start := 0
@@ -215,7 +215,7 @@
 		Name: "history", Usage: "list the recent edits, oldest first",
 		Description: "spanrill history",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			store, err := platformOf(c)
+			store, err := platformClient(c)
 			if err != nil {
 				return err
 			}
@@ -237,8 +237,8 @@
 
 func validateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "validate", Usage: "check an edit against the configuration without making it",
-		Description: "spanrill validate --file keeper.json\n\nWithout --platform the documents must be whole by themselves.",
+		Name: "validate", Usage: "check an edit against the configuration without committing it",
+		Description: "spanrill validate --file keeper.json\n\nWithout --platform the documents may refer only to one another.",
 		Flags:       []cli.Flag{fileFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			change, err := readChange(c, "")
@@ -247,7 +247,7 @@
 			}
 			docs := config.Documents{}
 			if c.String(flagPlatform) != "" {
-				if _, docs, err = readAll(ctx, c); err != nil {
+				if _, docs, err = readConfiguration(ctx, c); err != nil {
 					return err
 				}
 			}
@@ -280,13 +280,13 @@
 	}
 }
 
-func keyCommand() *cli.Command {
+func hashKeyCommand() *cli.Command {
 	return &cli.Command{
 		Name: "hash-key", Usage: "print the hash of a bearer key for an account's key_hashes", ArgsUsage: "KEY",
 		Action: func(_ context.Context, c *cli.Command) error {
 			key := c.Args().First()
 			if key == "" {
-				return cli.Exit("name a key", exitBadInput)
+				return cli.Exit("missing argument KEY", exitBadInput)
 			}
 			hash := config.HashKey(key)
 			printf(c, "%s\n", hex.EncodeToString(hash[:]))
--- a/cli/spanrillcmd/fleet.go
+++ b/cli/spanrillcmd/fleet.go
@@ -19,7 +19,7 @@
 	"spanrill/transport/httpcall"
 )
 
-// boxStatus is what one entry box answered.
+// boxStatus is the status of the daemon on one entry box, or the error of asking for it.
 type boxStatus struct {
 	Box    string         `json:"box"`
 	Admin  string         `json:"admin_addr"`
@@ -29,8 +29,8 @@
 
 const adminTimeout = 2 * time.Second
 
-// admin asks a daemon's admin address.
-func admin(ctx context.Context, addr, method, path string, v any) error {
+// callAdmin calls a daemon's admin API and decodes the JSON answer into result, unless that is nil.
+func callAdmin(ctx context.Context, addr, method, path string, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	client := httpcall.New()
@@ -39,38 +39,38 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + addr + path)
 	req.Header.SetMethod(method)
-	answer, err := client.Do(ctx, addr, req, httpcall.ReuseNever)
+	resp, err := client.Do(ctx, addr, req, httpcall.ReuseNever)
 	if err != nil {
-		return fmt.Errorf("ask daemon at %s: %w: %v", addr, spanrill.ErrUnavailable, err)
+		return fmt.Errorf("call daemon at %s: %w: %v", addr, spanrill.ErrUnavailable, err)
 	}
-	status := answer.Status()
-	body, err := answer.ReadAll(maxAdminAnswer)
+	status := resp.Status()
+	body, err := resp.ReadAll(maxAdminAnswerBytes)
 	if err != nil {
-		return fmt.Errorf("ask daemon at %s: %w", addr, err)
+		return fmt.Errorf("call daemon at %s: %w", addr, err)
 	}
 	if status >= fasthttp.StatusBadRequest {
 		return errors.Errorf("daemon at %s answered %d: %s", addr, status, strings.TrimSpace(string(body)))
 	}
-	if v == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(body, v); err != nil {
+	if err := json.Unmarshal(body, result); err != nil {
 		return fmt.Errorf("decode answer of %s: %w", addr, err)
 	}
 	return nil
 }
 
-const maxAdminAnswer = 64 << 20
+const maxAdminAnswerBytes = 64 << 20
 
-// entryBoxes returns the live entry boxes of the box list.
+// entryBoxes returns the entry boxes of the box list, those that are leaving included.
 func entryBoxes(ctx context.Context, c *cli.Command) ([]spanrill.Box, error) {
-	platform, err := platformOf(c)
+	platform, err := platformClient(c)
 	if err != nil {
 		return nil, err
 	}
 	boxes, err := platform.Boxes(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("find boxes: %w", err)
+		return nil, fmt.Errorf("find entry boxes: %w", err)
 	}
 	var entries []spanrill.Box
 	for _, b := range boxes {
@@ -85,7 +85,7 @@
 	all := make([]boxStatus, 0, len(boxes))
 	for _, b := range boxes {
 		s := boxStatus{Box: b.Name, Admin: b.AdminAddr, Status: &daemon.Status{}}
-		if err := admin(ctx, b.AdminAddr, fasthttp.MethodGet, "/status", s.Status); err != nil {
+		if err := callAdmin(ctx, b.AdminAddr, fasthttp.MethodGet, "/status", s.Status); err != nil {
 			s.Error, s.Status = err.Error(), nil
 		}
 		all = append(all, s)
@@ -98,9 +98,9 @@
 		Name: "status", Usage: "show the boxes, the revision in force on each, and the upstreams",
 		Description: "spanrill status\nspanrill --json status\n" +
 			"spanrill --platform 10.200.1.7:8107 status --gateways\n\n" +
-			"With --gateways it shows what the users' platform holds of a fleet of gateways:\n" +
+			"With --gateways it shows what the users' platform stores about a fleet of gateways:\n" +
 			"the configuration, the holder of the lease of placement, and the upstreams.",
-		Flags: []cli.Flag{&cli.BoolFlag{Name: flagGateways, Usage: "read the users' platform"}},
+		Flags: []cli.Flag{&cli.BoolFlag{Name: flagGateways, Usage: "read the status of gateways from the users' platform"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Bool(flagGateways) {
 				return runGatewayStatus(ctx, c)
@@ -143,11 +143,11 @@
 		if holds == "" {
 			holds = fmt.Sprintf("%s %d-%d", u.Model, u.Layers.From, u.Layers.To)
 		}
-		printf(c, "%-16s %-14s %-24s %8.1f %6.1f  %s\n", u.Name, u.Zone, holds, u.Load, u.Slowdown, upstreamNote(u))
+		printf(c, "%-16s %-14s %-24s %8.1f %6.1f  %s\n", u.Name, u.Zone, holds, u.Load, u.Slowdown, upstreamState(u))
 	}
 }
 
-func upstreamNote(u daemon.UpstreamStatus) string {
+func upstreamState(u daemon.UpstreamStatus) string {
 	switch {
 	case u.Leaving:
 		return "leaving"
@@ -157,51 +157,53 @@
 	return ""
 }
 
-// inForcePoll is how often boxes are asked for their revision.
-const inForcePoll = 100 * time.Millisecond
+// inForcePollInterval is the time between two checks of the revisions in force.
+const inForcePollInterval = 100 * time.Millisecond
 
-// waitInForce returns once every live box has the revision in force.
+// waitInForce waits until every entry box has the revision in force. Its errors have the exit
+// code exitNotInForce.
 func waitInForce(ctx context.Context, c *cli.Command, revision uint64) error {
 	for {
 		boxes, err := entryBoxes(ctx, c)
 		if err != nil {
-			return cli.Exit(fmt.Sprintf("accepted, but the boxes cannot be listed: %v", err), exitNotEverywhere)
+			return cli.Exit(fmt.Sprintf("accepted, but the box list cannot be read: %v", err), exitNotInForce)
 		}
-		missing := behind(ctx, boxes, revision)
-		if len(missing) == 0 {
+		lagging := boxesBehind(ctx, boxes, revision)
+		if len(lagging) == 0 {
 			printf(c, "in force on %d boxes\n", len(boxes))
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return cli.Exit("accepted, but not in force on: "+strings.Join(missing, ", "), exitNotEverywhere)
-		case <-time.After(inForcePoll):
+			return cli.Exit("accepted, but not in force on: "+strings.Join(lagging, ", "), exitNotInForce)
+		case <-time.After(inForcePollInterval):
 		}
 	}
 }
 
-// behind returns the live boxes that do not have the revision in force.
-func behind(ctx context.Context, boxes []spanrill.Box, revision uint64) []string {
-	var missing []string
+// boxesBehind returns the boxes that do not answer or have an older revision in force, each with
+// that reason.
+func boxesBehind(ctx context.Context, boxes []spanrill.Box, revision uint64) []string {
+	var lagging []string
 	for _, s := range fleetStatus(ctx, boxes) {
 		switch {
 		case s.Status == nil:
-			missing = append(missing, s.Box+" (no answer)")
+			lagging = append(lagging, s.Box+" (no answer)")
 		case s.Status.Revision < revision:
-			missing = append(missing, fmt.Sprintf("%s (revision %d)", s.Box, s.Status.Revision))
+			lagging = append(lagging, fmt.Sprintf("%s (revision %d)", s.Box, s.Status.Revision))
 		}
 	}
-	return missing
+	return lagging
 }
 
-// adminFlag names one daemon's admin address.
+// adminFlag returns the flag for the admin address of one daemon.
 func adminFlag() cli.Flag {
 	return &cli.StringFlag{Name: "admin", Required: true, Usage: "the daemon's admin `ADDR`"}
 }
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "show why a request of an account would go where",
+		Name: "explain", Usage: "show which chain a request of an account would take, and why",
 		Description: "spanrill explain --admin 10.0.0.1:8081 --account rucher --model apiary-advice",
 		Flags: []cli.Flag{
 			adminFlag(),
@@ -211,7 +213,7 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			query := url.Values{"account": {c.String("account")}, "model": {c.String("model")}}
 			var e routing.Explanation
-			if err := admin(ctx, c.String("admin"), fasthttp.MethodGet, "/explain?"+query.Encode(), &e); err != nil {
+			if err := callAdmin(ctx, c.String("admin"), fasthttp.MethodGet, "/explain?"+query.Encode(), &e); err != nil {
 				return err
 			}
 			if c.Bool(flagJSON) {
@@ -228,21 +230,21 @@
 	for i, stage := range e.Stages {
 		printf(c, "\nstage %d\n%-16s %-14s %-9s %8s %10s %6s %8s %10s  %s\n", i+1,
 			"ENGINE", "ZONE", "LAYERS", "LOAD", "US/TOKEN", "SLOW", "LINK US", "SCORE", "")
-		for _, k := range stage {
-			layers := fmt.Sprintf("%d-%d", k.From, k.To)
+		for _, candidate := range stage {
+			layers := fmt.Sprintf("%d-%d", candidate.From, candidate.To)
 			printf(c, "%-16s %-14s %-9s %8.1f %10.1f %6.1f %8d %10.1f  %s\n",
-				k.Engine, k.Zone, layers, k.Load, k.MicrosPerToken, k.Slowdown, k.LinkMicros, k.Score, k.WhyNot)
+				candidate.Engine, candidate.Zone, layers, candidate.Load, candidate.MicrosPerToken, candidate.Slowdown, candidate.LinkMicros, candidate.Score, candidate.WhyNot)
 		}
 	}
 }
 
 func drainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "drain", Usage: "start the planned stop of one daemon",
+		Name: "drain", Usage: "start a graceful shutdown of one daemon",
 		Description: "spanrill drain --admin 10.0.0.1:8081",
 		Flags:       []cli.Flag{adminFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			if err := admin(ctx, c.String("admin"), fasthttp.MethodPost, "/drain", nil); err != nil {
+			if err := callAdmin(ctx, c.String("admin"), fasthttp.MethodPost, "/drain", nil); err != nil {
 				return err
 			}
 			printf(c, "draining\n")
@@ -256,7 +258,7 @@
 		Name: "settings", Usage: "settings of spanrilld",
 		Commands: []*cli.Command{
 			{
-				Name: "example", Usage: "print settings to start from",
+				Name: "example", Usage: "print example settings",
 				Action: func(_ context.Context, c *cli.Command) error {
 					data, err := settings.Example().JSON()
 					if err != nil {
--- a/cli/spanrillcmd/gatewaystatus.go
+++ b/cli/spanrillcmd/gatewaystatus.go
@@ -15,22 +15,22 @@
 	"spanrill/transport/httpcall"
 )
 
-// placementLease is the key of the lease under which engines are ordered.
+// placementLease is the key of the lease whose holder orders engines to load layers.
 const placementLease = "leases/placement"
 
-// gatewayStatus is what the users' platform holds of a fleet of gateways.
+// gatewayStatus is the state of a fleet of gateways that the users' platform stores.
 type gatewayStatus struct {
 	Version   int64                  `json:"config_version"`
 	Revision  uint64                 `json:"config_revision"` // of the store
 	Routes    int                    `json:"routes"`
 	Accounts  int                    `json:"accounts"`
-	Lease     lease.State            `json:"lease"` // of placement; the zero value if nobody took it
+	Lease     lease.State            `json:"lease"` // of placement; the zero value if it was never taken
 	Upstreams []spanrill.EngineEntry `json:"upstreams"`
 	Skipped   []string               `json:"skipped"` // upstreams whose entries cannot be read
 }
 
-// readGatewayStatus reads configuration, lease and upstreams. Errors wrap
-// spanrill.ErrUnavailable if the store does not answer.
+// readGatewayStatus reads the configuration, the placement lease and the upstreams from the store.
+// Errors wrap spanrill.ErrUnavailable if the store does not answer.
 func readGatewayStatus(ctx context.Context, store *platform.Store) (*gatewayStatus, error) {
 	s := &gatewayStatus{Skipped: []string{}}
 	configs, _, err := store.Collection(platform.KindConfig).List(ctx)
@@ -60,7 +60,7 @@
 		}
 		s.Upstreams = append(s.Upstreams, entry)
 	}
-	sort.Slice(s.Upstreams, func(i, k int) bool { return less(&s.Upstreams[i], &s.Upstreams[k]) })
+	sort.Slice(s.Upstreams, func(i, k int) bool { return upstreamLess(&s.Upstreams[i], &s.Upstreams[k]) })
 	return s, nil
 }
 
@@ -70,13 +70,13 @@
 		return lease.State{}, nil
 	}
 	if err != nil {
-		return lease.State{}, fmt.Errorf("read lease of placement: %w", err)
+		return lease.State{}, fmt.Errorf("read placement lease: %w", err)
 	}
 	return lease.Decode(obj.Value)
 }
 
-// less orders upstreams by service, availability zone and first layer.
-func less(a, b *spanrill.EngineEntry) bool {
+// upstreamLess orders upstreams by service, availability zone, first layer and ID.
+func upstreamLess(a, b *spanrill.EngineEntry) bool {
 	if a.Service != b.Service {
 		return a.Service < b.Service
 	}
@@ -98,25 +98,25 @@
 	fmt.Fprintf(w, "lease of placement: %s, term %d\n\n", holder, s.Lease.Term)
 	fmt.Fprintf(w, "%-14s %-14s %-14s %-10s %-10s %s\n", "UPSTREAM", "SERVICE", "ZONE", "KIND", "LAYERS", "")
 	for _, u := range s.Upstreams {
-		note := ""
+		state := ""
 		if u.Leaving {
-			note = "leaving"
+			state = "leaving"
 		}
-		fmt.Fprintf(w, "%-14s %-14s %-14s %-10s %-10s %s\n", u.ID, u.Service, u.Zone, u.Kind, layersText(u.Layers), note)
+		fmt.Fprintf(w, "%-14s %-14s %-14s %-10s %-10s %s\n", u.ID, u.Service, u.Zone, u.Kind, formatLayers(u.Layers), state)
 	}
 	for _, name := range s.Skipped {
 		fmt.Fprintf(w, "not readable: %s\n", name)
 	}
 }
 
-func layersText(l spanrill.LayerRange) string {
+func formatLayers(l spanrill.LayerRange) string {
 	if l.Len() == 0 {
 		return "none"
 	}
 	return fmt.Sprintf("%d-%d", l.From, l.To)
 }
 
-// runGatewayStatus shows the status of gateways on the users' platform.
+// runGatewayStatus prints the status of the gateways on the users' platform.
 func runGatewayStatus(ctx context.Context, c *cli.Command) error {
 	addr := c.String(flagPlatform)
 	if addr == "" {
--- a/cli/spanrillcmd/gatewaystatus_test.go
+++ b/cli/spanrillcmd/gatewaystatus_test.go
@@ -13,8 +13,8 @@
 	"spanrill/transport/httpcall"
 )
 
-// The status on the users' platform shows the configuration, who holds the lease,
-// and what engines hold; an entry that cannot be read is named and hides nothing.
+// The status shows the configuration, the holder of the placement lease and the layers of the
+// engines. An unreadable entry is listed by name and does not keep the others from being shown.
 func TestGatewayStatus(t *testing.T) {
 	store := platformtest.NewStore()
 	addr, err := store.Listen()
@@ -43,15 +43,15 @@
 			s.print(&text)
 			for _, want := range []string{c.want, "configuration 1", "i-0", "none", "not readable: i-bad"} {
 				if !strings.Contains(text.String(), want) {
-					t.Errorf("no %q in:\n%s", want, text.String())
+					t.Errorf("output lacks %q:\n%s", want, text.String())
 				}
 			}
 		})
 	}
 }
 
-// A store that does not answer is said to be unavailable.
-func TestGatewayStatusWithoutStore(t *testing.T) {
+// Reading from a store that does not answer fails with ErrUnavailable.
+func TestGatewayStatusStoreUnavailable(t *testing.T) {
 	store := platformtest.NewStore()
 	addr, err := store.Listen()
 	if err != nil {
@@ -59,6 +59,6 @@
 	}
 	store.Close()
 	if _, err := readGatewayStatus(context.Background(), platform.NewStore(addr, httpcall.New())); !errors.Is(err, spanrill.ErrUnavailable) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error is %v, want ErrUnavailable", err)
 	}
 }
--- a/cli/spanrillcmd/logfiles.go
+++ b/cli/spanrillcmd/logfiles.go
@@ -8,11 +8,11 @@
 	"os"
 )
 
-// maxLine bounds one line of a log.
-const maxLine = 1 << 20
+// maxLineBytes is the length of the longest log line that can be read.
+const maxLineBytes = 1 << 20
 
-// eachLog reads log files, or standard input if none is named.
-func eachLog(names []string, read func(io.Reader) error) error {
+// readLogs calls read with each log file, or with standard input if names is empty.
+func readLogs(names []string, read func(io.Reader) error) error {
 	if len(names) == 0 {
 		if err := read(os.Stdin); err != nil {
 			return fmt.Errorf("read standard input: %w", err)
@@ -38,21 +38,21 @@
 	return nil
 }
 
-// scanLog calls take with the JSON object of each line, without what stands before
-// it, or with nil for a line that has none.
-func scanLog(r io.Reader, take func(object []byte)) error {
+// scanLog calls handle for each line: with the text from its first brace on, which drops a prefix
+// before the JSON object, or with nil if the line has no brace.
+func scanLog(r io.Reader, handle func(object []byte)) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
-			take(nil)
+			handle(nil)
 			continue
 		}
-		take(scanner.Bytes()[start:])
+		handle(scanner.Bytes()[start:])
 	}
 	if err := scanner.Err(); err != nil {
-		return fmt.Errorf("scan: %w", err)
+		return fmt.Errorf("scan log: %w", err)
 	}
 	return nil
 }
--- a/cli/spanrillcmd/losses.go
+++ b/cli/spanrillcmd/losses.go
@@ -16,26 +16,26 @@
 
 func lossesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "losses", Usage: "count, from log files, what became of requests on the users' platform, and why",
+		Name: "losses", Usage: "count from log files how requests on the users' platform ended, and why",
 		Description: "spanrill losses --log front-1.log --log front-2.log\n" +
 			"cat *.log | spanrill losses --every 2s\n\n" +
-			"Each request that ended is in one row: served in time, late and why, refused, cut or failed.\n" +
-			"Lines of other programs and torn lines are counted and skipped.",
+			"Each request that ended is counted in one row: served in time, late and why, refused, cut or failed.\n" +
+			"Lines of other programs and truncated lines are skipped, and counted.",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "log", Usage: "read the log in `FILE`; without it standard input is read"},
-			&cli.DurationFlag{Name: "every", Usage: "count for each span of `TIME` as well"},
+			&cli.DurationFlag{Name: "every", Usage: "also count for each span of `TIME`"},
 		},
 		Action: runLosses,
 	}
 }
 
 func runLosses(_ context.Context, c *cli.Command) error {
-	every := c.Duration("every")
-	if every < 0 {
+	spanLength := c.Duration("every")
+	if spanLength < 0 {
 		return cli.Exit("--every must not be negative", exitBadInput)
 	}
-	l := newLosses(every)
-	if err := eachLog(c.StringSlice("log"), l.read); err != nil {
+	l := newLossCounter(spanLength)
+	if err := readLogs(c.StringSlice("log"), l.read); err != nil {
 		return err
 	}
 	if c.Bool(flagJSON) {
@@ -45,84 +45,84 @@
 	return nil
 }
 
-// losses counts what became of requests.
-type losses struct {
-	every   time.Duration // length of a span, or 0 for none
-	counts  map[string]int
-	spans   map[time.Time]map[string]int
-	skipped int // lines that are none of ours
-	dropped int // lines that daemons left out, as they said
+// lossCounter counts how the requests in logs ended, by row of the report.
+type lossCounter struct {
+	spanLength            time.Duration // length of the spans that are also counted separately, or 0 for none
+	counts                map[string]int
+	spans                 map[time.Time]map[string]int
+	skippedLines          int // lines without an event of a daemon: truncated, or of other programs
+	linesDroppedByDaemons int // lines that daemons left out of the log, as later lines report
 }
 
-func newLosses(every time.Duration) *losses {
-	return &losses{every: every, counts: map[string]int{}, spans: map[time.Time]map[string]int{}}
+func newLossCounter(spanLength time.Duration) *lossCounter {
+	return &lossCounter{spanLength: spanLength, counts: map[string]int{}, spans: map[time.Time]map[string]int{}}
 }
 
-// read counts the lines of one log.
-func (l *losses) read(r io.Reader) error {
+// read adds the lines of one log to the counts.
+func (l *lossCounter) read(r io.Reader) error {
 	return scanLog(r, func(object []byte) {
 		var line lossLine
 		if json.Unmarshal(object, &line) != nil || line.Event == 0 {
-			l.skipped++
+			l.skippedLines++
 			return
 		}
-		l.take(&line)
+		l.countLine(&line)
 	})
 }
 
-// lossLine is what is read of a line of a log.
+// lossLine is the part of a log line that decides its row.
 type lossLine struct {
-	Time        time.Time `json:"time"`
-	Event       int       `json:"event"`
-	Status      int       `json:"status"`
-	Reason      string    `json:"reason"`
-	Error       string    `json:"error"`
-	Whole       *bool     `json:"whole"` // of streams
-	Millis      int64     `json:"ms"`
-	First       int64     `json:"first_ms"`
-	Pause       int64     `json:"longest_pause_ms"`
-	Target      int64     `json:"target_ms"`
-	PauseTarget int64     `json:"pause_target_ms"`
-	TakenUp     int       `json:"taken_up"`
-	Moves       int       `json:"moves"`
-	Skipped     int       `json:"skipped_before"`
-}
-
-// take counts one line, if a request ended with it.
-func (l *losses) take(line *lossLine) {
-	l.dropped += line.Skipped
+	Time               time.Time `json:"time"`
+	Event              int       `json:"event"`
+	Status             int       `json:"status"`
+	Reason             string    `json:"reason"`
+	Error              string    `json:"error"`
+	Whole              *bool     `json:"whole"` // set for streams only
+	DurationMillis     int64     `json:"ms"`
+	FirstEventMillis   int64     `json:"first_ms"`
+	LongestPauseMillis int64     `json:"longest_pause_ms"`
+	TargetMillis       int64     `json:"target_ms"`
+	PauseTargetMillis  int64     `json:"pause_target_ms"`
+	Continuations      int       `json:"taken_up"`
+	Moves              int       `json:"moves"`
+	DroppedBefore      int       `json:"skipped_before"`
+}
+
+// countLine adds one line to the counts if it logs the end of a request.
+func (l *lossCounter) countLine(line *lossLine) {
+	l.linesDroppedByDaemons += line.DroppedBefore
 	row := line.row()
 	if row == "" {
 		return
 	}
 	l.counts[row]++
-	if l.every == 0 {
+	if l.spanLength == 0 {
 		return
 	}
-	at := line.Time.Truncate(l.every)
-	if l.spans[at] == nil {
-		l.spans[at] = map[string]int{}
+	start := line.Time.Truncate(l.spanLength)
+	if l.spans[start] == nil {
+		l.spans[start] = map[string]int{}
 	}
-	l.spans[at][row]++
+	l.spans[start][row]++
 }
 
-// inTime is the row of requests that nothing is wrong with.
-const inTime = "served in time"
+// rowInTime is the row of requests that met their targets or have none.
+const rowInTime = "served in time"
 
-// row names what became of a request, or is empty if none ended with the line.
+// row returns the row in which the line is counted, or "" if it does not log the end of a request.
 func (line *lossLine) row() string {
 	switch line.Event {
 	case events.RequestGivenUp.Number():
 		return "refused: " + line.Reason
 	case events.StreamFailed.Number():
-		return "cut: " + cutCause(line.Error)
+		return "cut: " + classifyCut(line.Error)
 	case events.RequestEnded.Number():
-		return line.ended()
+		return line.endedRow()
 	}
 	return ""
 }
 
-func (line *lossLine) ended() string {
+func (line *lossLine) endedRow() string {
 	if line.Status >= 500 {
 		return fmt.Sprintf("failed: the upstream's own %d", line.Status)
 	}
@@ -130,24 +130,24 @@
 		return fmt.Sprintf("the upstream's own %d", line.Status)
 	}
 	if line.Whole == nil {
-		if line.Target > 0 && line.Millis > line.Target {
+		if line.TargetMillis > 0 && line.DurationMillis > line.TargetMillis {
 			return "late: plain call"
 		}
-		return inTime
+		return rowInTime
 	}
-	return line.stream()
+	return line.streamRow()
 }
 
-// stream says of a stream that was served whole whether it was late, and why.
-func (line *lossLine) stream() string {
-	late := line.Target > 0 && line.First > line.Target
-	paused := line.PauseTarget > 0 && line.Pause > line.PauseTarget
+// streamRow returns the row of a completely delivered stream, by whether it was late and why.
+func (line *lossLine) streamRow() string {
+	late := line.TargetMillis > 0 && line.FirstEventMillis > line.TargetMillis
+	paused := line.PauseTargetMillis > 0 && line.LongestPauseMillis > line.PauseTargetMillis
 	switch {
 	case !late && !paused:
-		return inTime
+		return rowInTime
 	case late:
 		return "late: first event"
-	case line.TakenUp > 0:
+	case line.Continuations > 0:
 		return "late: pause, taken up elsewhere"
 	case line.Moves > 0:
 		return "late: pause, moved"
@@ -155,8 +155,8 @@
 	return "late: pause, engines slow or full"
 }
 
-// cutCause shortens the error of a stream to what tells causes apart.
-func cutCause(text string) string {
+// classifyCut returns the cause of a failed stream, by the known parts of its error text.
+func classifyCut(text string) string {
 	for _, c := range []struct{ part, cause string }{
 		{"no answer within", "no more time, or the caller left"},
 		{"refused with status", "an engine refused to take it up"},
@@ -171,67 +171,68 @@
 	return "other"
 }
 
-// lossReport is what is printed as JSON.
+// lossReport is the report in the form that is printed as JSON.
 type lossReport struct {
-	Ended   int                       `json:"ended"`
-	Rows    map[string]int            `json:"rows"`
-	Spans   map[string]map[string]int `json:"spans,omitempty"`
-	Skipped int                       `json:"lines_skipped"`
-	Dropped int                       `json:"lines_left_out_by_daemons"`
+	Ended                 int                       `json:"ended"`
+	Rows                  map[string]int            `json:"rows"`
+	Spans                 map[string]map[string]int `json:"spans,omitempty"`
+	SkippedLines          int                       `json:"lines_skipped"`
+	LinesDroppedByDaemons int                       `json:"lines_left_out_by_daemons"`
 }
 
-func (l *losses) report() lossReport {
-	r := lossReport{Rows: l.counts, Skipped: l.skipped, Dropped: l.dropped}
+func (l *lossCounter) report() lossReport {
+	r := lossReport{Rows: l.counts, SkippedLines: l.skippedLines, LinesDroppedByDaemons: l.linesDroppedByDaemons}
 	for _, n := range l.counts {
 		r.Ended += n
 	}
-	for at, counts := range l.spans {
+	for start, counts := range l.spans {
 		if r.Spans == nil {
 			r.Spans = map[string]map[string]int{}
 		}
-		r.Spans[at.Format(time.RFC3339)] = counts
+		r.Spans[start.Format(time.RFC3339)] = counts
 	}
 	return r
 }
 
-// mostShown is how many rows are shown of each span.
-const mostShown = 3
+// maxSpanRows is how many rows are printed for each span besides rowInTime.
+const maxSpanRows = 3
 
-func (l *losses) print(w io.Writer) {
+func (l *lossCounter) print(w io.Writer) {
 	r := l.report()
 	fmt.Fprintf(w, "%d requests ended\n", r.Ended)
-	for _, row := range byCount(r.Rows) {
+	for _, row := range rowsByCount(r.Rows) {
 		fmt.Fprintf(w, "%8d  %5.1f%%  %s\n", r.Rows[row], 100*float64(r.Rows[row])/float64(r.Ended), row)
 	}
 	starts := make([]string, 0, len(r.Spans))
-	for at := range r.Spans {
-		starts = append(starts, at)
+	for start := range r.Spans {
+		starts = append(starts, start)
 	}
 	sort.Strings(starts)
-	for _, at := range starts {
-		fmt.Fprintf(w, "%s  %s\n", at, l.worst(r.Spans[at]))
+	for _, start := range starts {
+		fmt.Fprintf(w, "%s  %s\n", start, l.formatSpan(r.Spans[start]))
 	}
-	if r.Dropped > 0 {
-		fmt.Fprintf(w, "%d lines were left out by daemons that had many to write\n", r.Dropped)
+	if r.LinesDroppedByDaemons > 0 {
+		fmt.Fprintf(w, "%d lines were left out by daemons that had many to write\n", r.LinesDroppedByDaemons)
 	}
-	if r.Skipped > 0 {
-		fmt.Fprintf(w, "%d lines skipped that are torn or another program's\n", r.Skipped)
+	if r.SkippedLines > 0 {
+		fmt.Fprintf(w, "%d lines skipped that are torn or another program's\n", r.SkippedLines)
 	}
 }
 
-// worst describes one span.
-func (l *losses) worst(counts map[string]int) string {
-	parts := []string{fmt.Sprintf("%d in time", counts[inTime])}
-	for _, row := range byCount(counts) {
-		if row != inTime && len(parts) <= mostShown {
-			parts = append(parts, fmt.Sprintf("%d %s", counts[row], row))
+// formatSpan returns the number of requests of one span that were in time, and its largest other
+// rows.
+func (l *lossCounter) formatSpan(counts map[string]int) string {
+	counted := []string{fmt.Sprintf("%d in time", counts[rowInTime])}
+	for _, row := range rowsByCount(counts) {
+		if row != rowInTime && len(counted) <= maxSpanRows {
+			counted = append(counted, fmt.Sprintf("%d %s", counts[row], row))
 		}
 	}
-	return strings.Join(parts, ", ")
+	return strings.Join(counted, ", ")
 }
 
-// byCount returns the rows, the largest first.
-func byCount(counts map[string]int) []string {
+// rowsByCount returns the rows, those with the most requests first.
+func rowsByCount(counts map[string]int) []string {
 	rows := make([]string, 0, len(counts))
 	for row := range counts {
 		rows = append(rows, row)
--- a/cli/spanrillcmd/losses_test.go
+++ b/cli/spanrillcmd/losses_test.go
@@ -9,13 +9,13 @@
 func TestLosses(t *testing.T) {
 	const stream = `"event":621,"status":200,"whole":true,"target_ms":500,"pause_target_ms":200,`
 	for _, c := range []struct{ name, line, want string }{
-		{"in time", `{` + stream + `"first_ms":80,"longest_pause_ms":90}`, inTime},
-		{"behind other text", `12.5 front-1 {` + stream + `"first_ms":80,"longest_pause_ms":90}`, inTime},
+		{"in time", `{` + stream + `"first_ms":80,"longest_pause_ms":90}`, rowInTime},
+		{"after a prefix", `12.5 front-1 {` + stream + `"first_ms":80,"longest_pause_ms":90}`, rowInTime},
 		{"first event", `{` + stream + `"first_ms":501,"longest_pause_ms":900}`, "late: first event"},
 		{"taken up", `{` + stream + `"first_ms":80,"longest_pause_ms":201,"taken_up":1,"moves":2}`, "late: pause, taken up elsewhere"},
 		{"moved", `{` + stream + `"first_ms":80,"longest_pause_ms":201,"moves":2}`, "late: pause, moved"},
 		{"slow", `{` + stream + `"first_ms":80,"longest_pause_ms":201}`, "late: pause, engines slow or full"},
-		{"plain", `{"event":621,"status":200,"ms":90,"target_ms":100}`, inTime},
+		{"plain", `{"event":621,"status":200,"ms":90,"target_ms":100}`, rowInTime},
 		{"plain and late", `{"event":621,"status":200,"ms":101,"target_ms":100}`, "late: plain call"},
 		{"failed", `{"event":621,"status":500,"ms":10}`, "failed: the upstream's own 500"},
 		{"refused", `{"event":623,"reason":"no_room","status":503}`, "refused: no_room"},
@@ -23,7 +23,7 @@
 		{"another event", `{"event":620}`, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newLosses(0)
+			l := newLossCounter(0)
 			if err := l.read(strings.NewReader(c.line + "\n")); err != nil {
 				t.Fatal(err)
 			}
@@ -34,9 +34,9 @@
 	}
 }
 
-// Torn lines and those of other programs are counted and skipped; spans are counted
-// apart, and what daemons left out is told.
-func TestLossesOfALog(t *testing.T) {
+// Truncated lines and lines of other programs are skipped and counted, each span is counted separately,
+// and the report has the number of lines that daemons left out.
+func TestLossesReportOfMixedLog(t *testing.T) {
 	log := strings.Join([]string{
 		`{"event":623,"reason":"no_room","time":"2026-05-15T04:08:12.567Z","skipped_before":3}`,
 		`{"event":623,"reason":"no_room","time":"2026-05-15T04:08:13.900Z"}`,
@@ -45,7 +45,7 @@
 		`another program's line`,
 		`{"level":"info","msg":"without a number"}`,
 	}, "\n")
-	l := newLosses(2 * time.Second)
+	l := newLossCounter(2 * time.Second)
 	if err := l.read(strings.NewReader(log)); err != nil {
 		t.Fatal(err)
 	}
--- a/cli/spanrillcmd/plan.go
+++ b/cli/spanrillcmd/plan.go
@@ -16,18 +16,18 @@
 
 func planCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plan", Usage: "print the chains of engines on the users' platform, what they can serve, and what a loss costs",
+		Name: "plan", Usage: "print the chains of engines on the users' platform, their throughput, and the effect of losing an engine",
 		Description: "spanrill --platform 10.200.1.7:8107 plan\n\n" +
 			"Reads the configuration and the engines from the platform's store and changes nothing.\n" +
-			"Where no engine holds layers, the first layout is planned and shown.",
+			"For a service whose engines hold no layers yet, the layout that would be planned is shown.",
 		Action: runPlan,
 	}
 }
 
-// servicePlan is what is printed of one service.
+// servicePlan describes the layout of one service's engines.
 type servicePlan struct {
 	Service string             `json:"service"`
-	Planned bool               `json:"planned"` // nothing is held yet
+	Planned bool               `json:"planned"` // no engine holds layers yet; the layout is the one that would be planned
 	Engines int                `json:"engines"`
 	Rate    float64            `json:"requests_per_second"`
 	Chains  []layout.ChainInfo `json:"chains"`
@@ -71,7 +71,7 @@
 			if s.Model == nil {
 				continue
 			}
-			p, err := planOf(s, items)
+			p, err := planService(s, items)
 			if err != nil {
 				return nil, err
 			}
@@ -81,7 +81,7 @@
 	return plans, nil
 }
 
-func planOf(s spanrill.ServiceInfo, items []spanrill.Item) (servicePlan, error) {
+func planService(s spanrill.ServiceInfo, items []spanrill.Item) (servicePlan, error) {
 	p := servicePlan{Service: s.Name, Planned: true}
 	var engines []layout.Engine
 	for _, item := range items {
@@ -104,11 +104,11 @@
 }
 
 func (p servicePlan) print(w io.Writer) {
-	state := "as engines hold it"
+	origin := "as engines hold it"
 	if p.Planned {
-		state = "as it would be planned"
+		origin = "as it would be planned"
 	}
-	fmt.Fprintf(w, "service %s, %d engines, %s: %.1f usual requests a second\n", p.Service, p.Engines, state, p.Rate)
+	fmt.Fprintf(w, "service %s, %d engines, %s: %.1f usual requests a second\n", p.Service, p.Engines, origin, p.Rate)
 	for i, c := range p.Chains {
 		fmt.Fprintf(w, "  chain %d in %s: %d engines, %d crossings, room for %.0f tokens, %.1f requests a second, missing %v\n",
 			i+1, c.Zone, len(c.Engines), c.Crossings, c.CapacityTokens, c.Rate, c.Holes)
--- a/cli/spanrillcmd/plan_test.go
+++ b/cli/spanrillcmd/plan_test.go
@@ -10,9 +10,9 @@
 	"spanrill/transport/httpcall"
 )
 
-// The plan of a fleet that holds nothing names the chains, and what a loss costs
-// at once and after its repair.
-func TestPlanOfAnEmptyFleet(t *testing.T) {
+// For a fleet whose engines hold no layers the command prints the chains that would be planned, and
+// the rates right after the loss of an engine and after its repair.
+func TestPlanOfFleetWithoutLayers(t *testing.T) {
 	store := platformtest.NewStore()
 	addr, err := store.Listen()
 	if err != nil {
@@ -26,16 +26,16 @@
 	}
 	p := plans[0]
 	if !p.Planned || p.Rate <= 0 || len(p.Chains) < 2 || len(p.Losses) == 0 {
-		t.Fatalf("%+v", p)
+		t.Fatalf("plan lacks a rate, chains or losses, or is not marked as planned: %+v", p)
 	}
 	for _, l := range p.Losses {
 		if l.RateAfterLoss >= l.RateBefore || l.RateRepaired < l.RateAfterLoss {
-			t.Errorf("%+v", l)
+			t.Errorf("rates before, after and repaired are out of order: %+v", l)
 		}
 	}
 	var text strings.Builder
 	p.print(&text)
 	if !strings.Contains(text.String(), "as it would be planned") || !strings.Contains(text.String(), "without i-") {
-		t.Fatalf("printed %s", text.String())
+		t.Fatalf("output lacks the planned layout or its losses:\n%s", text.String())
 	}
 }
--- a/cli/spanrillcmd/root.go
+++ b/cli/spanrillcmd/root.go
@@ -1,4 +1,5 @@
-// Package spanrillcmd is the command line of the spanrill tool.
+// Package spanrillcmd implements the command line of spanrill, the operators' tool. Its subcommands
+// edit the configuration, show the state of a fleet, read logs, and run benchmarks and fault tests.
 //
 // # Usage
 //
@@ -25,25 +26,24 @@
 
 // Exit codes of the tool.
 const (
-	exitFailed        = 1 // something failed; nothing was changed
-	exitBadInput      = 2 // the input is wrong
-	exitConflict      = 3 // another edit was first
-	exitUnavailable   = 4 // the platform or a daemon does not answer; nothing was changed
-	exitUnsettled     = 5 // it is unknown whether the edit was accepted
-	exitNotEverywhere = 6 // accepted, but not in force on all boxes in time
+	exitFailed         = 1 // failed; nothing was changed
+	exitBadInput       = 2 // the input is invalid
+	exitConflict       = 3 // another edit was accepted first
+	exitUnavailable    = 4 // the platform or a daemon is unavailable; nothing was changed
+	exitUnknownOutcome = 5 // it is unknown whether the edit was accepted
+	exitNotInForce     = 6 // accepted, but not in force on all boxes before the timeout
 )
 
-const exitHelp = `Exit codes:
+const exitCodeHelp = `Exit codes:
    0  done
    1  failed; nothing was changed
-   2  the input is wrong
-   3  conflict: another edit was first
-   4  the platform or a daemon does not answer; nothing was changed
+   2  the input is invalid
+   3  conflict: another edit was accepted first
+   4  the platform or a daemon is unavailable; nothing was changed
    5  it is unknown whether the edit was accepted
-   6  accepted, but not in force on all boxes in time`
+   6  accepted, but not in force on all boxes before the timeout`
 
-// Main runs the tool with the arguments of the process and returns its exit
-// code.
+// Main runs the tool with os.Args and returns its exit code.
 func Main() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -67,7 +67,7 @@
 	case errors.As(err, &conflict):
 		return exitConflict
 	case errors.Is(err, config.ErrUnknownOutcome):
-		return exitUnsettled
+		return exitUnknownOutcome
 	case errors.Is(err, spanrill.ErrUnavailable):
 		return exitUnavailable
 	}
@@ -83,8 +83,8 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:                  "spanrill",
-		Usage:                 "drive a fleet of spanrill routers",
-		Description:           exitHelp,
+		Usage:                 "operate a fleet of spanrill daemons",
+		Description:           exitCodeHelp,
 		EnableShellCompletion: true,
 		Flags: []cli.Flag{
 			&cli.StringFlag{
@@ -96,13 +96,13 @@
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Commands: []*cli.Command{
 			getCommand(), editCommand(), diffCommand(), historyCommand(), validateCommand(),
-			statusCommand(), explainCommand(), traceCommand(), lossesCommand(), planCommand(), drainCommand(), demoCommand(), benchCommand(), soakCommand(), settingsCommand(), schemaCommand(), keyCommand(),
+			statusCommand(), explainCommand(), traceCommand(), lossesCommand(), planCommand(), drainCommand(), demoCommand(), benchCommand(), soakCommand(), settingsCommand(), schemaCommand(), hashKeyCommand(),
 		},
 	}
 }
 
-// platformOf returns a client of the platform that the flags name.
-func platformOf(c *cli.Command) (*objectapi.Client, error) {
+// platformClient returns a client of the platform's object API at the address from the flags.
+func platformClient(c *cli.Command) (*objectapi.Client, error) {
 	addr := c.String(flagPlatform)
 	if addr == "" {
 		return nil, cli.Exit("name the platform with --platform ADDR or SPANRILL_PLATFORM", exitBadInput)
--- a/cli/spanrillcmd/soak.go
+++ b/cli/spanrillcmd/soak.go
@@ -15,25 +15,25 @@
 	"spanrill/soak"
 )
 
-// errViolated means that a soak has seen something that must not happen.
-var errViolated = errors.New("something happened that must not")
+// errViolations means that a soak run has found violations of its rules.
+var errViolations = errors.New("the soak found violations")
 
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "let things fail around daemons, and check what callers and upstreams see",
+		Usage: "inject faults around daemons, and check what callers and upstreams see",
 		Description: "spanrill soak --seed 7 --minutes 2      one run\n" +
 			"spanrill soak --seed 1 --seeds 50       fifty runs, one after another\n\n" +
-			"The exit code is 1 if anything was seen that must not happen.",
+			"The exit code is 1 if any rule was violated.",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "what fails, and when, follows from `N`"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "play `N` seeds from the first on"},
-			&cli.FloatFlag{Name: "minutes", Value: 1, Usage: "things fail for `M` minutes"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed `N` of the faults and their times"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "run `N` consecutive seeds, from --seed on"},
+			&cli.FloatFlag{Name: "minutes", Value: 1, Usage: "inject faults for `M` minutes"},
 			&cli.IntFlag{Name: "daemons", Value: soak.DefaultShape.Daemons, Usage: "run `N` daemons"},
-			&cli.IntFlag{Name: "engines", Value: soak.DefaultShape.Engines, Usage: "before `N` engines of a model"},
-			&cli.StringFlag{Name: "daemon", Usage: "run the program `FILE` as daemon, in place of one that is built from the module here"},
+			&cli.IntFlag{Name: "engines", Value: soak.DefaultShape.Engines, Usage: "run `N` engines of a model"},
+			&cli.StringFlag{Name: "daemon", Usage: "run the program `FILE` as daemon, instead of building it from the module in this directory"},
 			&cli.BoolFlag{Name: "json", Usage: "write the report as JSON, a line for each seed"},
-			&cli.BoolFlag{Name: "quiet", Usage: "do not say what fails"},
+			&cli.BoolFlag{Name: "quiet", Usage: "do not print the faults"},
 		},
 		Action: runSoak,
 	}
@@ -42,13 +42,13 @@
 func runSoak(ctx context.Context, c *cli.Command) error {
 	length := time.Duration(c.Float("minutes") * float64(time.Minute))
 	if length <= 0 || c.Int("seeds") < 1 || c.Int("daemons") < 1 || c.Int("engines") < 1 {
-		return cli.Exit("minutes, seeds, daemons and engines must be over 0", exitBadInput)
+		return cli.Exit("minutes, seeds, daemons and engines must be greater than 0", exitBadInput)
 	}
 	program := c.String("daemon")
 	if program == "" {
 		dir, err := os.MkdirTemp("", "spanrilld-")
 		if err != nil {
-			return fmt.Errorf("make a directory for the daemon: %w", err)
+			return fmt.Errorf("create a directory for the daemon: %w", err)
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
 		if program, err = soak.Build(ctx, dir); err != nil {
@@ -63,23 +63,23 @@
 		if !c.Bool("quiet") && !c.Bool("json") {
 			o.Out = out
 		}
-		report, err := soakOnce(ctx, o)
+		report, err := soakSeed(ctx, o)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", o.Seed, err)
 		}
 		violated = violated || len(report.Violations) > 0
-		if err := writeSoak(out, report, c.Bool("json")); err != nil {
+		if err := writeSoakReport(out, report, c.Bool("json")); err != nil {
 			return err
 		}
 	}
 	if violated {
-		return errViolated
+		return errViolations
 	}
 	return nil
 }
 
-// soakOnce plays one seed. Its logs stay only if something was seen.
-func soakOnce(ctx context.Context, o soak.Options) (*soak.Report, error) {
+// soakSeed runs one seed. It removes the logs and settings of a run without violations.
+func soakSeed(ctx context.Context, o soak.Options) (*soak.Report, error) {
 	var err error
 	if o.Dir, err = soak.Dir(o.Seed); err != nil {
 		return nil, err
@@ -97,9 +97,9 @@
 	return report, nil
 }
 
-func writeSoak(out io.Writer, r *soak.Report, asJSON bool) error {
+func writeSoakReport(w io.Writer, r *soak.Report, asJSON bool) error {
 	if asJSON {
-		if err := json.NewEncoder(out).Encode(r); err != nil {
+		if err := json.NewEncoder(w).Encode(r); err != nil {
 			return fmt.Errorf("write report: %w", err)
 		}
 		return nil
@@ -109,15 +109,15 @@
 		statuses = append(statuses, s)
 	}
 	sort.Strings(statuses)
-	fmt.Fprintf(out, "seed %d: %d faults in %v, %d requests, %d violations\n", r.Seed, r.Steps, r.Length, r.Requests, len(r.Violations))
+	fmt.Fprintf(w, "seed %d: %d faults in %v, %d requests, %d violations\n", r.Seed, r.Steps, r.Length, r.Requests, len(r.Violations))
 	for _, s := range statuses {
-		fmt.Fprintf(out, "  %6d  %s\n", r.Statuses[s], s)
+		fmt.Fprintf(w, "  %6d  %s\n", r.Statuses[s], s)
 	}
 	for _, v := range r.Violations {
-		fmt.Fprintf(out, "  %s: %s at %v on %s: %s\n", v.Rule, v.Request, v.At, v.Daemon, v.What)
+		fmt.Fprintf(w, "  %s: %s at %v on %s: %s\n", v.Rule, v.Request, v.At, v.Daemon, v.What)
 	}
 	if r.Logs != "" {
-		fmt.Fprintf(out, "  logs and settings: %s\n", r.Logs)
+		fmt.Fprintf(w, "  logs and settings: %s\n", r.Logs)
 	}
 	return nil
 }
--- a/cli/spanrillcmd/trace.go
+++ b/cli/spanrillcmd/trace.go
@@ -14,11 +14,11 @@
 
 func traceCommand() *cli.Command {
 	return &cli.Command{
-		Name: "trace", Usage: "tell the story of one request, or of one upstream, from log files",
+		Name: "trace", Usage: "print the log lines of one request or one upstream, in the order of their times",
 		ArgsUsage: "ID",
 		Description: "spanrill trace --log front-1.log --log front-2.log 9c41d07be2a35f68\n" +
 			"cat *.log | spanrill trace i-7f3a91c2\n\n" +
-			"Prints the lines that name the id, of all daemons, in the order of their times.",
+			"Prints the lines of all daemons that contain the ID, in the order of their times.",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "log", Usage: "read the log in `FILE`; without it standard input is read"},
 		},
@@ -32,7 +32,7 @@
 		return cli.Exit("name the request or the upstream", exitBadInput)
 	}
 	var lines []traceLine
-	err := eachLog(c.StringSlice("log"), func(r io.Reader) error {
+	err := readLogs(c.StringSlice("log"), func(r io.Reader) error {
 		found, err := readTrace(r, id)
 		lines = append(lines, found...)
 		return err
@@ -50,34 +50,34 @@
 	return nil
 }
 
-// traceLine is one line of a log that names the id.
+// traceLine is a log line that contains the ID.
 type traceLine struct {
-	time   string
-	daemon string
-	event  float64
-	msg    string
-	rest   []string // other fields as name=value, in the order of their names
+	time        string
+	daemon      string
+	event       float64
+	msg         string
+	otherFields []string // as name=value, sorted
 }
 
-// String returns the line for people.
+// String returns the line in the form that trace prints.
 func (l traceLine) String() string {
-	return fmt.Sprintf("%s %-22s %3.0f %s\n    %s", l.time, l.daemon, l.event, l.msg, strings.Join(l.rest, " "))
+	return fmt.Sprintf("%s %-22s %3.0f %s\n    %s", l.time, l.daemon, l.event, l.msg, strings.Join(l.otherFields, " "))
 }
 
-// readTrace returns the lines of a log that name an id. What stands before the
-// JSON object of a line, and lines without one, are skipped.
+// readTrace returns the lines of a log that contain the ID. It ignores a prefix before the JSON
+// object of a line, and skips lines without one.
 func readTrace(r io.Reader, id string) ([]traceLine, error) {
 	var lines []traceLine
 	err := scanLog(r, func(object []byte) {
 		var fields map[string]any
 		if bytes.Contains(object, []byte(id)) && json.Unmarshal(object, &fields) == nil {
-			lines = append(lines, traceLineOf(fields))
+			lines = append(lines, newTraceLine(fields))
 		}
 	})
 	return lines, err
 }
 
-func traceLineOf(fields map[string]any) traceLine {
+func newTraceLine(fields map[string]any) traceLine {
 	l := traceLine{}
 	for name, value := range fields {
 		switch name {
@@ -91,9 +91,9 @@
 			l.event, _ = value.(float64)
 		case "level":
 		default:
-			l.rest = append(l.rest, fmt.Sprintf("%s=%v", name, value))
+			l.otherFields = append(l.otherFields, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
-	sort.Strings(l.rest)
+	sort.Strings(l.otherFields)
 	return l
 }
