--- a/cli/spanrilldcmd/gateway.go
+++ b/cli/spanrilldcmd/gateway.go
@@ -22,7 +22,7 @@
 func gatewayCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "gateway",
-		Usage: "route on the users' platform",
+		Usage: "route requests on the users' platform",
 		Description: "spanrilld gateway --settings FILE          run until SIGTERM, then drain\n" +
 			"spanrilld gateway --settings FILE --check  check the settings and exit",
 		Flags: []cli.Flag{
@@ -34,19 +34,19 @@
 }
 
 const (
-	// memoryShare is the part of the memory limit at which the collector works
-	// harder, in hundredths: the rest is for buffers of the kernel.
-	memoryShare = 60
-	megabyte    = 1 << 20
-	// logsWait bounds the wait for log lines that are still queued at the end.
-	logsWait = 300 * time.Millisecond
+	// memoryLimitPercent is the part of the configured memory that becomes the soft limit of the
+	// Go runtime. The rest is for kernel buffers.
+	memoryLimitPercent = 60
+	megabyte           = 1 << 20
+	// logFlushTimeout bounds the wait for queued log lines when the process stops.
+	logFlushTimeout = 300 * time.Millisecond
 )
 
 func runGateway(ctx context.Context, c *cli.Command) error {
-	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT) // first: a signal while it starts must not kill it
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT) // before all else, so that a signal during startup does not kill the process
 	defer stop()
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
 	s, err := settings.LoadGateway(c.String("settings"))
 	if err != nil {
 		return cli.Exit(err.Error(), exitBadSettings)
@@ -55,14 +55,14 @@
 		fmt.Fprintln(c.Root().Writer, "settings are right")
 		return nil
 	}
-	tuning, endTuning := context.WithCancel(context.WithoutCancel(ctx))
-	tuned := tuneCollector(tuning, clock.NewSystem())
+	tuning, stopTuning := context.WithCancel(context.WithoutCancel(ctx))
+	tuningDone := startMemoryTuning(tuning, clock.NewSystem())
 	defer func() {
-		endTuning()
-		<-tuned
+		stopTuning()
+		<-tuningDone
 	}()
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(s.MemoryMB) * megabyte * memoryShare / 100)
+		debug.SetMemoryLimit(int64(s.MemoryMB) * megabyte * memoryLimitPercent / 100)
 	}
 	writer := events.NewWriter(os.Stdout)
 	log, err := newLogger(settings.Log{Level: s.Log.Level, Format: "json"})
@@ -74,27 +74,26 @@
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	watchReload(ctx, hups, c.String("settings"), log)
+	checkSettingsOnHangup(ctx, reloads, c.String("settings"), log)
 	err = g.Run(ctx)
-	limit := make(chan struct{})
-	time.AfterFunc(logsWait, func() { close(limit) })
-	if left := writer.Close(limit); left != nil && err == nil {
-		return nil // the process ends; lines that nobody reads are lost
+	timeout := make(chan struct{})
+	time.AfterFunc(logFlushTimeout, func() { close(timeout) })
+	if closeErr := writer.Close(timeout); closeErr != nil && err == nil {
+		return nil // the lines are lost: nobody reads the output and the process has to end
 	}
 	return err
 }
 
-// watchReload checks the settings again when the process is told that they have
-// changed. What a running gateway uses of them stays as it was at its start:
-// its addresses cannot change under its callers, and its bounds are the
-// operator's for the life of a process.
-func watchReload(ctx context.Context, hups <-chan os.Signal, path string, log logrus.FieldLogger) {
+// checkSettingsOnHangup validates the settings file again on every SIGHUP and logs the result.
+// A running gateway does not apply the new settings: its addresses must not change while callers
+// use them, and its limits, which the operator sets, hold for the life of a process.
+func checkSettingsOnHangup(ctx context.Context, reloads <-chan os.Signal, path string, log logrus.FieldLogger) {
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hups:
+			case <-reloads:
 				_, err := settings.LoadGateway(path)
 				events.SettingsReloaded.Log(log, logrus.Fields{"file": path, "error": err})
 			}
--- a/cli/spanrilldcmd/main.go
+++ b/cli/spanrilldcmd/main.go
@@ -1,4 +1,6 @@
-// Package spanrilldcmd is the command line of spanrilld.
+// Package spanrilldcmd implements the command line of spanrilld, the daemon that routes requests.
+// It reads the settings, sets up the log and runs the daemon or, with the subcommand gateway, the
+// gateway of the users' platform.
 //
 // # Usage
 //
@@ -25,8 +27,7 @@
 	exitBadSettings = 2
 )
 
-// Main runs spanrilld with the arguments of the process and returns its exit
-// code.
+// Main runs spanrilld with os.Args and returns its exit code.
 func Main() int {
 	err := command().Run(context.Background(), os.Args)
 	if err == nil {
@@ -45,7 +46,7 @@
 		Usage: "route inference pipelines and plain services",
 		Description: "spanrilld --settings spanrilld.json          run until SIGTERM, then drain\n" +
 			"spanrilld --settings spanrilld.json --check  check the settings and exit\n\n" +
-			"Exit codes: 0 stopped as planned or settings are right, 1 failed, 2 settings are wrong.",
+			"Exit codes: 0 stopped as planned or settings are valid, 1 failed, 2 settings are invalid.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "read settings from `FILE`", Local: true},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit", Local: true},
@@ -89,11 +90,11 @@
 	log := logrus.New()
 	log.SetLevel(level)
 	if l.Format == "json" {
-		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: timeFormat})
+		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTimeFormat})
 	}
 	return log, nil
 }
 
-// timeFormat shows milliseconds: several lines about one request fall into one
-// of them, and daemons are told apart by them.
-const timeFormat = "2006-01-02T15:04:05.000Z07:00"
+// logTimeFormat has milliseconds, because several lines about one request can fall into one
+// second and the lines of several daemons are ordered by their times.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
--- a/cli/spanrilldcmd/memory.go
+++ b/cli/spanrilldcmd/memory.go
@@ -9,36 +9,35 @@
 	"spanrill"
 )
 
-// The collector lets the heap grow in proportion to what is live, which is a few megabytes
-// before some upstreams and several times as much before thousands. The daemon allocates
-// about as much for a request in both cases, so that what the heap may grow by is a size, and
-// not a proportion.
+// By default the garbage collector lets the heap grow in proportion to the live heap, which is a
+// few megabytes with some upstreams and several times as much with thousands. A request allocates
+// about the same amount in both cases, so the growth is bounded by a size instead of a proportion.
 const (
-	// heapRoom is what the heap may grow by between two collections.
-	heapRoom = 8 * megabyte
-	// mostPercent and leastPercent bound the growth in hundredths of what is live: collections
-	// that follow one another at once cost more than memory.
-	mostPercent  = 300
-	leastPercent = 50
-	// firstPercent holds until it is known what is live.
-	firstPercent = 100
-	// percentStep is the least change that is made: each one stops the process for a moment.
-	percentStep = 20
-	// firstLook is when the process has started, and memoryLook the pause between later looks
-	// for memory to give back.
-	firstLook  = 3 * spanrill.Second
-	memoryLook = 15 * spanrill.Second
+	// heapGrowthBytes is the amount by which the heap may grow between two collections.
+	heapGrowthBytes = 8 * megabyte
+	// maxGCPercent and minGCPercent bound the GC percent: collections in quick succession cost
+	// more than the memory that they save.
+	maxGCPercent = 300
+	minGCPercent = 50
+	// initialGCPercent applies until the first collection has measured the live heap.
+	initialGCPercent = 100
+	// minGCPercentChange is the smallest change that is applied: each change stops the world.
+	minGCPercentChange = 20
+	// firstReleaseDelay is the time from the start of the process to the first check for memory to
+	// release, long enough for startup to be over. releaseInterval is the time between later checks.
+	firstReleaseDelay = 3 * spanrill.Second
+	releaseInterval   = 15 * spanrill.Second
 )
 
-// Metrics of the runtime.
+// Metrics of the Go runtime.
 const (
-	// liveHeap is what the last collection has found to be live.
-	liveHeap = "/gc/heap/live:bytes"
-	// freeHeap is what holds nothing and was not given back to the system.
-	freeHeap = "/memory/classes/heap/free:bytes"
+	// liveHeapMetric is the size of the live heap as of the last collection.
+	liveHeapMetric = "/gc/heap/live:bytes"
+	// freeHeapMetric is the size of free heap memory that was not returned to the system.
+	freeHeapMetric = "/memory/classes/heap/free:bytes"
 )
 
-// readMetric returns a metric of the runtime.
+// readMetric returns the value of a runtime metric, or 0 if the runtime does not provide it.
 func readMetric(name string) uint64 {
 	sample := []metrics.Sample{{Name: name}}
 	metrics.Read(sample)
@@ -48,56 +47,56 @@
 	return sample[0].Value.Uint64()
 }
 
-// givesBack reports whether free memory is given back to the system: a start takes a
-// multiple of what the daemon needs later on.
-func givesBack(free uint64) bool { return free > heapRoom }
+// shouldReleaseMemory reports whether free memory should be returned to the system. Startup takes
+// a multiple of the memory that the daemon needs later.
+func shouldReleaseMemory(free uint64) bool { return free > heapGrowthBytes }
 
-// growthFor returns by how much the heap may grow, in hundredths of what is live.
-func growthFor(live uint64) int {
+// gcPercentFor returns the GC percent with which a live heap grows by about heapGrowthBytes.
+func gcPercentFor(live uint64) int {
 	if live == 0 {
-		return mostPercent
+		return maxGCPercent
 	}
-	return int(max(leastPercent, min(mostPercent, heapRoom*100/live)))
+	return int(max(minGCPercent, min(maxGCPercent, heapGrowthBytes*100/live)))
 }
 
-// collector sets how much the heap may grow after each collection, by what that has found to
-// be live: a daemon that starts knows little at first and thousands of upstreams seconds later.
-type collector struct{ percent int }
+// gcTuner adapts the GC percent to the live heap after each collection. It cannot be set once: the
+// live heap of a starting daemon is small, and seconds later it holds thousands of upstreams.
+type gcTuner struct{ percent int }
 
-// marker is an object that nothing refers to, so that each collection finds it.
-type marker struct{ collector *collector }
+// gcSentinel is an unreachable object whose finalizer runs after the next collection.
+type gcSentinel struct{ tuner *gcTuner }
 
-// watch calls tune after the next collection, and after each that follows.
-func (c *collector) watch() {
-	runtime.SetFinalizer(&marker{c}, func(m *marker) {
-		m.collector.tune()
-		m.collector.watch()
+// tuneAfterEachGC calls tune after every collection from the next one on.
+func (t *gcTuner) tuneAfterEachGC() {
+	runtime.SetFinalizer(&gcSentinel{t}, func(s *gcSentinel) {
+		s.tuner.tune()
+		s.tuner.tuneAfterEachGC()
 	})
 }
 
-// tune is called by the finalizers' goroutine alone.
-func (c *collector) tune() {
-	if want := growthFor(readMetric(liveHeap)); max(want-c.percent, c.percent-want) >= percentStep {
-		debug.SetGCPercent(want)
-		c.percent = want
+// tune sets the GC percent for the current live heap. Only the finalizer goroutine calls it.
+func (t *gcTuner) tune() {
+	if percent := gcPercentFor(readMetric(liveHeapMetric)); max(percent-t.percent, t.percent-percent) >= minGCPercentChange {
+		debug.SetGCPercent(percent)
+		t.percent = percent
 	}
 }
 
-// tuneCollector sets how much the heap may grow for the life of the process. Until the context
-// ends it gives back free memory; it closes the channel that it returns when that has ended.
-func tuneCollector(ctx context.Context, clock spanrill.Clock) <-chan struct{} {
-	debug.SetGCPercent(firstPercent)
-	(&collector{percent: firstPercent}).watch()
+// startMemoryTuning starts to tune the GC percent, for the life of the process, and to return free
+// memory to the system until ctx ends. It closes the returned channel when the latter has stopped.
+func startMemoryTuning(ctx context.Context, clock spanrill.Clock) <-chan struct{} {
+	debug.SetGCPercent(initialGCPercent)
+	(&gcTuner{percent: initialGCPercent}).tuneAfterEachGC()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for pause := firstLook; ; pause = memoryLook {
+		for delay := firstReleaseDelay; ; delay = releaseInterval {
 			select {
 			case <-ctx.Done():
 				return
-			case <-clock.After(pause):
+			case <-clock.After(delay):
 			}
-			if givesBack(readMetric(freeHeap)) {
+			if shouldReleaseMemory(readMetric(freeHeapMetric)) {
 				debug.FreeOSMemory()
 			}
 		}
