--- a/cli/standincmd/main.go
+++ b/cli/standincmd/main.go
@@ -1,4 +1,5 @@
-// Package standincmd is the command line of the stand-ins.
+// Package standincmd implements the command line of spanrill-standin, which runs one stand-in for a
+// system around spanrill: the platform, an engine, a plain service or a proxy that injects faults.
 //
 // # Usage
 //
@@ -24,8 +25,7 @@
 	"spanrill/standin/service"
 )
 
-// Main runs a stand-in with the arguments of the process and returns its exit
-// code.
+// Main runs a stand-in with os.Args and returns its exit code.
 func Main() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -41,14 +41,14 @@
 	name := &cli.StringFlag{Name: "name", Required: true, Usage: "the box's `NAME`"}
 	return &cli.Command{
 		Name:  "spanrill-standin",
-		Usage: "small stand-ins for the systems around spanrill, for trials and tests",
+		Usage: "stand-ins for the systems around spanrill, for trials and tests",
 		Commands: []*cli.Command{
 			{
 				Name: "platform", Usage: "the object API and the box list",
 				Flags: []cli.Flag{
 					listen,
-					&cli.StringFlag{Name: "boxes", Usage: "read the first box list from `FILE`"},
-					&cli.DurationFlag{Name: "box-lag", Usage: "how late the box list shows changes"},
+					&cli.StringFlag{Name: "boxes", Usage: "read the initial box list from `FILE`"},
+					&cli.DurationFlag{Name: "box-lag", Usage: "delay until the box list shows a change"},
 				},
 				Action: runPlatform,
 			},
@@ -60,7 +60,7 @@
 					&cli.StringFlag{Name: "version", Value: "1", Usage: "the model's version"},
 					&cli.IntFlag{Name: "model-layers", Required: true, Usage: "layers of the whole model"},
 					&cli.IntFlag{Name: "from", Usage: "first layer held"},
-					&cli.IntFlag{Name: "to", Required: true, Usage: "layer behind the last one held"},
+					&cli.IntFlag{Name: "to", Required: true, Usage: "layer after the last one held"},
 					&cli.DurationFlag{Name: "step", Value: engine.DefaultSpeed.Step, Usage: "base time of a batch step"},
 					&cli.IntFlag{Name: "slots", Value: engine.DefaultSpeed.Slots, Usage: "streams in one batch step"},
 					&cli.StringFlag{Name: "kind", Value: engine.DefaultSpeed.Kind, Usage: "the accelerator's kind"},
@@ -75,8 +75,8 @@
 				Name: "proxy", Usage: "a TCP proxy that injects faults",
 				Flags: []cli.Flag{
 					listen,
-					&cli.StringFlag{Name: "to", Required: true, Usage: "pass connections on to `ADDR`"},
-					&cli.StringFlag{Name: "control", Required: true, Usage: "take faults on `ADDR`"},
+					&cli.StringFlag{Name: "to", Required: true, Usage: "forward connections to `ADDR`"},
+					&cli.StringFlag{Name: "control", Required: true, Usage: "accept fault commands on `ADDR`"},
 				},
 				Action: runProxy,
 			},
@@ -84,13 +84,13 @@
 	}
 }
 
-// serve keeps a stand-in up until the process is told to stop.
+// serve starts a stand-in with listen, prints its address and runs it until ctx ends.
 func serve(ctx context.Context, addr string, listen func(string) (string, error), stop func()) error {
-	in, err := listen(addr)
+	boundAddr, err := listen(addr)
 	if err != nil {
 		return fmt.Errorf("start stand-in: %w", err)
 	}
-	fmt.Println("listening on", in)
+	fmt.Println("listening on", boundAddr)
 	<-ctx.Done()
 	stop()
 	return nil
