--- a/cmd/spanrill-standin/main.go
+++ b/cmd/spanrill-standin/main.go
@@ -1,5 +1,5 @@
-// Command spanrill-standin runs small stand-ins for the systems around
-// spanrill. It is for trials and tests.
+// Command spanrill-standin runs stand-ins for the systems around spanrill, for
+// trials and tests.
 //
 // # Usage
 //
--- a/cmd/spanrill/main.go
+++ b/cmd/spanrill/main.go
@@ -1,4 +1,5 @@
-// Command spanrill is the tool of spanrill's operators.
+// Command spanrill is the operators' tool: it edits the configuration of a
+// fleet, shows its status, analyses logs and runs benchmarks.
 //
 // # Usage
 //
--- a/cmd/spanrilld/main.go
+++ b/cmd/spanrilld/main.go
@@ -1,4 +1,5 @@
-// Command spanrilld is the spanrill router.
+// Command spanrilld is the daemon that routes requests to inference engines and
+// plain services.
 //
 // # Usage
 //
