--- a/cli/spanrillcmd/bench.go
+++ b/cli/spanrillcmd/bench.go
@@ -130,7 +130,7 @@
 			if err != nil {
 				return err
 			}
-			spec.Policy = policy
+			spec.RoutingPolicy = policy
 			report, err := run(ctx, spec, optionsFromFlags(c, spec, load))
 			if err != nil {
 				return err
