--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// prefillWeight is the cost of a prefill position against a decode position.
-const prefillWeight = 0.1
+// prefillCost is the cost of a prefill position, in decode positions.
+const prefillCost = 0.1
 
-// job is one stage step that waits for its turn on the accelerator.
+// job is a step of a stage that waits for the accelerator.
 type job struct {
 	weight   float64 // decode positions that it costs
 	priority int
 	done     chan struct{}
 }
 
-// batcher runs waiting jobs in batches, as an accelerator does.
+// batcher runs waiting jobs in batches and simulates the time that an accelerator takes for them.
 type batcher struct {
 	engine  *Engine
 	mu      sync.Mutex
@@ -28,15 +28,15 @@
 	return &batcher{engine: e, wake: make(chan struct{}, 1)}
 }
 
-// depth returns the number of jobs that wait for their turn.
-func (b *batcher) depth() int {
+// waitingJobs returns the number of jobs that wait for a batch.
+func (b *batcher) waitingJobs() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.waiting)
 }
 
-// run returns once the accelerator has done the work.
-func (b *batcher) run(weight float64, priority int) {
+// execute queues a job and returns once its batch has run or the engine has stopped.
+func (b *batcher) execute(weight float64, priority int) {
 	j := &job{weight: weight, priority: priority, done: make(chan struct{})}
 	b.mu.Lock()
 	b.waiting = append(b.waiting, j)
@@ -53,7 +53,7 @@
 
 func (b *batcher) loop() {
 	for {
-		batch := b.take()
+		batch := b.nextBatch()
 		if len(batch) == 0 {
 			select {
 			case <-b.wake:
@@ -62,12 +62,13 @@
 				return
 			}
 		}
-		b.step(batch)
+		b.runBatch(batch)
 	}
 }
 
-// take removes the next batch, highest priority first.
-func (b *batcher) take() []*job {
+// nextBatch removes the next batch from the queue: at most one job for each slot, highest priority
+// first.
+func (b *batcher) nextBatch() []*job {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sort.SliceStable(b.waiting, func(i, k int) bool {
@@ -79,13 +80,14 @@
 	return batch
 }
 
-func (b *batcher) step(batch []*job) {
+// runBatch waits for the time of a batch and ends its jobs.
+func (b *batcher) runBatch(batch []*job) {
 	var weight float64
 	for _, j := range batch {
 		weight += j.weight
 	}
 	select {
-	case <-time.After(b.engine.stepTime(weight)):
+	case <-time.After(b.engine.batchTime(weight)):
 	case <-b.engine.stopped:
 	}
 	for _, j := range batch {
@@ -93,8 +95,8 @@
 	}
 }
 
-// stepTime returns how long a batch of the given weight takes.
-func (e *Engine) stepTime(weight float64) time.Duration {
+// batchTime returns how long a batch takes whose jobs cost weight decode positions in total.
+func (e *Engine) batchTime(weight float64) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	perLayer := float64(e.speed.TokenLayer) * weight
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -8,32 +8,34 @@
 	"spanrill/standin/model"
 )
 
-// blockLen is the number of positions in one cached block.
+// blockLen is the number of positions in a prefix block.
 const blockLen = 16
 
-// maxBlocks bounds the blocks of one prompt that the cache considers.
-const maxBlocks = 64
+// maxPromptBlocks is the maximum number of prefix blocks of a prompt: as many as the bit mask of
+// cached blocks can hold.
+const maxPromptBlocks = 64
 
-// CacheEvent says that a prefix block came or went.
+// CacheEvent reports that a prefix block was cached or evicted.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Key     uint64 `json:"key"`
 	Evicted bool   `json:"evicted"`
 }
 
-// eventGap drops every n-th cache event, so that sequence numbers have gaps.
-const eventGap = 7
+// droppedEventInterval is the interval at which one cache event is dropped, so that the sequence
+// numbers have gaps.
+const droppedEventInterval = 7
 
-// maxEvents bounds the events kept for readers.
-const maxEvents = 1024
+// maxCacheEvents is the number of cache events that are kept for readers.
+const maxCacheEvents = 1024
 
-// prefixCache keeps the KV of prompt prefixes, least recently used first out.
+// prefixCache holds the KV caches of prompt prefixes. It evicts the least recently used block first.
 type prefixCache struct {
-	limit  int
-	order  *list.List // of *cacheEntry, newest first
-	byKey  map[uint64]*list.Element
-	seq    uint64
-	events []CacheEvent
+	capacity  int
+	byRecency *list.List // of *cacheEntry, newest first
+	byKey     map[uint64]*list.Element
+	seq       uint64
+	events    []CacheEvent
 }
 
 type cacheEntry struct {
@@ -42,52 +44,55 @@
 }
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, order: list.New(), byKey: map[uint64]*list.Element{}}
+	return &prefixCache{capacity: limit, byRecency: list.New(), byKey: map[uint64]*list.Element{}}
 }
 
+// get returns the KV cache of a prefix, or nil.
 func (c *prefixCache) get(key uint64) []model.KV {
 	el := c.byKey[key]
 	if el == nil {
 		return nil
 	}
-	c.order.MoveToFront(el)
+	c.byRecency.MoveToFront(el)
 	return el.Value.(*cacheEntry).kv
 }
 
+// put caches a copy of the KV cache of a prefix, unless it is cached already.
 func (c *prefixCache) put(key uint64, kv []model.KV) {
-	if c.byKey[key] != nil || c.limit == 0 {
+	if c.byKey[key] != nil || c.capacity == 0 {
 		return
 	}
 	entry := &cacheEntry{key: key, kv: append([]model.KV(nil), kv...)}
-	c.byKey[key] = c.order.PushFront(entry)
-	c.emit(CacheEvent{Key: key})
-	for c.order.Len() > c.limit {
-		last := c.order.Back()
-		old := c.order.Remove(last).(*cacheEntry)
-		delete(c.byKey, old.key)
-		c.emit(CacheEvent{Key: old.key, Evicted: true})
+	c.byKey[key] = c.byRecency.PushFront(entry)
+	c.addEvent(CacheEvent{Key: key})
+	for c.byRecency.Len() > c.capacity {
+		oldest := c.byRecency.Back()
+		evicted := c.byRecency.Remove(oldest).(*cacheEntry)
+		delete(c.byKey, evicted.key)
+		c.addEvent(CacheEvent{Key: evicted.key, Evicted: true})
 	}
 }
 
-func (c *prefixCache) emit(e CacheEvent) {
+// addEvent numbers an event and keeps it, unless it is one that is dropped.
+func (c *prefixCache) addEvent(e CacheEvent) {
 	c.seq++
 	e.Seq = c.seq
-	if c.seq%eventGap == 0 {
+	if c.seq%droppedEventInterval == 0 {
 		return
 	}
 	c.events = append(c.events, e)
-	if len(c.events) > maxEvents {
-		c.events = c.events[len(c.events)-maxEvents:]
+	if len(c.events) > maxCacheEvents {
+		c.events = c.events[len(c.events)-maxCacheEvents:]
 	}
 }
 
 func (c *prefixCache) clear() {
-	c.order.Init()
+	c.byRecency.Init()
 	c.byKey = map[uint64]*list.Element{}
 }
 
-// held returns a bit for each block of keys that the cache holds.
-func (c *prefixCache) held(keys []uint64) uint64 {
+// cachedBlocks returns a bit mask: bit i is set if the cache holds the i-th of the keys.
+func (c *prefixCache) cachedBlocks(keys []uint64) uint64 {
 	var mask uint64
 	for i, k := range keys {
 		if c.byKey[k] != nil {
@@ -97,17 +102,17 @@
 	return mask
 }
 
-// blockKeys returns the key of each whole block of the prompt. The last
-// position is left out, since its activation is always needed.
+// blockKeys returns the keys of the complete prefix blocks. A block that ends at the last position is
+// left out: the activation of that position is needed for the next token.
 func blockKeys(s model.Spec, words []string) []uint64 {
 	var keys []uint64
-	d := xxhash.New()
-	_, _ = d.WriteString(s.Name + "\x00" + s.Version)
+	digest := xxhash.New()
+	_, _ = digest.WriteString(s.Name + "\x00" + s.Version)
 	for i, w := range words {
-		if i > 0 && i%blockLen == 0 && len(keys) < maxBlocks {
-			keys = append(keys, d.Sum64())
+		if i > 0 && i%blockLen == 0 && len(keys) < maxPromptBlocks {
+			keys = append(keys, digest.Sum64())
 		}
-		_, _ = d.WriteString("\x00" + w)
+		_, _ = digest.WriteString("\x00" + w)
 	}
 	return keys
 }
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,19 +1,19 @@
-// Package engine is a stand-in for a model engine that holds a range of
-// layers of one model.
+// Package engine is a stand-in for an inference engine that holds a range of layers of one model.
 //
-// It batches continuously at the speed of its accelerator, caches prompt
-// prefixes in limited memory, honours priorities, reports load with a lag and
-// cache events late and with gaps, cancels and resumes streams, exports and
-// imports KV, and takes fenced orders.
+// It simulates continuous batching at the speed of an accelerator and a prompt prefix cache of
+// limited size. It serves streams by priority, reports its load with a lag, publishes cache events
+// with gaps in their sequence numbers, cancels and continues streams, exports and imports their KV
+// caches, and follows orders unless their fencing token is outdated. Faults make it fail in
+// defined ways.
 //
 //	POST /v1/run           runs a chain whose first stage is this engine
-//	POST /v1/stage         one step of a stream, called by the stage before
-//	GET  /v1/status        the load report
-//	GET  /v1/cache-events  cache events after a sequence number
-//	GET  /v1/kv/{stream}   exports a stream's KV
-//	POST /v1/kv/{stream}   imports a stream's KV
-//	POST /v1/orders        a fenced order
-//	GET  /v1/orders        the orders that took effect
+//	POST /v1/stage         opens, advances or closes a stream; called by the previous stage
+//	GET  /v1/status        returns the load report
+//	GET  /v1/cache-events  returns the cache events after a sequence number
+//	GET  /v1/kv/{stream}   exports a stream's KV cache
+//	POST /v1/kv/{stream}   imports a stream's KV cache
+//	POST /v1/orders        carries out an order
+//	GET  /v1/orders        returns the orders that were carried out
 //	POST /faults           sets the faults; the body is a Faults
 //
 // # Usage
@@ -33,39 +33,39 @@
 	"spanrill/standin/web"
 )
 
-// Faults says how the engine misbehaves. The zero value is a healthy engine.
+// Faults are the faults that an engine simulates. The zero value is a healthy engine.
 type Faults struct {
-	Slowdown       float64        `json:"slowdown"`         // steps take this many times as long
-	Leaving        bool           `json:"leaving"`          // reported, and new streams are refused
-	IgnoreFences   bool           `json:"ignore_fences"`    // orders are taken whatever their term
-	DoubleTokens   bool           `json:"double_tokens"`    // each token is sent twice
-	SwapTokens     bool           `json:"swap_tokens"`      // pairs of tokens change places
-	DropToken      int            `json:"drop_token"`       // the token with this index is not sent
-	SkipLayer      bool           `json:"skip_layer"`       // the last layer held is left out
-	MisreportRange bool           `json:"misreport_range"`  // the proof names one layer too few
-	EndEarly       int            `json:"end_early"`        // the stream closes at this token with no end event
-	LinkMicros     map[string]int `json:"link_micros"`      // delay before each call to a next stage
-	DieAtToken     int            `json:"die_at_token"`     // the listener stops at this token, once
-	StallAtToken   int            `json:"stall_at_token"`   // nothing more is sent from this token on
-	FailOrders     int            `json:"fail_orders"`      // the next n orders fail
-	LoseOrderReply int            `json:"lose_order_reply"` // the next n orders act and lose their answer
-}
-
-// Speed is how fast an accelerator runs.
+	Slowdown       float64        `json:"slowdown"`         // factor of the time that batches take
+	Leaving        bool           `json:"leaving"`          // report that the engine is leaving, and refuse new streams
+	IgnoreFences   bool           `json:"ignore_fences"`    // carry out orders with any fencing token
+	DoubleTokens   bool           `json:"double_tokens"`    // send each token twice
+	SwapTokens     bool           `json:"swap_tokens"`      // send the two tokens of each pair in reverse order
+	DropToken      int            `json:"drop_token"`       // don't send the token with this index
+	SkipLayer      bool           `json:"skip_layer"`       // don't run the last layer held
+	MisreportRange bool           `json:"misreport_range"`  // report one layer less than was run
+	EndEarly       int            `json:"end_early"`        // close the stream at this token without an end event
+	LinkMicros     map[string]int `json:"link_micros"`      // delay of calls to the next stage, by its engine
+	DieAtToken     int            `json:"die_at_token"`     // kill the engine at this token
+	StallAtToken   int            `json:"stall_at_token"`   // send nothing from this token on
+	FailOrders     int            `json:"fail_orders"`      // fail the next n orders
+	LoseOrderReply int            `json:"lose_order_reply"` // carry out the next n orders without an answer
+}
+
+// Speed describes an accelerator.
 type Speed struct {
-	Kind       string        // accelerator
-	Slots      int           // streams in one batch step
-	Step       time.Duration // base time of a batch step
-	TokenLayer time.Duration // added time of one position in one layer
-	MemLayers  int           // layers that fit
+	Kind       string        // name of the kind of accelerator
+	Slots      int           // maximum number of steps in a batch
+	Step       time.Duration // base time of a batch
+	TokenLayer time.Duration // time added to a batch for each position and layer
+	MemLayers  int           // number of layers that fit in memory
 }
 
-// Engine is the stand-in.
+// Engine is a stand-in for one engine. Create it with New.
 type Engine struct {
-	name     string
-	speed    Speed
-	lag      time.Duration
-	loadTime time.Duration
+	name      string
+	speed     Speed
+	reportLag time.Duration
+	loadTime  time.Duration
 
 	mu         sync.Mutex
 	spec       model.Spec
@@ -80,47 +80,48 @@
 	reported   spanrill.UpstreamStatus
 	reportedAt time.Time
 
-	batch   *batcher
-	client  *fasthttp.Client
-	server  *web.Server
-	stopped chan struct{}
-	once    sync.Once
+	batcher  *batcher
+	client   *fasthttp.Client
+	server   *web.Server
+	stopped  chan struct{}
+	stopOnce sync.Once
 }
 
-// Option changes a default of New.
+// Option configures an Engine.
 type Option func(*Engine)
 
-// WithModel sets the model and the layers that the engine holds at its start.
+// WithModel sets the model and the layers that the engine holds when it starts.
 func WithModel(s model.Spec, r spanrill.LayerRange) Option {
 	return func(e *Engine) { e.spec, e.layers = s, r }
 }
 
-// WithSpeed sets the accelerator.
+// WithSpeed sets the accelerator that the engine simulates.
 func WithSpeed(s Speed) Option {
 	return func(e *Engine) { e.speed = s }
 }
 
-// WithReportLag sets how old the load report is.
+// WithReportLag sets the interval between load reports, and so the maximum age of the load that the
+// status shows.
 func WithReportLag(d time.Duration) Option {
-	return func(e *Engine) { e.lag = d }
+	return func(e *Engine) { e.reportLag = d }
 }
 
-// WithCacheBlocks sets how many prefix blocks fit into the cache.
+// WithCacheBlocks sets the capacity of the prefix cache, in blocks.
 func WithCacheBlocks(n int) Option {
 	return func(e *Engine) { e.cache = newPrefixCache(n) }
 }
 
-// WithLoadTime sets how long an order to load a model takes.
+// WithLoadTime sets how long loading a model takes.
 func WithLoadTime(d time.Duration) Option {
 	return func(e *Engine) { e.loadTime = d }
 }
 
-// WithGeneration sets the generation at the start.
+// WithGeneration sets the generation at the start. The default is the start time in nanoseconds.
 func WithGeneration(g uint64) Option {
 	return func(e *Engine) { e.generation = g }
 }
 
-// DefaultSpeed is an accelerator of the middle kind.
+// DefaultSpeed describes the accelerator of an engine without the option WithSpeed.
 var DefaultSpeed = Speed{
 	Kind: "m1", Slots: 16, Step: 2 * time.Millisecond,
 	TokenLayer: 5 * time.Microsecond, MemLayers: 16,
@@ -130,13 +131,13 @@
 	defaultLag         = 300 * time.Millisecond
 	defaultCacheBlocks = 512
 	defaultLoadTime    = 200 * time.Millisecond
-	streamIdle         = 30 * time.Second
+	streamIdleTimeout  = 30 * time.Second
 )
 
-// New returns an engine that holds no model unless an option gives one.
+// New returns an engine. Without the option WithModel it holds no model.
 func New(name string, opts ...Option) *Engine {
 	e := &Engine{
-		name: name, speed: DefaultSpeed, lag: defaultLag, loadTime: defaultLoadTime,
+		name: name, speed: DefaultSpeed, reportLag: defaultLag, loadTime: defaultLoadTime,
 		generation: uint64(time.Now().UnixNano()),
 		terms:      map[string]uint64{}, streams: map[string]*stream{},
 		cache: newPrefixCache(defaultCacheBlocks), stopped: make(chan struct{}),
@@ -148,7 +149,7 @@
 	for _, o := range opts {
 		o(e)
 	}
-	e.batch = newBatcher(e)
+	e.batcher = newBatcher(e)
 	e.server = web.New(e.handle)
 	return e
 }
@@ -156,30 +157,30 @@
 // Name returns the engine's name.
 func (e *Engine) Name() string { return e.name }
 
-// Listen serves on addr and returns the address in use.
+// Listen starts the engine on addr and returns the address that it is bound to.
 func (e *Engine) Listen(addr string) (string, error) {
-	in, err := e.server.Listen(addr)
+	bound, err := e.server.Listen(addr)
 	if err != nil {
 		return "", err
 	}
-	go e.batch.loop()
-	go e.report()
-	return in, nil
+	go e.batcher.loop()
+	go e.reportLoop()
+	return bound, nil
 }
 
-// Close stops the engine and lets open requests end.
+// Close stops the engine and waits for open requests, whose batches no longer take any time.
 func (e *Engine) Close() {
-	e.once.Do(func() { close(e.stopped) })
+	e.stopOnce.Do(func() { close(e.stopped) })
 	e.server.Close()
 }
 
-// Kill ends the engine as a crash does.
+// Kill stops the engine and closes its connections, as a crash would.
 func (e *Engine) Kill() {
-	e.once.Do(func() { close(e.stopped) })
+	e.stopOnce.Do(func() { close(e.stopped) })
 	e.server.Kill()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults to simulate.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -192,51 +193,53 @@
 	return e.faults
 }
 
-// report renews the lagging load report.
-func (e *Engine) report() {
+// reportLoop renews the load report after each report lag, and drops idle streams.
+func (e *Engine) reportLoop() {
 	for {
-		s := e.statusNow()
+		load := e.currentLoad()
 		e.mu.Lock()
-		e.reported, e.reportedAt = s, time.Now()
+		e.reported, e.reportedAt = load, time.Now()
 		e.dropIdleStreams()
 		e.mu.Unlock()
 		select {
-		case <-time.After(max(e.lag, 10*time.Millisecond)):
+		case <-time.After(max(e.reportLag, 10*time.Millisecond)):
 		case <-e.stopped:
 			return
 		}
 	}
 }
 
-// dropIdleStreams forgets streams that nobody closed. The caller holds the lock.
+// dropIdleStreams removes streams that were never closed. The caller holds e.mu.
 func (e *Engine) dropIdleStreams() {
 	for id, s := range e.streams {
-		if time.Since(s.used) > streamIdle {
+		if time.Since(s.lastUsed) > streamIdleTimeout {
 			delete(e.streams, id)
 		}
 	}
 }
 
-func (e *Engine) statusNow() spanrill.UpstreamStatus {
-	waiting := e.batch.depth()
+// currentLoad returns the load without any lag.
+func (e *Engine) currentLoad() spanrill.UpstreamStatus {
+	waitingSteps := e.batcher.waitingJobs()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return spanrill.UpstreamStatus{
-		Name: e.name, Running: len(e.streams), Waiting: waiting, Slots: e.speed.Slots,
+		Name: e.name, Running: len(e.streams), Waiting: waitingSteps, Slots: e.speed.Slots,
 		Kind: e.speed.Kind, StepMicros: int(e.speed.Step / time.Microsecond),
 		TokenNanos: int(e.speed.TokenLayer), MaxLayers: e.speed.MemLayers,
 	}
 }
 
-// status returns the lagging load with what is true now of the model held.
+// status returns the load of the last report, with the current state of the model, the generation
+// and the cache.
 func (e *Engine) status() spanrill.UpstreamStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.reported
-	s.AgeMillis = spanrill.MillisOf(time.Since(e.reportedAt))
-	s.Leaving = e.faults.Leaving
-	s.Model, s.Version, s.Layers = e.spec.Name, e.spec.Version, e.layers
-	s.Generation, s.Loading = e.generation, e.loading
-	s.CacheSeq = e.cache.seq
-	return s
+	status := e.reported
+	status.AgeMillis = spanrill.MillisOf(time.Since(e.reportedAt))
+	status.Leaving = e.faults.Leaving
+	status.Model, status.Version, status.Layers = e.spec.Name, e.spec.Version, e.layers
+	status.Generation, status.Loading = e.generation, e.loading
+	status.CacheSeq = e.cache.seq
+	return status
 }
--- a/standin/engine/prompt.go
+++ b/standin/engine/prompt.go
@@ -8,28 +8,30 @@
 	"github.com/pkg/errors"
 )
 
-// promptOf renders a caller's body as the words that the model sees.
-func promptOf(path string, body []byte) (string, error) {
+// promptText returns the prompt in the body of a request: that of a chat if the path is one of a
+// chat completion.
+func promptText(path string, body []byte) (string, error) {
 	if strings.HasSuffix(path, "/chat/completions") {
 		return chatPrompt(body)
 	}
-	var b struct {
+	var request struct {
 		Prompt json.RawMessage `json:"prompt"`
 	}
-	if err := json.Unmarshal(body, &b); err != nil {
+	if err := json.Unmarshal(body, &request); err != nil {
 		return "", fmt.Errorf("decode body: %w", err)
 	}
 	var text string
-	if err := json.Unmarshal(b.Prompt, &text); err == nil {
+	if err := json.Unmarshal(request.Prompt, &text); err == nil {
 		return text, nil
 	}
 	var list []string
-	if err := json.Unmarshal(b.Prompt, &list); err != nil || len(list) != 1 {
+	if err := json.Unmarshal(request.Prompt, &list); err != nil || len(list) != 1 {
 		return "", errors.New("prompt must be a string")
 	}
 	return list[0], nil
 }
 
+// chatPrompt concatenates the roles and contents of the messages.
 func chatPrompt(body []byte) (string, error) {
 	var b struct {
 		Messages []struct {
@@ -40,18 +42,18 @@
 	if err := json.Unmarshal(body, &b); err != nil {
 		return "", fmt.Errorf("decode body: %w", err)
 	}
-	var out strings.Builder
+	var prompt strings.Builder
 	for _, m := range b.Messages {
 		text, err := contentText(m.Content)
 		if err != nil {
 			return "", err
 		}
-		out.WriteString("<" + m.Role + "> " + text + " ")
+		prompt.WriteString("<" + m.Role + "> " + text + " ")
 	}
-	return out.String(), nil
+	return prompt.String(), nil
 }
 
-// contentText reads a message's content: a string, or a list of text parts.
+// contentText returns the text of a message's content: a string or a list of text parts.
 func contentText(raw json.RawMessage) (string, error) {
 	var text string
 	if err := json.Unmarshal(raw, &text); err == nil {
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -11,214 +11,224 @@
 	"spanrill/standin/web"
 )
 
-// prefillChunk is the number of positions in one prefill step.
+// prefillChunk is the maximum number of positions in a prefill step.
 const prefillChunk = 64
 
-// generation is a run whose first stage is this engine.
-type generation struct {
-	engine *Engine
-	req    *spanrill.RunRequest
-	spec   model.Spec
-	words  []string // prompt and generated words
-	prompt int      // words of the prompt alone
-	cached int      // positions taken from caches
-	pos    int
-	out    model.Activation
-	ran    []spanrill.StageRun
+// chainRun is the generation of one answer by a chain whose first stage is this engine.
+type chainRun struct {
+	engine     *Engine
+	req        *spanrill.RunRequest
+	spec       model.Spec
+	words      []string // words of the prompt and of the tokens generated before
+	promptLen  int      // number of words in the prompt
+	cachedLen  int      // number of positions restored from the caches
+	pos        int
+	activation model.Activation
+	stageRuns  []spanrill.StageRun
 }
 
 func (e *Engine) serveRun(ctx *fasthttp.RequestCtx) {
 	req := &spanrill.RunRequest{}
 	if err := json.Unmarshal(ctx.PostBody(), req); err != nil {
-		e.refuseRun(ctx, e.refuse(spanrill.CodeBadRequest, "%v", err))
+		e.writeConflict(ctx, e.newRunError(spanrill.CodeBadRequest, "%v", err))
 		return
 	}
-	g, refusal := e.newGeneration(req)
-	if refusal != nil {
-		e.refuseRun(ctx, refusal)
+	r, runErr := e.newChainRun(req)
+	if runErr != nil {
+		e.writeConflict(ctx, runErr)
 		return
 	}
 	ctx.SetContentType("application/x-ndjson")
-	ctx.SetBodyStreamWriter(g.stream)
+	ctx.SetBodyStreamWriter(r.writeEvents)
 }
 
-// refuseRun says that nothing ran.
-func (e *Engine) refuseRun(ctx *fasthttp.RequestCtx, refusal *spanrill.RunError) {
+// writeConflict answers that a request was refused before anything was done.
+func (e *Engine) writeConflict(ctx *fasthttp.RequestCtx, runErr *spanrill.RunError) {
 	ctx.SetStatusCode(fasthttp.StatusConflict)
-	web.WriteJSON(ctx, spanrill.RunEvent{Error: refusal})
+	web.WriteJSON(ctx, spanrill.RunEvent{Error: runErr})
 }
 
-func (e *Engine) newGeneration(req *spanrill.RunRequest) (*generation, *spanrill.RunError) {
-	prompt, err := promptOf(req.Path, req.Body)
+// newChainRun reads the prompt, appends the tokens already generated, and opens the stream.
+func (e *Engine) newChainRun(req *spanrill.RunRequest) (*chainRun, *spanrill.RunError) {
+	prompt, err := promptText(req.Path, req.Body)
 	if err != nil {
-		return nil, e.refuse(spanrill.CodeBadRequest, "%v", err)
+		return nil, e.newRunError(spanrill.CodeBadRequest, "%v", err)
 	}
-	g := &generation{
-		engine: e, req: req, words: model.Split(prompt),
+	r := &chainRun{
+		engine: e, req: req, words: model.SplitWords(prompt),
 		spec: model.Spec{Name: req.Model, Version: req.Version, Layers: req.LayerNum},
 	}
-	g.prompt = len(g.words)
+	r.promptLen = len(r.words)
 	for _, t := range req.Generated {
-		g.words = append(g.words, model.Word(t))
+		r.words = append(r.words, model.Word(t))
 	}
-	if g.prompt == 0 {
-		return nil, e.refuse(spanrill.CodeBadRequest, "the prompt is empty")
+	if r.promptLen == 0 {
+		return nil, e.newRunError(spanrill.CodeBadRequest, "the prompt is empty")
 	}
-	return g, g.open()
+	return r, r.open()
 }
 
-// open opens the stream on all stages. A refusal means that no stage worked.
-func (g *generation) open() *spanrill.RunError {
-	keys := blockKeys(g.spec, g.words)
-	reply := g.engine.stage(&stageOp{
-		Op: opOpen, ID: g.req.ID, Spec: g.spec, Priority: g.req.Priority,
-		Chain: g.req.Chain, Keys: keys,
+// open opens the stream on all stages and finds the longest prefix that every stage has cached. If
+// it fails, no stage has run anything.
+func (r *chainRun) open() *spanrill.RunError {
+	keys := blockKeys(r.spec, r.words)
+	reply := r.engine.handleStage(&stageRequest{
+		Op: opOpen, ID: r.req.ID, Spec: r.spec, Priority: r.req.Priority,
+		Chain: r.req.Chain, BlockKeys: keys,
 	})
 	if reply.Error != nil {
-		g.close()
+		r.close()
 		return reply.Error
 	}
 	for b := len(keys); b > 0; b-- {
-		if reply.Held&(1<<(b-1)) != 0 {
-			g.cached = b * blockLen
+		if reply.CachedBlocks&(1<<(b-1)) != 0 {
+			r.cachedLen = b * blockLen
 			break
 		}
 	}
 	return nil
 }
 
-func (g *generation) close() {
-	g.engine.stage(&stageOp{Op: opClose, ID: g.req.ID})
+// close closes the stream on all stages.
+func (r *chainRun) close() {
+	r.engine.handleStage(&stageRequest{Op: opClose, ID: r.req.ID})
 }
 
-// stream writes one line for each event.
-func (g *generation) stream(w *bufio.Writer) {
-	defer g.close()
-	send := &sender{w: w, faults: g.engine.currentFaults()}
-	if fault := g.prefill(); fault != nil {
-		send.event(spanrill.RunEvent{Error: fault})
+// writeEvents generates the answer and writes each event as one line.
+func (r *chainRun) writeEvents(w *bufio.Writer) {
+	defer r.close()
+	out := &eventWriter{w: w, faults: r.engine.currentFaults()}
+	if runErr := r.prefill(); runErr != nil {
+		out.write(spanrill.RunEvent{Error: runErr})
 		return
 	}
-	for i := len(g.req.Generated); ; i++ {
-		if i >= g.req.MaxTokens {
-			send.end(spanrill.RunEvent{Index: i, Finish: spanrill.FinishLength})
+	for i := len(r.req.Generated); ; i++ {
+		if i >= r.req.MaxTokens {
+			out.writeEnd(spanrill.RunEvent{Index: i, Finish: spanrill.FinishLength})
 			return
 		}
-		ev := g.token(i)
+		ev := r.sampleToken(i)
 		if ev.Finish != spanrill.FinishNone {
-			send.end(ev)
+			out.writeEnd(ev)
 			return
 		}
-		if !send.token(ev, g.engine) {
+		if !out.writeToken(ev, r.engine) {
 			return
 		}
-		if fault := g.decode(model.Word(ev.Token)); fault != nil {
-			send.event(spanrill.RunEvent{Error: fault})
+		if runErr := r.decodeWord(model.Word(ev.Token)); runErr != nil {
+			out.write(spanrill.RunEvent{Error: runErr})
 			return
 		}
 	}
 }
 
-func (g *generation) token(i int) spanrill.RunEvent {
-	t := model.Sample(g.out, g.req.Seed, i)
+// sampleToken returns the event of the i-th token.
+func (r *chainRun) sampleToken(i int) spanrill.RunEvent {
+	token := model.Sample(r.activation, r.req.Seed, i)
 	ev := spanrill.RunEvent{
-		Index: i, Token: t, Text: model.TokenText(t), StageRuns: g.ran,
-		PromptTokens: g.prompt, CachedTokens: g.cached,
+		Index: i, Token: token, Text: model.TokenText(token), StageRuns: r.stageRuns,
+		PromptTokens: r.promptLen, CachedTokens: r.cachedLen,
 	}
-	if t == model.EndToken {
+	if token == model.EndToken {
 		ev.Finish, ev.Text = spanrill.FinishStop, ""
 	}
 	return ev
 }
 
-func (g *generation) prefill() *spanrill.RunError {
-	g.pos = g.cached
-	restore := g.cached / blockLen
-	for g.pos < len(g.words) {
-		end := min(g.pos+prefillChunk, len(g.words))
-		if fault := g.run(g.words[g.pos:end], restore, true); fault != nil {
-			return fault
+// prefill runs the words whose positions are not cached.
+func (r *chainRun) prefill() *spanrill.RunError {
+	r.pos = r.cachedLen
+	restore := r.cachedLen / blockLen
+	for r.pos < len(r.words) {
+		end := min(r.pos+prefillChunk, len(r.words))
+		if runErr := r.runWords(r.words[r.pos:end], restore, true); runErr != nil {
+			return runErr
 		}
 		restore = 0
 	}
 	return nil
 }
 
-func (g *generation) decode(word string) *spanrill.RunError {
-	return g.run([]string{word}, 0, false)
+// decodeWord runs the step of one generated word.
+func (r *chainRun) decodeWord(word string) *spanrill.RunError {
+	return r.runWords([]string{word}, 0, false)
 }
 
-func (g *generation) run(words []string, restore int, prefill bool) *spanrill.RunError {
-	acts := make([]model.Activation, len(words))
+// runWords runs one step through all stages. A restore above 0 is the number of cached blocks that
+// the stages restore first.
+func (r *chainRun) runWords(words []string, restore int, prefill bool) *spanrill.RunError {
+	activations := make([]model.Activation, len(words))
 	for i, w := range words {
-		acts[i] = model.Embed(g.spec, w)
+		activations[i] = model.Embed(r.spec, w)
 	}
-	reply := g.engine.stage(&stageOp{
-		Op: opStep, ID: g.req.ID, Pos: g.pos, Restore: restore, Prefill: prefill, Acts: acts,
+	reply := r.engine.handleStage(&stageRequest{
+		Op: opStep, ID: r.req.ID, Pos: r.pos, RestoreBlocks: restore, Prefill: prefill, Activations: activations,
 	})
 	if reply.Error != nil {
 		return reply.Error
 	}
-	g.pos += len(words)
-	g.out, g.ran = reply.Act, reply.Ran
+	r.pos += len(words)
+	r.activation, r.stageRuns = reply.Activation, reply.StageRuns
 	return nil
 }
 
-// sender writes events and applies the faults of a stream.
-type sender struct {
-	w      *bufio.Writer
-	faults Faults
-	held   *spanrill.RunEvent
+// eventWriter writes the events of a stream, with the faults of the engine applied.
+type eventWriter struct {
+	w       *bufio.Writer
+	faults  Faults
+	delayed *spanrill.RunEvent
 }
 
-// event writes one event and reports whether the reader is still there.
-func (s *sender) event(ev spanrill.RunEvent) bool {
+// write writes one event and reports whether the client is still connected.
+func (ew *eventWriter) write(ev spanrill.RunEvent) bool {
 	line, err := json.Marshal(ev)
 	if err != nil {
 		return false
 	}
-	_, _ = s.w.Write(append(line, '\n'))
-	return s.w.Flush() == nil
+	_, _ = ew.w.Write(append(line, '\n'))
+	return ew.w.Flush() == nil
 }
 
-func (s *sender) end(ev spanrill.RunEvent) {
-	if s.held != nil {
-		s.event(*s.held)
+// writeEnd writes the last event, after a delayed token.
+func (ew *eventWriter) writeEnd(ev spanrill.RunEvent) {
+	if ew.delayed != nil {
+		ew.write(*ew.delayed)
 	}
-	s.event(ev)
+	ew.write(ev)
 }
 
-func (s *sender) token(ev spanrill.RunEvent, e *Engine) bool {
-	if f := s.faults; f.DieAtToken > 0 && ev.Index == f.DieAtToken {
+// writeToken writes a token, or what the faults make of it. It reports whether the stream goes on.
+func (ew *eventWriter) writeToken(ev spanrill.RunEvent, e *Engine) bool {
+	if f := ew.faults; f.DieAtToken > 0 && ev.Index == f.DieAtToken {
 		go e.Kill()
 		return false
 	}
-	if s.faults.EndEarly > 0 && ev.Index == s.faults.EndEarly {
+	if ew.faults.EndEarly > 0 && ev.Index == ew.faults.EndEarly {
 		return false
 	}
-	if s.faults.StallAtToken > 0 && ev.Index >= s.faults.StallAtToken {
+	if ew.faults.StallAtToken > 0 && ev.Index >= ew.faults.StallAtToken {
 		<-e.stopped
 		return false
 	}
-	if s.faults.DropToken > 0 && ev.Index == s.faults.DropToken {
+	if ew.faults.DropToken > 0 && ev.Index == ew.faults.DropToken {
 		return true
 	}
-	if s.faults.SwapTokens {
-		return s.swap(ev)
+	if ew.faults.SwapTokens {
+		return ew.writeSwapped(ev)
 	}
-	if s.faults.DoubleTokens && !s.event(ev) {
+	if ew.faults.DoubleTokens && !ew.write(ev) {
 		return false
 	}
-	return s.event(ev)
+	return ew.write(ev)
 }
 
-// swap sends each pair of tokens in the wrong order.
-func (s *sender) swap(ev spanrill.RunEvent) bool {
-	if s.held == nil {
-		s.held = &ev
+// writeSwapped delays the first token of each pair until the second is written.
+func (ew *eventWriter) writeSwapped(ev spanrill.RunEvent) bool {
+	if ew.delayed == nil {
+		ew.delayed = &ev
 		return true
 	}
-	first := *s.held
-	s.held = nil
-	return s.event(ev) && s.event(first)
+	first := *ew.delayed
+	ew.delayed = nil
+	return ew.write(ev) && ew.write(first)
 }
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -41,9 +41,9 @@
 }
 
 func (e *Engine) serveStage(ctx *fasthttp.RequestCtx) {
-	op := &stageOp{}
+	op := &stageRequest{}
 	if web.ReadJSON(ctx, op) {
-		web.WriteJSON(ctx, e.stage(op))
+		web.WriteJSON(ctx, e.handleStage(op))
 	}
 }
 
@@ -51,16 +51,16 @@
 	after, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	fresh := []CacheEvent{}
+	newer := []CacheEvent{}
 	for _, ev := range e.cache.events {
 		if ev.Seq > after {
-			fresh = append(fresh, ev)
+			newer = append(newer, ev)
 		}
 	}
-	web.WriteJSON(ctx, fresh)
+	web.WriteJSON(ctx, newer)
 }
 
-// kvState is a stream's KV as it is exported and imported.
+// kvState is the form in which the KV cache of a stream is exported and imported.
 type kvState struct {
 	Layers spanrill.LayerRange `json:"layers"`
 	Pos    int                 `json:"pos"`
@@ -79,15 +79,15 @@
 		web.WriteJSON(ctx, kvState{Layers: s.layers, Pos: s.pos, KV: s.kv})
 		return
 	}
-	var in kvState
-	if err := json.Unmarshal(ctx.PostBody(), &in); err != nil || in.Layers != s.layers {
-		ctx.Error("KV of other layers", fasthttp.StatusConflict)
+	var imported kvState
+	if err := json.Unmarshal(ctx.PostBody(), &imported); err != nil || imported.Layers != s.layers {
+		ctx.Error("the body is not a KV cache of this stream's layers", fasthttp.StatusConflict)
 		return
 	}
-	s.pos, s.kv = in.Pos, in.KV
+	s.pos, s.kv = imported.Pos, imported.KV
 }
 
-// Orders returns the orders that took effect, oldest first.
+// Orders returns the orders that were carried out, oldest first.
 func (e *Engine) Orders() []spanrill.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -97,36 +97,37 @@
 func (e *Engine) serveOrder(ctx *fasthttp.RequestCtx) {
 	var o spanrill.Order
 	if err := json.Unmarshal(ctx.PostBody(), &o); err != nil {
-		e.refuseRun(ctx, e.refuse(spanrill.CodeBadRequest, "%v", err))
+		e.writeConflict(ctx, e.newRunError(spanrill.CodeBadRequest, "%v", err))
 		return
 	}
-	lose, refusal := e.order(o)
-	if refusal != nil {
-		e.refuseRun(ctx, refusal)
+	loseReply, runErr := e.applyOrder(o)
+	if runErr != nil {
+		e.writeConflict(ctx, runErr)
 		return
 	}
-	if lose {
+	if loseReply {
 		ctx.Conn().Close()
 	}
 }
 
-// order takes an order unless a newer holder of the same duty gave one before.
-func (e *Engine) order(o spanrill.Order) (lose bool, refusal *spanrill.RunError) {
+// applyOrder carries out an order, unless an order with a higher term was given under the same lease
+// before. It also reports whether the reply is to be lost.
+func (e *Engine) applyOrder(o spanrill.Order) (loseReply bool, runErr *spanrill.RunError) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.FailOrders > 0 {
 		e.faults.FailOrders--
-		return false, e.refuse(spanrill.CodeBusy, "order fault")
+		return false, e.newRunError(spanrill.CodeBusy, "simulated failure of an order")
 	}
 	if o.Term < e.terms[o.LeaseName] && !e.faults.IgnoreFences {
-		return false, e.refuse(spanrill.CodeFenced, "term %d is below %d", o.Term, e.terms[o.LeaseName])
+		return false, e.newRunError(spanrill.CodeFenced, "term %d is lower than term %d of an earlier order", o.Term, e.terms[o.LeaseName])
 	}
 	if o.Layers.Len() > e.speed.MemLayers {
-		return false, e.refuse(spanrill.CodeBadRequest, "%d layers do not fit into %d", o.Layers.Len(), e.speed.MemLayers)
+		return false, e.newRunError(spanrill.CodeBadRequest, "%d layers do not fit in memory, which holds %d", o.Layers.Len(), e.speed.MemLayers)
 	}
 	e.terms[o.LeaseName] = max(e.terms[o.LeaseName], o.Term)
 	e.orders = append(e.orders, o)
-	e.load(o)
+	e.startLoading(o)
 	if e.faults.LoseOrderReply > 0 {
 		e.faults.LoseOrderReply--
 		return true, nil
@@ -134,8 +135,8 @@
 	return false, nil
 }
 
-// load starts to load what the order names. The caller holds the lock.
-func (e *Engine) load(o spanrill.Order) {
+// startLoading begins to load what the order names, unless it is loaded. The caller holds e.mu.
+func (e *Engine) startLoading(o spanrill.Order) {
 	spec := model.Spec{Name: o.Model, Version: o.Version, Layers: o.LayerNum}
 	if spec == e.spec && o.Layers == e.layers {
 		return
@@ -144,11 +145,11 @@
 	e.generation++
 	e.spec, e.layers = spec, o.Layers
 	e.cache.clear()
-	mine := e.generation
+	loadedGeneration := e.generation
 	time.AfterFunc(e.loadTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.generation == mine {
+		if e.generation == loadedGeneration {
 			e.loading = false
 		}
 	})
--- a/standin/model/model.go
+++ b/standin/model/model.go
@@ -1,10 +1,9 @@
-// Package model is a stand-in for a language model that can tell when it was
-// run wrongly.
+// Package model is a stand-in for a language model. Its answers reveal whether it was run correctly.
 //
-// Each layer keeps a hash over everything that passed through it, as a real
-// layer keeps a KV cache. A position's activation is folded through every
-// layer in order, so a layer that is skipped, run twice or run out of order,
-// and a token that is lost or repeated, changes all text that follows.
+// Each layer keeps a hash over all activations that it has processed, in place of a KV cache. The
+// activation of each position passes through all layers in order. A layer that is skipped, run
+// twice or run out of order, and a token that is lost or repeated, therefore changes all text that
+// follows.
 //
 // # Usage
 //
@@ -20,26 +19,27 @@
 	"spanrill"
 )
 
-// Spec names a model.
+// Spec identifies a model. The engines exchange it as JSON under its Go field names.
 type Spec struct {
 	Name    string
 	Version string
 	Layers  int
 }
 
-// Vocabulary is the number of tokens. Token 0 ends an answer.
+// Vocabulary is the number of different tokens.
 const Vocabulary = 4096
 
-// EndToken ends an answer.
+// EndToken is the token that ends an answer.
 const EndToken uint32 = 0
 
-// KV is the state of one layer after some positions.
+// KV is the state of one layer: a hash over its inputs at all positions so far.
 type KV uint64
 
-// Activation is what passes from one layer to the next at one position.
+// Activation is the output of a layer at one position, and the input of the next layer.
 type Activation uint64
 
-func mix(a, b, c uint64) uint64 {
+// hash returns a hash of three numbers.
+func hash(a, b, c uint64) uint64 {
 	var buf [24]byte
 	binary.LittleEndian.PutUint64(buf[0:], a)
 	binary.LittleEndian.PutUint64(buf[8:], b)
@@ -47,30 +47,30 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// Layer folds one position into a layer and returns the activation for the
-// next layer.
-func Layer(layer int, kv *KV, in Activation) Activation {
-	*kv = KV(mix(uint64(*kv), uint64(in), uint64(layer)))
-	return Activation(mix(uint64(in), uint64(*kv), uint64(layer)+1<<32))
+// RunLayer runs one position through a layer: it updates the state of the layer and returns the
+// activation for the next one.
+func RunLayer(layer int, kv *KV, in Activation) Activation {
+	*kv = KV(hash(uint64(*kv), uint64(in), uint64(layer)))
+	return Activation(hash(uint64(in), uint64(*kv), uint64(layer)+1<<32))
 }
 
-// Fold runs one position through the layers of a range. The slice holds one
-// KV for each layer of the range.
-func Fold(r spanrill.LayerRange, kv []KV, in Activation) Activation {
+// RunLayers runs one position through the layers of a range, from its first one. The slice holds the
+// state of each layer to run.
+func RunLayers(r spanrill.LayerRange, kv []KV, in Activation) Activation {
 	for i := range kv {
-		in = Layer(r.From+i, &kv[i], in)
+		in = RunLayer(r.From+i, &kv[i], in)
 	}
 	return in
 }
 
-// Embed returns the activation of a word at the first layer.
+// Embed returns the input of the first layer for a word.
 func Embed(s Spec, word string) Activation {
 	return Activation(xxhash.Sum64String(s.Name + "\x00" + s.Version + "\x00" + word))
 }
 
-// Sample chooses a token from the activation behind the last layer.
+// Sample returns the token with the given index, from the output of the last layer.
 func Sample(out Activation, seed uint64, index int) uint32 {
-	return uint32(mix(uint64(out), seed, uint64(index)) % Vocabulary)
+	return uint32(hash(uint64(out), seed, uint64(index)) % Vocabulary)
 }
 
 var syllables = [16]string{
@@ -78,24 +78,24 @@
 	"mo", "nu", "pe", "ra", "si", "to", "ve", "zu",
 }
 
-// Word returns the text of a token.
+// Word returns the word of a token.
 func Word(token uint32) string {
 	return syllables[token>>8&15] + syllables[token>>4&15] + syllables[token&15]
 }
 
-// Split returns the words of a prompt.
-func Split(prompt string) []string {
+// SplitWords returns the words of a prompt.
+func SplitWords(prompt string) []string {
 	return strings.Fields(prompt)
 }
 
-// Answer computes a whole answer with all layers in one place. It is the
-// reference that the answers of chains are compared with.
+// Answer computes a whole answer in one place, without a chain. Tests compare the answers of chains
+// with it.
 func Answer(s Spec, prompt string, seed uint64, maxTokens int) []uint32 {
-	whole := spanrill.LayerRange{From: 0, To: s.Layers}
+	allLayers := spanrill.LayerRange{From: 0, To: s.Layers}
 	kv := make([]KV, s.Layers)
 	var out Activation
-	for _, w := range Split(prompt) {
-		out = Fold(whole, kv, Embed(s, w))
+	for _, w := range SplitWords(prompt) {
+		out = RunLayers(allLayers, kv, Embed(s, w))
 	}
 	var tokens []uint32
 	for i := range maxTokens {
@@ -104,12 +104,12 @@
 			return tokens
 		}
 		tokens = append(tokens, t)
-		out = Fold(whole, kv, Embed(s, Word(t)))
+		out = RunLayers(allLayers, kv, Embed(s, Word(t)))
 	}
 	return tokens
 }
 
-// Text returns tokens as the text that a caller receives.
+// Text returns the text of tokens as a caller receives it.
 func Text(tokens []uint32) string {
 	var b strings.Builder
 	for _, t := range tokens {
@@ -118,5 +118,5 @@
 	return b.String()
 }
 
-// TokenText returns one token as it appears in a stream.
+// TokenText returns the text of one token in a stream.
 func TokenText(t uint32) string { return " " + Word(t) }
