--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -9,8 +9,8 @@
 	"golang.org/x/time/rate"
 )
 
-// maxWait bounds a watch, as a platform would.
-const maxWait = 60 * time.Second
+// maxWatchWait is the maximum wait of a watch. The real platform also limits it.
+const maxWatchWait = 60 * time.Second
 
 func (p *Platform) serveObject(ctx *fasthttp.RequestCtx, key string) {
 	write := ctx.IsPut()
@@ -24,11 +24,12 @@
 	p.get(ctx, key)
 }
 
-// admit counts the call and applies outages and rates.
+// admit counts a call and answers it if it fails because of an outage or the rate limits. It reports
+// whether the call goes on.
 func (p *Platform) admit(ctx *fasthttp.RequestCtx, write bool) bool {
-	limiter := p.count(write, waitOf(ctx) > 0)
-	if p.failing(ctx) {
-		ctx.Error("platform outage", fasthttp.StatusServiceUnavailable)
+	limiter := p.countCall(write, watchWait(ctx) > 0)
+	if p.injectOutage(ctx) {
+		ctx.Error("simulated outage of the platform", fasthttp.StatusServiceUnavailable)
 		return false
 	}
 	if limiter.Allow() {
@@ -38,26 +39,28 @@
 	p.calls.Limited++
 	p.mu.Unlock()
 	ctx.Response.Header.Set("Retry-After", "1")
-	ctx.Error("rate limit", fasthttp.StatusTooManyRequests)
+	ctx.Error("rate limit exceeded", fasthttp.StatusTooManyRequests)
 	return false
 }
 
-func (p *Platform) count(write, watch bool) *rate.Limiter {
+// countCall counts a call and returns the rate limiter that applies to it.
+func (p *Platform) countCall(write, watch bool) *rate.Limiter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case write:
 		p.calls.Writes++
-		return p.writes
+		return p.writeLimiter
 	case watch:
 		p.calls.Watches++
 	default:
 		p.calls.Reads++
 	}
-	return p.reads
+	return p.readLimiter
 }
 
-func waitOf(ctx *fasthttp.RequestCtx) time.Duration {
+// watchWait returns how long a read may wait for a change, or 0 if it is not a watch.
+func watchWait(ctx *fasthttp.RequestCtx) time.Duration {
 	prefer := string(ctx.Request.Header.Peek("Prefer"))
 	s, ok := strings.CutPrefix(prefer, "wait=")
 	if !ok {
@@ -67,15 +70,17 @@
 	if err != nil {
 		return 0
 	}
-	return min(time.Duration(n)*time.Second, maxWait)
+	return min(time.Duration(n)*time.Second, maxWatchWait)
 }
 
+// get answers a read. A watch first waits until the version differs from the one that the caller
+// knows, its time is over, or the platform stops.
 func (p *Platform) get(ctx *fasthttp.RequestCtx, key string) {
-	known := string(ctx.Request.Header.Peek("If-None-Match"))
-	deadline := time.After(waitOf(ctx))
-	for waitOf(ctx) > 0 {
-		changed, differs := p.watch(key, known)
-		if differs {
+	knownETag := string(ctx.Request.Header.Peek("If-None-Match"))
+	deadline := time.After(watchWait(ctx))
+	for watchWait(ctx) > 0 {
+		changed, isNew := p.checkWatch(key, knownETag)
+		if isNew {
 			break
 		}
 		select {
@@ -86,30 +91,33 @@
 		}
 		break
 	}
-	if waitOf(ctx) > 0 && p.watchesDead() {
+	if watchWait(ctx) > 0 && p.watchesFrozen() {
 		ctx.SetStatusCode(fasthttp.StatusNotModified)
 		return
 	}
-	p.answer(ctx, key, known)
+	p.respond(ctx, key, knownETag)
 }
 
-func (p *Platform) watchesDead() bool {
+func (p *Platform) watchesFrozen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults.FreezeWatch
 }
 
-func (p *Platform) watch(key, known string) (<-chan struct{}, bool) {
+// checkWatch returns a channel that is closed at the object's next change, and whether the object has
+// a version that the caller does not know.
+func (p *Platform) checkWatch(key, known string) (<-chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o := p.object(key)
+	o := p.objectFor(key)
 	return o.changed, etag(o.version) != known && !p.faults.FreezeWatch
 }
 
-func (p *Platform) answer(ctx *fasthttp.RequestCtx, key, known string) {
+// respond answers a read with the value, or with status 304 if the caller knows the version.
+func (p *Platform) respond(ctx *fasthttp.RequestCtx, key, knownETag string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o := p.object(key)
+	o := p.objectFor(key)
 	value, version := o.value, o.version
 	if p.faults.StaleReads > 0 && len(o.history) > 1 {
 		p.faults.StaleReads--
@@ -120,7 +128,7 @@
 		return
 	}
 	ctx.Response.Header.Set("ETag", etag(version))
-	if etag(version) == known {
+	if etag(version) == knownETag {
 		ctx.SetStatusCode(fasthttp.StatusNotModified)
 		return
 	}
@@ -131,7 +139,7 @@
 func (p *Platform) put(ctx *fasthttp.RequestCtx, key string) {
 	value := ctx.PostBody()
 	if len(value) > MaxValue {
-		ctx.Error("value too large", fasthttp.StatusRequestEntityTooLarge)
+		ctx.Error("the value is too large", fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
 	p.mu.Lock()
@@ -142,12 +150,12 @@
 		ctx.Conn().Close()
 		return
 	}
-	o := p.object(key)
-	if !matches(ctx, o.version) {
-		ctx.Error("version differs", fasthttp.StatusPreconditionFailed)
+	o := p.objectFor(key)
+	if !preconditionHolds(ctx, o.version) {
+		ctx.Error("the version does not match", fasthttp.StatusPreconditionFailed)
 		return
 	}
-	p.write(key, o, append([]byte(nil), value...))
+	p.store(key, o, append([]byte(nil), value...))
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
 		ctx.Conn().Close()
@@ -156,15 +164,17 @@
 	ctx.Response.Header.Set("ETag", etag(o.version))
 }
 
-func matches(ctx *fasthttp.RequestCtx, version int64) bool {
+// preconditionHolds reports whether the version of an object meets the request's If-None-Match: * or
+// If-Match. A request without either meets no precondition.
+func preconditionHolds(ctx *fasthttp.RequestCtx, version int64) bool {
 	if string(ctx.Request.Header.Peek("If-None-Match")) == "*" {
 		return version == 0
 	}
 	return string(ctx.Request.Header.Peek("If-Match")) == etag(version)
 }
 
-// object returns the object of a key. The caller holds the lock.
-func (p *Platform) object(key string) *object {
+// objectFor returns the object of a key, which it creates if necessary. The caller holds p.mu.
+func (p *Platform) objectFor(key string) *object {
 	o := p.objects[key]
 	if o == nil {
 		o = &object{changed: make(chan struct{})}
@@ -173,11 +183,11 @@
 	return o
 }
 
-// maxHistory bounds the values kept for Restore and stale reads.
+// maxHistory is the number of values of an object that are kept for Restore and stale reads.
 const maxHistory = 32
 
-// write stores a value. The caller holds the lock.
-func (p *Platform) write(_ string, o *object, value []byte) {
+// store writes a value as a new version and ends the waits for it. The caller holds p.mu.
+func (p *Platform) store(_ string, o *object, value []byte) {
 	o.value = value
 	o.version++
 	o.history = append(o.history, value)
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,17 +1,16 @@
-// Package platform is a stand-in for the platform: an object API with
-// versions, conditional updates, watches, rate limits and outages, and a box
-// list that lags.
+// Package platform is a stand-in for the platform: a store of objects with versions, conditional
+// updates, watches, rate limits and outages, and a list of boxes that shows changes late.
 //
-// Objects speak plain HTTP conditional requests (RFC 9110: ETag, If-Match,
-// If-None-Match) and watches are waiting GETs (RFC 7240: Prefer: wait).
+// Objects are read and written with conditional HTTP requests (RFC 9110: ETag, If-Match,
+// If-None-Match). A watch is a GET that waits for a change (RFC 7240: Prefer: wait).
 //
-//	GET  /objects/{key}   200 with ETag, 304, 404, 429, 503
-//	PUT  /objects/{key}   200 with ETag, 412, 428, 429, 503
-//	GET  /boxes           the box list
-//	GET  /calls           the calls counted so far
+//	GET  /objects/{key}   reads or watches an object: 200 with ETag, 304, 404, 429, 503
+//	PUT  /objects/{key}   writes an object: 200 with ETag, 412, 413, 429, 503
+//	GET  /boxes           returns the box list
+//	GET  /calls           returns the numbers of calls so far
 //	POST /faults          sets the faults; the body is a Faults
 //	POST /boxes           replaces the box list
-//	POST /restore/{key}   puts an old version back, as a restored backup does
+//	POST /restore/{key}   writes an older value again, as restoring a backup does
 //
 // # Usage
 //
@@ -33,28 +32,28 @@
 	"spanrill/standin/web"
 )
 
-// MaxValue is the largest value the store takes, in bytes.
+// MaxValue is the maximum size of an object's value, in bytes.
 const MaxValue = 1 << 20
 
-// Faults says how the platform misbehaves. The zero value is a healthy one.
+// Faults are the faults that a platform simulates. The zero value is a healthy platform.
 type Faults struct {
-	Down         bool `json:"down"`          // every call fails
-	FailEvery    int  `json:"fail_every"`    // every n-th call fails
-	DelayMillis  int  `json:"delay_millis"`  // every call waits
-	LoseAnswers  int  `json:"lose_answers"`  // the next n writes take effect and their answers are lost
-	StaleReads   int  `json:"stale_reads"`   // the next n reads return the version before
-	BoxesDown    bool `json:"boxes_down"`    // only the box list fails
-	FreezeWatch  bool `json:"freeze_watch"`  // watches never see a change
-	LoseRequests int  `json:"lose_requests"` // the next n writes are dropped before they take effect
+	Down         bool `json:"down"`          // fail every call
+	FailEvery    int  `json:"fail_every"`    // fail every n-th call
+	DelayMillis  int  `json:"delay_millis"`  // delay of each call
+	LoseAnswers  int  `json:"lose_answers"`  // carry out the next n writes without an answer
+	StaleReads   int  `json:"stale_reads"`   // answer the next n reads with the previous version
+	BoxesDown    bool `json:"boxes_down"`    // fail calls for the box list
+	FreezeWatch  bool `json:"freeze_watch"`  // let watches miss all changes
+	LoseRequests int  `json:"lose_requests"` // drop the next n writes without an answer
 }
 
-// Calls counts what was asked of the platform.
+// Calls are the numbers of calls that a platform has received.
 type Calls struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
 	Boxes   int64 `json:"boxes"`
-	Limited int64 `json:"limited"`
+	Limited int64 `json:"limited"` // refused by the rate limits
 }
 
 type object struct {
@@ -64,115 +63,114 @@
 	changed chan struct{}
 }
 
-// Platform is the stand-in.
+// Platform is a stand-in for the platform. Create it with New.
 type Platform struct {
-	mu      sync.Mutex
-	objects map[string]*object
-	boxes   []spanrill.Box
-	shown   []spanrill.Box
-
-	shownVersion int64
-	faults       Faults
-	calls        Calls
-	seq          int64
-	boxLag       time.Duration
-	writes       *rate.Limiter
-	reads        *rate.Limiter
-	server       *web.Server
-	stopped      chan struct{}
-}
-
-// Option changes a default of New.
+	mu           sync.Mutex
+	objects      map[string]*object
+	boxes        []spanrill.Box
+	visibleBoxes []spanrill.Box
+
+	visibleVersion int64
+	faults         Faults
+	calls          Calls
+	callCount      int64
+	boxLag         time.Duration
+	writeLimiter   *rate.Limiter
+	readLimiter    *rate.Limiter
+	server         *web.Server
+	stopped        chan struct{}
+}
+
+// Option configures a Platform.
 type Option func(*Platform)
 
-// WithBoxLag sets how late the box list shows changes.
+// WithBoxLag sets the time until the box list shows a change.
 func WithBoxLag(d time.Duration) Option {
 	return func(p *Platform) { p.boxLag = d }
 }
 
-// WithRates sets the calls a second that the store takes.
+// WithRates sets the rate limits of the store, in calls per second.
 func WithRates(writes, reads float64) Option {
 	return func(p *Platform) {
-		p.writes = rate.NewLimiter(rate.Limit(writes), int(writes))
-		p.reads = rate.NewLimiter(rate.Limit(reads), int(reads))
+		p.writeLimiter = rate.NewLimiter(rate.Limit(writes), int(writes))
+		p.readLimiter = rate.NewLimiter(rate.Limit(reads), int(reads))
 	}
 }
 
-// The rates of the platform's service, in calls a second.
+// The default rate limits are those of the real platform, in calls per second.
 const (
-	defaultWrites = 100
-	defaultReads  = 2000
+	defaultWriteRate = 100
+	defaultReadRate  = 2000
 )
 
-// New returns a platform with no objects.
+// New returns a platform without objects.
 func New(opts ...Option) *Platform {
 	p := &Platform{objects: map[string]*object{}, stopped: make(chan struct{})}
 	p.server = web.New(p.handle)
-	WithRates(defaultWrites, defaultReads)(p)
+	WithRates(defaultWriteRate, defaultReadRate)(p)
 	for _, o := range opts {
 		o(p)
 	}
 	return p
 }
 
-// Listen serves on addr and returns the address in use.
+// Listen starts the platform on addr and returns the address that it is bound to.
 func (p *Platform) Listen(addr string) (string, error) {
 	return p.server.Listen(addr)
 }
 
-// Close stops serving.
+// Close ends all watches, stops listening and waits for open requests.
 func (p *Platform) Close() {
 	close(p.stopped)
 	p.server.Close()
 }
 
-// SetBoxes replaces the box list. It shows after the lag.
+// SetBoxes replaces the box list. The first list is visible at once, a later one after the box lag.
 func (p *Platform) SetBoxes(boxes []spanrill.Box) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.boxes = append([]spanrill.Box(nil), boxes...)
-	if p.boxLag == 0 || p.shown == nil {
-		p.show(p.boxes)
+	if p.boxLag == 0 || p.visibleBoxes == nil {
+		p.setVisible(p.boxes)
 		return
 	}
-	next := p.boxes
+	newBoxes := p.boxes
 	time.AfterFunc(p.boxLag, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.show(next)
+		p.setVisible(newBoxes)
 	})
 }
 
-// show makes a box list visible. The caller holds the lock.
-func (p *Platform) show(boxes []spanrill.Box) {
-	p.shown = boxes
-	p.shownVersion++
+// setVisible makes a box list visible to callers. The caller holds p.mu.
+func (p *Platform) setVisible(boxes []spanrill.Box) {
+	p.visibleBoxes = boxes
+	p.visibleVersion++
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults to simulate.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// Calls returns the counts so far.
+// Calls returns the numbers of calls so far.
 func (p *Platform) Calls() Calls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// Restore puts back the value that the object had back versions ago, under a
-// new version.
-func (p *Platform) Restore(key string, back int) error {
+// Restore writes the value that an object had the given number of writes ago, as a new version.
+func (p *Platform) Restore(key string, writesAgo int) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	o := p.objects[key]
-	if o == nil || len(o.history) <= back {
-		return fmt.Errorf("object %s has no version %d writes ago", key, back)
+	if o == nil || len(o.history) <= writesAgo {
+		return fmt.Errorf("object %s has no recorded value of %d writes ago", key, writesAgo)
 	}
-	p.write(key, o, o.history[len(o.history)-1-back])
+	p.store(key, o, o.history[len(o.history)-1-writesAgo])
 	return nil
 }
 
@@ -192,8 +190,8 @@
 			p.SetBoxes(b)
 		}
 	case strings.HasPrefix(path, "/restore/"):
-		back, _ := strconv.Atoi(string(ctx.QueryArgs().Peek("back")))
-		if err := p.Restore(path[len("/restore/"):], back); err != nil {
+		writesAgo, _ := strconv.Atoi(string(ctx.QueryArgs().Peek("back")))
+		if err := p.Restore(path[len("/restore/"):], writesAgo); err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusNotFound)
 		}
 	case path == "/boxes":
@@ -208,11 +206,11 @@
 func (p *Platform) serveBoxes(ctx *fasthttp.RequestCtx) {
 	p.mu.Lock()
 	p.calls.Boxes++
-	boxes, down := p.shown, p.faults.BoxesDown
-	tag := etag(p.shownVersion)
+	boxes, down := p.visibleBoxes, p.faults.BoxesDown
+	tag := etag(p.visibleVersion)
 	p.mu.Unlock()
-	if down || p.failing(ctx) {
-		ctx.Error("platform outage", fasthttp.StatusServiceUnavailable)
+	if down || p.injectOutage(ctx) {
+		ctx.Error("simulated outage of the platform", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	ctx.Response.Header.Set("ETag", tag)
@@ -226,11 +224,12 @@
 	web.WriteJSON(ctx, boxes)
 }
 
-// failing applies the faults that hold for every call.
-func (p *Platform) failing(_ *fasthttp.RequestCtx) bool {
+// injectOutage delays a call to the store or the box list as the faults require, and reports whether
+// it is to fail.
+func (p *Platform) injectOutage(_ *fasthttp.RequestCtx) bool {
 	p.mu.Lock()
-	p.seq++
-	f, seq := p.faults, p.seq
+	p.callCount++
+	f, call := p.faults, p.callCount
 	p.mu.Unlock()
 	if f.DelayMillis > 0 {
 		select {
@@ -238,5 +237,5 @@
 		case <-p.stopped:
 		}
 	}
-	return f.Down || f.FailEvery > 0 && seq%int64(f.FailEvery) == 0
+	return f.Down || f.FailEvery > 0 && call%int64(f.FailEvery) == 0
 }
--- a/standin/platform/platformtest/start.go
+++ b/standin/platform/platformtest/start.go
@@ -1,4 +1,4 @@
-// Package platformtest starts platforms for tests.
+// Package platformtest starts a stand-in for the platform in tests.
 //
 // # Usage
 //
@@ -11,13 +11,13 @@
 	"spanrill/standin/platform"
 )
 
-// fastRate is high enough that no test meets it.
-const fastRate = 100_000
+// unlimitedRate is a rate limit, in calls per second, that tests do not reach.
+const unlimitedRate = 100_000
 
-// Start starts a platform without rate limits that ends with the test.
+// Start starts a platform whose rate limits tests do not reach. It stops when the test ends.
 func Start(t *testing.T) (p *platform.Platform, addr string) {
 	t.Helper()
-	p = platform.New(platform.WithRates(fastRate, fastRate))
+	p = platform.New(platform.WithRates(unlimitedRate, unlimitedRate))
 	addr, err := p.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
