--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,10 +1,9 @@
-// Package service is a stand-in for a plain service. It counts how often each
-// request ran, so that a test can compare what callers were told with what
-// happened.
+// Package service is a stand-in for a plain service. It counts how often each request ran, so that
+// tests can compare the answers that callers got with what the service did.
 //
-//	ANY  /...      runs the request; the body's field "id" names it
-//	GET  /status   the load report
-//	GET  /runs     how often each id ran
+//	ANY  /...      runs the request; the field "id" of its body identifies it
+//	GET  /status   returns the load report
+//	GET  /runs     returns how often each request ran, by id
 //	POST /faults   sets the faults; the body is a Faults
 //
 // # Usage
@@ -24,57 +23,57 @@
 	"spanrill/standin/web"
 )
 
-// Faults says how the service misbehaves.
+// Faults are the faults that a service simulates. The zero value is a healthy service.
 type Faults struct {
-	LoseAnswers int  `json:"lose_answers"` // the next n requests run and their answers are lost
-	DelayMillis int  `json:"delay_millis"` // every request takes this long
-	Leaving     bool `json:"leaving"`      // reported in the status
-	FailStatus  int  `json:"fail_status"`  // answered in place of 200
+	LoseAnswers int  `json:"lose_answers"` // run the next n requests without an answer
+	DelayMillis int  `json:"delay_millis"` // delay of each request
+	Leaving     bool `json:"leaving"`      // report that the service is leaving
+	FailStatus  int  `json:"fail_status"`  // status of each answer, 0 for 200
 }
 
-// Service is the stand-in.
+// Service is a stand-in for one instance of a plain service. Create it with New.
 type Service struct {
-	name   string
-	mu     sync.Mutex
-	runs   map[string]int
-	faults Faults
-	active int
-	server *web.Server
+	name    string
+	mu      sync.Mutex
+	runs    map[string]int
+	faults  Faults
+	running int
+	server  *web.Server
 }
 
-// New returns a service that is healthy and has run nothing.
+// New returns a service without faults.
 func New(name string) *Service {
 	s := &Service{name: name, runs: map[string]int{}}
 	s.server = web.New(s.handle)
 	return s
 }
 
-// Listen serves on addr and returns the address in use.
+// Listen starts the service on addr and returns the address that it is bound to.
 func (s *Service) Listen(addr string) (string, error) {
 	return s.server.Listen(addr)
 }
 
-// Close stops serving.
+// Close stops listening and waits for open requests.
 func (s *Service) Close() {
 	s.server.Close()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults to simulate.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Runs returns how often each request ran.
+// Runs returns how often each request ran, by id.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := make(map[string]int, len(s.runs))
+	counts := make(map[string]int, len(s.runs))
 	for id, n := range s.runs {
-		c[id] = n
+		counts[id] = n
 	}
-	return c
+	return counts
 }
 
 func (s *Service) handle(ctx *fasthttp.RequestCtx) {
@@ -97,11 +96,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	web.WriteJSON(ctx, spanrill.UpstreamStatus{
-		Name: s.name, Leaving: s.faults.Leaving, Running: s.active, Slots: serviceSlots,
+		Name: s.name, Leaving: s.faults.Leaving, Running: s.running, Slots: serviceSlots,
 	})
 }
 
-// serviceSlots is the number of requests that a service runs at once.
+// serviceSlots is the number of slots that a service reports.
 const serviceSlots = 64
 
 func (s *Service) run(ctx *fasthttp.RequestCtx) {
@@ -109,36 +108,37 @@
 		ID string `json:"id"`
 	}
 	_ = json.Unmarshal(ctx.PostBody(), &body)
-	lose, f := s.begin(body.ID)
+	loseAnswer, f := s.begin(body.ID)
 	defer s.end()
 	if f.DelayMillis > 0 {
 		<-time.After(time.Duration(f.DelayMillis) * time.Millisecond)
 	}
-	if lose {
+	if loseAnswer {
 		ctx.Conn().Close()
 		return
 	}
 	if f.FailStatus != 0 {
-		ctx.Error("service fault", f.FailStatus)
+		ctx.Error("simulated failure of the service", f.FailStatus)
 		return
 	}
 	web.WriteJSON(ctx, map[string]string{"id": body.ID, "path": string(ctx.Path()), "served_by": s.name})
 }
 
-func (s *Service) begin(id string) (lose bool, f Faults) {
+// begin counts a request. It returns the faults, and whether the answer is to be lost.
+func (s *Service) begin(id string) (loseAnswer bool, f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[id]++
-	s.active++
+	s.running++
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
-		lose = true
+		loseAnswer = true
 	}
-	return lose, s.faults
+	return loseAnswer, s.faults
 }
 
 func (s *Service) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.active--
+	s.running--
 }
--- a/standin/web/web.go
+++ b/standin/web/web.go
@@ -1,10 +1,10 @@
-// Package web serves the stand-ins over HTTP.
+// Package web is the HTTP server of the stand-ins. It can stop as a crashed process would.
 //
 // # Usage
 //
 //	s := web.New(handler)
 //	addr, err := s.Listen("127.0.0.1:0")
-//	s.Kill() // cuts all connections, as a crash does
+//	s.Kill() // closes all connections, as a crash does
 package web
 
 import (
@@ -18,66 +18,66 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Server serves one stand-in.
+// Server is the HTTP server of one stand-in. Create it with New.
 type Server struct {
-	http  *fasthttp.Server
-	mu    sync.Mutex
-	ln    net.Listener
-	conns map[net.Conn]bool
-	most  int // open at a time
-	ended bool
+	http      *fasthttp.Server
+	mu        sync.Mutex
+	ln        net.Listener
+	conns     map[net.Conn]bool
+	peakConns int // highest number of connections open at a time
+	killed    bool
 }
 
-// maxBody bounds a request, in bytes.
-const maxBody = 64 << 20
+// maxBodyBytes is the maximum size of a request body, in bytes.
+const maxBodyBytes = 64 << 20
 
-// New returns a server with that handler.
+// New returns a server that calls handler for each request.
 func New(handler fasthttp.RequestHandler) *Server {
 	return &Server{
 		conns: map[net.Conn]bool{},
 		http: &fasthttp.Server{
-			Handler: handler, NoDefaultServerHeader: true, MaxRequestBodySize: maxBody, Logger: log.New(io.Discard, "", 0),
+			Handler: handler, NoDefaultServerHeader: true, MaxRequestBodySize: maxBodyBytes, Logger: log.New(io.Discard, "", 0),
 		},
 	}
 }
 
-// Listen serves on addr and returns the address in use.
+// Listen starts the server on addr and returns the address that it is bound to.
 func (s *Server) Listen(addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", fmt.Errorf("listen on %s: %w", addr, err)
 	}
 	s.ln = ln
-	go func() { _ = s.http.Serve(tracked{Listener: ln, server: s}) }()
+	go func() { _ = s.http.Serve(trackingListener{Listener: ln, server: s}) }()
 	return ln.Addr().String(), nil
 }
 
-// Close stops listening and lets open requests end.
+// Close stops listening and waits for open requests.
 func (s *Server) Close() {
 	if s.ln != nil {
 		_ = s.http.Shutdown()
 	}
 }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// MostConnections returns how many connections were open at a time, at the most.
+// MostConnections returns the highest number of connections that were open at a time.
 func (s *Server) MostConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.most
+	return s.peakConns
 }
 
-// Kill stops listening and cuts all connections.
+// Kill stops listening and closes all connections, also those that are being accepted.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.killed = true
 	if s.ln != nil {
 		_ = s.ln.Close()
 	}
@@ -86,29 +86,29 @@
 	}
 }
 
-// tracked notes the connections that it accepts.
-type tracked struct {
+// trackingListener registers the connections that it accepts with the server.
+type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept returns the next connection.
-func (t tracked) Accept() (net.Conn, error) {
+// Accept returns the next connection. If the server was killed, the connection is closed already.
+func (t trackingListener) Accept() (net.Conn, error) {
 	c, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	t.server.mu.Lock()
 	defer t.server.mu.Unlock()
-	if t.server.ended {
+	if t.server.killed {
 		_ = c.Close()
 	}
 	t.server.conns[c] = true
-	t.server.most = max(t.server.most, len(t.server.conns))
+	t.server.peakConns = max(t.server.peakConns, len(t.server.conns))
 	return &trackedConn{Conn: c, server: t.server}, nil
 }
 
-// trackedConn forgets itself when it is closed.
+// trackedConn removes itself from the server when it is closed.
 type trackedConn struct {
 	net.Conn
 	server *Server
@@ -122,7 +122,7 @@
 	return c.Conn.Close()
 }
 
-// WriteJSON answers with v.
+// WriteJSON answers a request with v, encoded as JSON.
 func WriteJSON(ctx *fasthttp.RequestCtx, v any) {
 	ctx.SetContentType("application/json")
 	if err := json.NewEncoder(ctx).Encode(v); err != nil {
@@ -130,7 +130,8 @@
 	}
 }
 
-// ReadJSON decodes the request's body, or answers that it is wrong.
+// ReadJSON decodes the request's body into v. If that fails, it answers with status 400 and returns
+// false.
 func ReadJSON(ctx *fasthttp.RequestCtx, v any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), v); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
