--- a/standin/faultproxy/proxy.go
+++ b/standin/faultproxy/proxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a TCP proxy that injects faults between two processes:
-// connections that are refused, cut, slowed, frozen or silent, before, within or
-// after a request.
+// Package faultproxy is a TCP proxy for tests that injects faults into the connections between two
+// processes. It can refuse, delay and freeze connections, cut them within or after a request or
+// within an answer, and let them become silent.
 //
 // # Usage
 //
@@ -21,42 +21,42 @@
 	"spanrill/standin/web"
 )
 
-// Faults says how the proxy misbehaves. The zero value passes all bytes on.
+// Faults are the faults that a proxy injects. With the zero value it forwards everything.
 type Faults struct {
-	Refuse          bool `json:"refuse"`            // new connections are closed at once
-	Freeze          bool `json:"freeze"`            // no byte passes
-	DelayMillis     int  `json:"delay_millis"`      // each piece of bytes waits
-	CutRequestAfter int  `json:"cut_request_after"` // cut once this many bytes of requests have passed
-	CutAnswerAfter  int  `json:"cut_answer_after"`  // cut once this many bytes of answers have passed
-	CutBeforeAnswer bool `json:"cut_before_answer"` // cut when the first byte of an answer comes
-	// Silence makes the connections that are open when it is set carry nothing
-	// more for good, neither bytes nor their end; new ones work.
+	Refuse          bool `json:"refuse"`            // close new connections at once
+	Freeze          bool `json:"freeze"`            // forward no bytes
+	DelayMillis     int  `json:"delay_millis"`      // delay before each write of forwarded bytes
+	CutRequestAfter int  `json:"cut_request_after"` // close a connection after this many bytes from the client
+	CutAnswerAfter  int  `json:"cut_answer_after"`  // close a connection after this many bytes from the target
+	CutBeforeAnswer bool `json:"cut_before_answer"` // close a connection when the first bytes from the target arrive
+	// Silence permanently stops the connections that are open when it is set: they forward neither
+	// bytes nor their end. New connections work.
 	Silence bool `json:"silence"`
 }
 
-// Proxy passes connections on to one address.
+// Proxy forwards connections to one address.
 type Proxy struct {
-	to       string
+	target   string
 	mu       sync.Mutex
 	faults   Faults
 	changed  chan struct{}
 	conns    map[net.Conn]bool
-	hush     chan struct{} // closed once the connections made until now are silent
+	silenced chan struct{} // closed when the connections that are open now become silent; then replaced
 	accepted atomic.Int64
 	ln       net.Listener
 	closed   bool
-	ended    chan struct{} // closed with the proxy
+	done     chan struct{} // closed when the proxy is closed
 }
 
-// New returns a proxy to the address.
-func New(to string) *Proxy {
+// New returns a proxy that forwards to target.
+func New(target string) *Proxy {
 	return &Proxy{
-		to: to, changed: make(chan struct{}), conns: map[net.Conn]bool{},
-		hush: make(chan struct{}), ended: make(chan struct{}),
+		target: target, changed: make(chan struct{}), conns: map[net.Conn]bool{},
+		silenced: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
-// Listen passes connections on from addr and returns the address in use.
+// Listen starts the proxy on addr and returns the address that it is bound to.
 func (p *Proxy) Listen(addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -67,7 +67,8 @@
 	return ln.Addr().String(), nil
 }
 
-// Control takes Faults as JSON with POST on addr.
+// Control serves an HTTP interface on addr that sets the faults: POST with Faults as JSON. It returns
+// the address that it is bound to.
 func (p *Proxy) Control(addr string) (string, error) {
 	server := web.New(func(ctx *fasthttp.RequestCtx) {
 		var f Faults
@@ -78,7 +79,7 @@
 	return server.Listen(addr)
 }
 
-// Set replaces the faults.
+// Set replaces the faults to inject.
 func (p *Proxy) Set(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,8 +87,8 @@
 	close(p.changed)
 	p.changed = make(chan struct{})
 	if f.Silence {
-		close(p.hush)
-		p.hush = make(chan struct{})
+		close(p.silenced)
+		p.silenced = make(chan struct{})
 	}
 }
 
@@ -103,15 +104,15 @@
 // Addr returns the address on which the proxy listens.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// Accepted returns how many connections were made.
+// Accepted returns the number of connections that were accepted so far.
 func (p *Proxy) Accepted() int64 { return p.accepted.Load() }
 
-// Close stops the proxy and cuts all connections.
+// Close stops the proxy and closes all connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	if !p.closed {
 		p.closed = true
-		close(p.ended)
+		close(p.done)
 	}
 	p.mu.Unlock()
 	if p.ln != nil {
@@ -120,7 +121,8 @@
 	p.Cut()
 }
 
-func (p *Proxy) current() (Faults, <-chan struct{}) {
+// currentFaults returns the faults and a channel that is closed when they change.
+func (p *Proxy) currentFaults() (Faults, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults, p.changed
@@ -133,42 +135,43 @@
 			return
 		}
 		p.accepted.Add(1)
-		if f, _ := p.current(); f.Refuse {
+		if f, _ := p.currentFaults(); f.Refuse {
 			_ = c.Close()
 			continue
 		}
-		go p.pass(c, p.hushed())
+		go p.forward(c, p.silenceSignal())
 	}
 }
 
-// hushed returns the channel that is closed when a connection made now goes
-// silent.
-func (p *Proxy) hushed() <-chan struct{} {
+// silenceSignal returns a channel that is closed when the connections that are open now become silent.
+func (p *Proxy) silenceSignal() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.hush
+	return p.silenced
 }
 
-func (p *Proxy) pass(c net.Conn, hush <-chan struct{}) {
-	up, err := net.Dial("tcp", p.to)
+// forward copies the bytes between a client and the target until one direction ends.
+func (p *Proxy) forward(clientConn net.Conn, silenced <-chan struct{}) {
+	targetConn, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = c.Close()
+		_ = clientConn.Close()
 		return
 	}
-	if !p.keep(c, up) {
+	if !p.track(clientConn, targetConn) {
 		return
 	}
-	cut := func() { _ = c.Close(); _ = up.Close() }
+	closeBoth := func() { _ = clientConn.Close(); _ = targetConn.Close() }
 	done := make(chan struct{}, 2)
-	go func() { p.copy(up, c, cut, hush, requestSide); done <- struct{}{} }()
-	go func() { p.copy(c, up, cut, hush, answerSide); done <- struct{}{} }()
+	go func() { p.copyBytes(targetConn, clientConn, closeBoth, silenced, requestBytes); done <- struct{}{} }()
+	go func() { p.copyBytes(clientConn, targetConn, closeBoth, silenced, answerBytes); done <- struct{}{} }()
 	<-done
-	cut()
+	closeBoth()
 	<-done
-	p.forget(c, up)
+	p.untrack(clientConn, targetConn)
 }
 
-func (p *Proxy) keep(conns ...net.Conn) bool {
+// track registers open connections. If the proxy is closed, it closes them and returns false.
+func (p *Proxy) track(conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -181,7 +184,7 @@
 	return !p.closed
 }
 
-func (p *Proxy) forget(conns ...net.Conn) {
+func (p *Proxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -189,50 +192,53 @@
 	}
 }
 
-// side is the direction of bytes.
-type side bool
+// direction tells whether bytes come from the client or from the target.
+type direction bool
 
 const (
-	requestSide side = false
-	answerSide  side = true
+	requestBytes direction = false
+	answerBytes  direction = true
 )
 
-// limit returns after how many bytes the direction is cut, or -1 for never.
-func (f Faults) limit(s side) int {
+// cutLimit returns the number of bytes of a direction after which its connection is closed, or -1 for
+// no limit.
+func (f Faults) cutLimit(dir direction) int {
 	switch {
-	case s == answerSide && f.CutBeforeAnswer:
+	case dir == answerBytes && f.CutBeforeAnswer:
 		return 0
-	case s == answerSide && f.CutAnswerAfter > 0:
+	case dir == answerBytes && f.CutAnswerAfter > 0:
 		return f.CutAnswerAfter
-	case s == requestSide && f.CutRequestAfter > 0:
+	case dir == requestBytes && f.CutRequestAfter > 0:
 		return f.CutRequestAfter
 	}
 	return -1
 }
 
-func (p *Proxy) copy(dst, src net.Conn, cut func(), hush <-chan struct{}, s side) {
+// copyBytes copies one direction of a connection and applies the faults. When the connection becomes
+// silent, it returns only once the proxy is closed, so that neither side sees an end.
+func (p *Proxy) copyBytes(dst, src net.Conn, closeBoth func(), silenced <-chan struct{}, dir direction) {
 	buf := make([]byte, 32<<10)
-	passed := 0
+	copied := 0
 	for {
 		n, err := src.Read(buf)
 		select {
-		case <-hush:
-			<-p.ended
+		case <-silenced:
+			<-p.done
 			return
 		default:
 		}
 		if n > 0 {
-			f := p.thaw()
+			f := p.awaitUnfrozen()
 			if f.DelayMillis > 0 {
 				<-time.After(time.Duration(f.DelayMillis) * time.Millisecond)
 			}
-			limit := f.limit(s)
-			if limit >= 0 && passed+n >= limit {
-				_, _ = dst.Write(buf[:max(0, limit-passed)])
-				cut()
+			limit := f.cutLimit(dir)
+			if limit >= 0 && copied+n >= limit {
+				_, _ = dst.Write(buf[:max(0, limit-copied)])
+				closeBoth()
 				return
 			}
-			passed += n
+			copied += n
 			if _, err := dst.Write(buf[:n]); err != nil {
 				return
 			}
@@ -243,10 +249,10 @@
 	}
 }
 
-// thaw waits while the proxy is frozen and returns the faults in force.
-func (p *Proxy) thaw() Faults {
+// awaitUnfrozen waits while the proxy is frozen and returns the faults that apply afterwards.
+func (p *Proxy) awaitUnfrozen() Faults {
 	for {
-		f, changed := p.current()
+		f, changed := p.currentFaults()
 		if !f.Freeze {
 			return f
 		}
--- a/standin/faultproxy/proxy_test.go
+++ b/standin/faultproxy/proxy_test.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// echo returns what each connection sends.
-func echo(t *testing.T) string {
+// startEcho starts a server that echoes all bytes and returns its address.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,8 +30,8 @@
 	return ln.Addr().String()
 }
 
-// answers sends a byte and returns the error of reading it back within a wait.
-func answers(t *testing.T, c net.Conn, wait time.Duration) error {
+// readBack sends a byte and returns the error of reading it back within the given time.
+func readBack(t *testing.T, c net.Conn, wait time.Duration) error {
 	t.Helper()
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Fatal(err)
@@ -41,35 +41,35 @@
 	return err
 }
 
-// Connections that are open when silence is set say nothing more, not even that
-// they end; those made after it work, until it is set again.
-func TestSilence(t *testing.T) {
-	p := New(echo(t))
+// Connections that are open when Silence is set must forward nothing more, not even their end, also
+// after the fault is over. Connections made afterwards must work until Silence is set again.
+func TestSilenceAffectsOnlyOpenConnections(t *testing.T) {
+	p := New(startEcho(t))
 	addr, err := p.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	var open []net.Conn
+	var silenced []net.Conn
 	for range 3 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		if err := answers(t, c, 5*time.Second); err != nil {
-			t.Fatalf("a new connection: %v", err)
+		if err := readBack(t, c, 5*time.Second); err != nil {
+			t.Fatalf("echo on a new connection: %v", err)
 		}
-		for _, old := range open {
-			if err := answers(t, old, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("a silent connection: %v", err)
+		for _, old := range silenced {
+			if err := readBack(t, old, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Fatalf("echo on a silenced connection: %v, want a timeout", err)
 			}
 		}
 		p.Set(Faults{Silence: true})
-		open = append(open, c)
+		silenced = append(silenced, c)
 	}
 	p.Set(Faults{})
-	if err := answers(t, open[0], 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("after the fault: %v", err)
+	if err := readBack(t, silenced[0], 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("echo on a silenced connection after the fault was removed: %v, want a timeout", err)
 	}
 }
