--- a/scene/scene.go
+++ b/scene/scene.go
@@ -1,5 +1,5 @@
-// Package scene builds whole systems in one process: daemons before stand-ins,
-// for the demo, for measurements and for trials.
+// Package scene runs a whole deployment in one process: daemons with stand-ins for the platform,
+// the engines and a plain service. The demo and the benchmarks use it.
 //
 // # Usage
 //
@@ -36,51 +36,50 @@
 	"spanrill/transport/httpcall"
 )
 
-// Engine describes one engine.
+// Engine describes an engine of the deployment.
 type Engine struct {
 	Name   string
 	Zone   string
 	Layers spanrill.LayerRange
 	Speed  engine.Speed
-	Empty  bool // holds no model at the start
+	Empty  bool // starts without a model
 }
 
-// Account describes one client account. Its bearer key is its name behind
-// KeyPrefix.
+// Account describes a client account. Its bearer key is KeyPrefix followed by its name.
 type Account struct {
 	Name     string
 	Priority int
 	Weight   int
-	Requests int // a second, 0 for no limit
-	InFlight int // at once, 0 for no limit
+	Requests int // requests per second, 0 for no limit
+	InFlight int // maximum of concurrent requests, 0 for no limit
 }
 
-// KeyPrefix and an account's name make its bearer key.
+// KeyPrefix is the prefix of each account's bearer key; the account's name follows it.
 const KeyPrefix = "key-of-"
 
-// Spec describes a scene.
+// Spec describes a deployment.
 type Spec struct {
 	Model     model.Spec
 	Zones     []string
 	Engines   []Engine
-	Services  int // upstreams of the service "readings", over all zones
+	Services  int // upstreams of the service "readings", distributed over the zones
 	Daemons   int
 	Accounts  []Account
-	Policy    string
+	Policy    string // routing policy, "" for the default
 	Seed      uint64
-	ReportLag time.Duration
-	BoxLag    time.Duration
-	// Link returns the delay of the link between two engines.
+	ReportLag time.Duration // interval between the load reports of an engine
+	BoxLag    time.Duration // time until the platform's box list shows a change
+	// Link returns the delay of the link between two engines. Without it links have no delay.
 	Link func(from, to Engine) time.Duration
-	// Settings changes the settings of each daemon.
+	// Settings, if set, changes the settings of each daemon before it starts.
 	Settings func(*settings.Settings)
 	Log      *logrus.Logger
 }
 
-// Site is the name of a scene's one site.
+// Site is the name of the only site in a scene's configuration.
 const Site = "site"
 
-// Scene is a system that runs.
+// Scene is a running deployment.
 type Scene struct {
 	spec     Spec
 	ip       string
@@ -92,21 +91,24 @@
 	tasks    task.Group
 }
 
-// Daemon is one daemon of a scene.
+// Daemon is a daemon of a scene.
 type Daemon struct {
 	*daemon.Daemon
 	settings settings.Settings
 	stop     context.CancelFunc
 }
 
-var scenes atomic.Int64
+// sceneCount is the number of scenes that this process has started.
+var sceneCount atomic.Int64
 
-// nextIP returns a loopback address that no other scene uses.
+// nextIP returns a loopback address for a new scene. It depends on the process ID and on a counter,
+// so that scenes of one process, or of processes that run at the same time, don't share ports.
 func nextIP() string {
-	return fmt.Sprintf("127.%d.%d.%d", 20+os.Getpid()%200, (os.Getpid()/200)%250, 2+scenes.Add(1)%250)
+	return fmt.Sprintf("127.%d.%d.%d", 20+os.Getpid()%200, (os.Getpid()/200)%250, 2+sceneCount.Add(1)%250)
 }
 
-// Start starts a scene and waits until its daemons are ready.
+// Start starts a scene and waits until each daemon is ready and knows all others and all loaded
+// engines.
 func Start(ctx context.Context, spec Spec) (*Scene, error) {
 	s := &Scene{spec: spec, ip: nextIP(), engines: map[string]*engine.Engine{}}
 	if err := s.start(ctx); err != nil {
@@ -125,11 +127,11 @@
 		return err
 	}
 	for i := range s.spec.Daemons {
-		s.listDaemon(i)
+		s.addDaemonBox(i)
 	}
 	s.platform.SetBoxes(s.boxes)
 	if err := s.configure(ctx); err != nil {
-		return fmt.Errorf("configure: %w", err)
+		return fmt.Errorf("write configuration: %w", err)
 	}
 	for i := range s.spec.Daemons {
 		if err := s.startDaemon(i); err != nil {
@@ -148,12 +150,12 @@
 		}
 	}
 	for i := range s.spec.Services {
-		v := service.New(fmt.Sprintf("readings-%d", i+1))
-		addr, err := v.Listen(s.ip + ":0")
+		svc := service.New(fmt.Sprintf("readings-%d", i+1))
+		addr, err := svc.Listen(s.ip + ":0")
 		if err != nil {
 			return fmt.Errorf("start service: %w", err)
 		}
-		s.services = append(s.services, v)
+		s.services = append(s.services, svc)
 		s.boxes = append(s.boxes, spanrill.Box{
 			Name: fmt.Sprintf("readings-%d", i+1), Role: spanrill.RoleService, Service: "readings",
 			Zone: s.spec.Zones[i%len(s.spec.Zones)], Addr: addr, State: spanrill.BoxLive,
@@ -167,13 +169,13 @@
 	if !e.Empty {
 		opts = append(opts, engine.WithModel(s.spec.Model, e.Layers))
 	}
-	v := engine.New(e.Name, opts...)
-	v.SetFaults(engine.Faults{LinkMicros: s.Links(e.Name)})
-	addr, err := v.Listen(s.ip + ":0")
+	eng := engine.New(e.Name, opts...)
+	eng.SetFaults(engine.Faults{LinkMicros: s.Links(e.Name)})
+	addr, err := eng.Listen(s.ip + ":0")
 	if err != nil {
 		return err
 	}
-	s.engines[e.Name] = v
+	s.engines[e.Name] = eng
 	s.boxes = append(s.boxes, spanrill.Box{
 		Name: e.Name, Role: spanrill.RoleEngine, Zone: e.Zone, Addr: addr, State: spanrill.BoxLive,
 	})
@@ -199,7 +201,8 @@
 	return v
 }
 
-func (s *Scene) listDaemon(i int) {
+// addDaemonBox adds a daemon to the box list. It need not run yet.
+func (s *Scene) addDaemonBox(i int) {
 	v := s.daemonSettings(i)
 	s.boxes = append(s.boxes, spanrill.Box{
 		Name: v.Name, Role: spanrill.RoleEntry, Zone: v.Zone, State: spanrill.BoxLive,
@@ -224,12 +227,13 @@
 	return nil
 }
 
+// configure writes the model, the site and the accounts to the configuration.
 func (s *Scene) configure(ctx context.Context) error {
 	store := objectapi.New(s.platformAddr(), httpcall.New())
-	m := s.spec.Model
+	modelSpec := s.spec.Model
 	docs := map[config.Name]any{
-		{Kind: config.KindModel, Name: m.Name}: config.Model{Name: m.Name, Version: m.Version, Layers: m.Layers},
-		{Kind: config.KindSite, Name: Site}:    config.Site{Name: Site, Zones: s.spec.Zones, Fences: config.FencesAll},
+		{Kind: config.KindModel, Name: modelSpec.Name}: config.Model{Name: modelSpec.Name, Version: modelSpec.Version, Layers: modelSpec.Layers},
+		{Kind: config.KindSite, Name: Site}:            config.Site{Name: Site, Zones: s.spec.Zones, Fences: config.FencesAll},
 	}
 	for _, a := range s.spec.Accounts {
 		s.addAccount(docs, a)
@@ -246,7 +250,7 @@
 	return err
 }
 
-// addAccount adds an account with a template of its own.
+// addAccount adds the documents of an account and of a template that only it uses.
 func (s *Scene) addAccount(docs map[config.Name]any, a Account) {
 	hash := config.HashKey(KeyPrefix + a.Name)
 	docs[config.Name{Kind: config.KindTemplate, Name: a.Name}] = config.Template{
@@ -266,16 +270,16 @@
 	}
 }
 
-const readyLimit = 20 * time.Second
+// readyTimeout bounds how long Start waits for all daemons together.
+const readyTimeout = 20 * time.Second
 
-// awaitReady returns once every daemon is ready and knows all others and all
-// engines.
+// awaitReady waits until isReady holds for every daemon.
 func (s *Scene) awaitReady(ctx context.Context) error {
-	limit := time.Now().Add(readyLimit)
+	deadline := time.Now().Add(readyTimeout)
 	for _, d := range s.daemons {
-		for !s.ready(d) {
-			if time.Now().After(limit) || ctx.Err() != nil {
-				return errors.Errorf("%s is not ready in time", d.settings.Name)
+		for !s.isReady(d) {
+			if time.Now().After(deadline) || ctx.Err() != nil {
+				return errors.Errorf("daemon %s is not ready within the time limit", d.settings.Name)
 			}
 			<-time.After(10 * time.Millisecond)
 		}
@@ -283,24 +287,26 @@
 	return nil
 }
 
-func (s *Scene) ready(d *Daemon) bool {
+// isReady reports whether a daemon is ready, knows all daemons, and knows as many loaded engines as
+// were started with a model.
+func (s *Scene) isReady(d *Daemon) bool {
 	st := d.Status()
-	holding := 0
+	loaded := 0
 	for _, u := range st.Upstreams {
 		if u.Model != "" {
-			holding++
+			loaded++
 		}
 	}
-	want := 0
+	expected := 0
 	for _, e := range s.spec.Engines {
 		if !e.Empty {
-			want++
+			expected++
 		}
 	}
-	return st.Ready && len(st.Peers) == len(s.daemons) && holding >= want
+	return st.Ready && len(st.Peers) == len(s.daemons) && loaded >= expected
 }
 
-// Links returns the delays of the links from an engine, in microseconds.
+// Links returns the delays of the links from an engine to each engine, in microseconds.
 func (s *Scene) Links(name string) map[string]int {
 	links := map[string]int{}
 	if s.spec.Link == nil {
@@ -317,10 +323,10 @@
 	return links
 }
 
-// URL returns the address that callers of a daemon use.
+// URL returns the base URL at which daemon i serves callers.
 func (s *Scene) URL(i int) string { return "http://" + s.daemons[i].settings.Listen }
 
-// Addr returns the address of an upstream.
+// Addr returns the address of an upstream or a daemon, or "" if there is none of that name.
 func (s *Scene) Addr(name string) string {
 	for _, b := range s.boxes {
 		if b.Name == name {
@@ -330,31 +336,31 @@
 	return ""
 }
 
-// Stages returns the engines that a daemon knows, as stages of chains.
+// Stages returns the engines that daemon i knows, as stages of chains.
 func (s *Scene) Stages(i int) []spanrill.StageRef { return s.daemons[i].Stages() }
 
-// Daemons returns the daemons.
+// Daemons returns the daemons, in the order of their start.
 func (s *Scene) Daemons() []*Daemon { return s.daemons }
 
-// Engine returns an engine's stand-in.
+// Engine returns the stand-in of an engine, or nil if there is none of that name.
 func (s *Scene) Engine(name string) *engine.Engine { return s.engines[name] }
 
-// Services returns the upstreams of the plain service.
+// Services returns the stand-ins of the plain service's upstreams.
 func (s *Scene) Services() []*service.Service { return s.services }
 
-// Platform returns the platform's stand-in.
+// Platform returns the stand-in of the platform.
 func (s *Scene) Platform() *platform.Platform { return s.platform }
 
-// PlatformAddr returns the address of the platform's stand-in.
+// PlatformAddr returns the address of the platform.
 func (s *Scene) PlatformAddr() string { return s.platformAddr() }
 
-// Spec returns the scene's description.
+// Spec returns the description from which the scene was started.
 func (s *Scene) Spec() Spec { return s.spec }
 
-// StopDaemon stops a daemon as planned.
+// StopDaemon begins an orderly stop of daemon i, in which it drains its requests.
 func (s *Scene) StopDaemon(i int) { s.daemons[i].stop() }
 
-// Close stops everything.
+// Close stops the daemons, waits until they have ended, and stops the stand-ins.
 func (s *Scene) Close() {
 	for _, d := range s.daemons {
 		d.stop()
--- a/scene/scenes.go
+++ b/scene/scenes.go
@@ -9,78 +9,79 @@
 	"spanrill/standin/model"
 )
 
-// The kinds of accelerators of the scenes. They differ fivefold in speed. Their
-// batches are small, so that a whole fleet runs on one machine and the engines,
-// not the machine, are what limits it.
+// The kinds of accelerators in the scenes. The largest is five times as fast as the smallest.
+// Batches are small, so that a whole fleet runs on one machine and its throughput is limited by the
+// engines and not by the machine.
 var (
-	large = engine.Speed{Kind: "l1", Slots: 6, Step: 6 * time.Millisecond, TokenLayer: 20 * time.Microsecond, MemLayers: 16}
-	mid   = engine.Speed{Kind: "m1", Slots: 3, Step: 8 * time.Millisecond, TokenLayer: 50 * time.Microsecond, MemLayers: 12}
-	small = engine.Speed{Kind: "s1", Slots: 2, Step: 10 * time.Millisecond, TokenLayer: 80 * time.Microsecond, MemLayers: 8}
+	largeAccelerator  = engine.Speed{Kind: "l1", Slots: 6, Step: 6 * time.Millisecond, TokenLayer: 20 * time.Microsecond, MemLayers: 16}
+	mediumAccelerator = engine.Speed{Kind: "m1", Slots: 3, Step: 8 * time.Millisecond, TokenLayer: 50 * time.Microsecond, MemLayers: 12}
+	smallAccelerator  = engine.Speed{Kind: "s1", Slots: 2, Step: 10 * time.Millisecond, TokenLayer: 80 * time.Microsecond, MemLayers: 8}
 )
 
-var thirds = []spanrill.LayerRange{{From: 0, To: 8}, {From: 8, To: 16}, {From: 16, To: 24}}
+// layerThirds divides the 24 layers of the scenes' models into three stages.
+var layerThirds = []spanrill.LayerRange{{From: 0, To: 8}, {From: 8, To: 16}, {From: 16, To: 24}}
 
-// linkBetween returns the delay between engines: short within an availability
-// zone, longer across, and far longer on the one slow kind of box.
-func linkBetween(from, to Engine) time.Duration {
+// linkDelay returns the delay of the link between two engines: 50 µs within an availability zone,
+// 450 µs between zones, and 5 ms between zones if both engines have the smallest accelerator.
+func linkDelay(from, to Engine) time.Duration {
 	d := 50 * time.Microsecond
 	if from.Zone != to.Zone {
 		d = 450 * time.Microsecond
 	}
-	if from.Speed.Kind == small.Kind && to.Speed.Kind == small.Kind && from.Zone != to.Zone {
+	if from.Speed.Kind == smallAccelerator.Kind && to.Speed.Kind == smallAccelerator.Kind && from.Zone != to.Zone {
 		d = 5 * time.Millisecond
 	}
 	return d
 }
 
-// Demo is the scene of spanrill demo: two daemons, seven engines of three
-// kinds, one plain service.
+// Demo returns the scene of the command "spanrill demo": two daemons, seven engines with three
+// kinds of accelerators, and one plain service.
 func Demo() Spec {
 	s := Spec{
 		Model: model.Spec{Name: "apiary-advice", Version: "1", Layers: 24},
 		Zones: []string{"hall-un", "hall-deux", "hall-trois"}, Services: 1, Daemons: 2,
 		Accounts:  []Account{{Name: "rucher", Priority: 5, Weight: 1}},
-		ReportLag: 200 * time.Millisecond, Link: linkBetween, Seed: 1,
+		ReportLag: 200 * time.Millisecond, Link: linkDelay, Seed: 1,
 	}
-	speeds := []engine.Speed{large, mid, large, mid, small, mid, large}
+	speeds := []engine.Speed{largeAccelerator, mediumAccelerator, largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator, largeAccelerator}
 	for i, speed := range speeds {
 		s.Engines = append(s.Engines, Engine{
-			Name: fmt.Sprintf("engine-%d", i+1), Zone: s.Zones[i%3], Layers: thirds[i%3], Speed: speed,
+			Name: fmt.Sprintf("engine-%d", i+1), Zone: s.Zones[i%3], Layers: layerThirds[i%3], Speed: speed,
 		})
 	}
 	return s
 }
 
-// Quebec is a scene close to Ruchetech's: about forty engines in three
-// availability zones, eight daemons, three upstreams for readings.
+// Quebec returns a scene similar to Ruchetech's deployment: 42 engines in three availability zones,
+// eight daemons, and three upstreams of the service "readings".
 func Quebec() Spec {
 	s := Spec{
 		Model: model.Spec{Name: "apiary-advice", Version: "1", Layers: 24},
 		Zones: []string{"hall-un", "hall-deux", "hall-trois"}, Services: 3, Daemons: 8,
-		ReportLag: 500 * time.Millisecond, Link: linkBetween, Seed: 1,
+		ReportLag: 500 * time.Millisecond, Link: linkDelay, Seed: 1,
 	}
 	for i := range 10 {
 		s.Accounts = append(s.Accounts, Account{Name: fmt.Sprintf("account-%d", i+1), Priority: 5, Weight: 1})
 	}
-	kinds := []engine.Speed{large, mid, small, mid}
+	kinds := []engine.Speed{largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator}
 	for i := range 42 {
 		s.Engines = append(s.Engines, Engine{
-			Name: fmt.Sprintf("engine-%02d", i+1), Zone: s.Zones[i/3%3], Layers: thirds[i%3], Speed: kinds[i/3%4],
+			Name: fmt.Sprintf("engine-%02d", i+1), Zone: s.Zones[i/3%3], Layers: layerThirds[i%3], Speed: kinds[i/3%4],
 		})
 	}
 	return s
 }
 
-// accountLimit is the requests a second that each account of Dakar may send:
-// about a tenth of what the engines can carry.
-const accountLimit = 25
+// accountRequestRate is the limit of each account in Dakar, in requests per second. It is about a
+// tenth of what the engines can serve.
+const accountRequestRate = 25
 
-// Dakar is a scene close to that of the Dakar annex: the same fleet under other
-// names, with a limit for each account.
+// Dakar returns a scene similar to the deployment of the Dakar annex: the fleet of Quebec with
+// another model and other zones, and with a request limit for each account.
 func Dakar() Spec {
 	s := Quebec()
 	for i := range s.Accounts {
-		s.Accounts[i].Requests = accountLimit
+		s.Accounts[i].Requests = accountRequestRate
 	}
 	s.Model.Name = "label-reading"
 	rename := map[string]string{"hall-un": "hann", "hall-deux": "plateau", "hall-trois": "fann"}
