--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -121,7 +121,7 @@
 	return func(e *Engine) { e.generation = g }
 }
 
-// DefaultSpeed describes the accelerator of an engine without the option WithSpeed.
+// DefaultSpeed describes the accelerator of engines for which no other is set.
 var DefaultSpeed = Speed{
 	Kind: "m1", Slots: 16, Step: 2 * time.Millisecond,
 	TokenLayer: 5 * time.Microsecond, MemLayers: 16,
--- a/standin/faultproxy/proxy.go
+++ b/standin/faultproxy/proxy.go
@@ -6,7 +6,7 @@
 //
 //	p := faultproxy.New("127.0.0.1:8000")
 //	addr, err := p.Listen("127.0.0.1:0")
-//	p.Set(faultproxy.Faults{CutAnswerAfter: 1})
+//	p.SetFaults(faultproxy.Faults{CutAnswerAfter: 1})
 package faultproxy
 
 import (
@@ -67,8 +67,8 @@
 	return ln.Addr().String(), nil
 }
 
-// Control serves an HTTP interface on addr that sets the faults: POST with Faults as JSON. It returns
-// the address that it is bound to.
+// Control serves an HTTP interface on addr and returns the address that it is bound to. A POST with
+// Faults as JSON sets the faults.
 func (p *Proxy) Control(addr string) (string, error) {
 	server := web.New(func(ctx *fasthttp.RequestCtx) {
 		var f Faults
@@ -92,7 +92,7 @@
 	}
 }
 
-// Cut closes all open connections.
+// Cut closes all open connections; the proxy goes on accepting new ones.
 func (p *Proxy) Cut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
