--- a/bench/bound.go
+++ b/bench/bound.go
@@ -40,23 +40,23 @@
 
 // engineRate returns the requests a second that an engine can carry when all
 // its batches are full.
-func engineRate(s engine.Speed, layers int, m Mix) float64 {
+func engineRate(s engine.Accelerator, layers int, m Mix) float64 {
 	places, weight := m.jobs()
 	perPlace := weight / places
-	step := float64(s.Step) + float64(s.TokenLayer)*float64(layers)*float64(s.Slots)*perPlace
+	step := float64(s.BaseTime) + float64(s.PositionLayerTime)*float64(layers)*float64(s.Slots)*perPlace
 	return float64(s.Slots) / (step / float64(time.Second)) / places
 }
 
 // Bound returns the requests a second that the engines of a scene could carry
 // at the most: the largest flow from the first layer to the last one.
-func Bound(engines []scene.Engine, layers int, m Mix) float64 {
+func Bound(engines []scene.EngineSpec, layers int, m Mix) float64 {
 	capacity := make([][]float64, layers+1)
 	for i := range capacity {
 		capacity[i] = make([]float64, layers+1)
 	}
 	for _, e := range engines {
 		if !e.Empty {
-			capacity[e.Layers.From][e.Layers.To] += engineRate(e.Speed, e.Layers.Len(), m)
+			capacity[e.Layers.From][e.Layers.To] += engineRate(e.Accelerator, e.Layers.Len(), m)
 		}
 	}
 	total := 0.0
--- a/bench/load.go
+++ b/bench/load.go
@@ -128,9 +128,9 @@
 	var b strings.Builder
 	for i := range m.PromptWords {
 		if i < m.SharedWords {
-			fmt.Fprintf(&b, "%s ", model.Word(uint32(shared*67+i)))
+			fmt.Fprintf(&b, "%s ", model.TokenWord(uint32(shared*67+i)))
 		} else {
-			fmt.Fprintf(&b, "%s ", model.Word(uint32(n*131+i)))
+			fmt.Fprintf(&b, "%s ", model.TokenWord(uint32(n*131+i)))
 		}
 	}
 	return strings.TrimSpace(b.String())
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -33,7 +33,7 @@
 	spec := scene.Demo()
 	spec.Daemons, spec.Engines = 1, spec.Engines[:3]
 	for i := range spec.Engines {
-		spec.Engines[i].Speed.Step = time.Millisecond
+		spec.Engines[i].Accelerator.BaseTime = time.Millisecond
 	}
 	s, err := scene.Start(ctx, spec)
 	if err != nil {
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -82,15 +82,15 @@
 
 // prepare returns the engines that are left after a fault at the speed they
 // are left with, and what makes the fault happen.
-func prepare(s *scene.Scene, fault Fault) (left []scene.Engine, inject func(stop <-chan struct{}), err error) {
+func prepare(s *scene.Scene, fault Fault) (left []scene.EngineSpec, inject func(stop <-chan struct{}), err error) {
 	all := s.Spec().Engines
 	switch fault {
 	case FaultStage:
-		return kill(s, func(i int, _ scene.Engine) bool { return i == 0 })
+		return kill(s, func(i int, _ scene.EngineSpec) bool { return i == 0 })
 	case FaultKill:
-		return kill(s, func(i int, _ scene.Engine) bool { return i%10 == 0 })
+		return kill(s, func(i int, _ scene.EngineSpec) bool { return i%10 == 0 })
 	case FaultZone:
-		return kill(s, func(_ int, e scene.Engine) bool { return e.Zone == all[0].Zone })
+		return kill(s, func(_ int, e scene.EngineSpec) bool { return e.Zone == all[0].Zone })
 	case FaultSlowEngine:
 		return all[1:], func(<-chan struct{}) {
 			slow(s, all[0].Name, engine.Faults{Slowdown: slowFactor})
@@ -107,8 +107,8 @@
 
 const slowFactor = 10
 
-func kill(s *scene.Scene, dies func(int, scene.Engine) bool) ([]scene.Engine, func(<-chan struct{}), error) {
-	var left []scene.Engine
+func kill(s *scene.Scene, dies func(int, scene.EngineSpec) bool) ([]scene.EngineSpec, func(<-chan struct{}), error) {
+	var left []scene.EngineSpec
 	var dead []string
 	for i, e := range s.Spec().Engines {
 		if dies(i, e) {
@@ -126,14 +126,14 @@
 
 // slow changes the faults of an engine and keeps its links.
 func slow(s *scene.Scene, name string, f engine.Faults) {
-	f.LinkMicros = s.Links(name)
+	f.LinkMicros = s.LinkDelays(name)
 	s.Engine(name).SetFaults(f)
 }
 
 // slowLinks makes every link into an engine a hundred times slower.
-func slowLinks(s *scene.Scene, to scene.Engine) {
+func slowLinks(s *scene.Scene, to scene.EngineSpec) {
 	for _, e := range s.Spec().Engines {
-		links := s.Links(e.Name)
+		links := s.LinkDelays(e.Name)
 		links[to.Name] *= 100
 		s.Engine(e.Name).SetFaults(engine.Faults{LinkMicros: links})
 	}
--- a/cli/spanrillcmd/bench.go
+++ b/cli/spanrillcmd/bench.go
@@ -128,7 +128,7 @@
 			if err != nil {
 				return err
 			}
-			spec.Policy = policy
+			spec.RoutingPolicy = policy
 			report, err := run(ctx, spec, optionsOf(c, spec, load))
 			if err != nil {
 				return err
--- a/cli/standincmd/main.go
+++ b/cli/standincmd/main.go
@@ -61,9 +61,9 @@
 					&cli.IntFlag{Name: "model-layers", Required: true, Usage: "layers of the whole model"},
 					&cli.IntFlag{Name: "from", Usage: "first layer held"},
 					&cli.IntFlag{Name: "to", Required: true, Usage: "layer behind the last one held"},
-					&cli.DurationFlag{Name: "step", Value: engine.DefaultSpeed.Step, Usage: "base time of a batch step"},
-					&cli.IntFlag{Name: "slots", Value: engine.DefaultSpeed.Slots, Usage: "streams in one batch step"},
-					&cli.StringFlag{Name: "kind", Value: engine.DefaultSpeed.Kind, Usage: "the accelerator's kind"},
+					&cli.DurationFlag{Name: "step", Value: engine.DefaultAccelerator.BaseTime, Usage: "base time of a batch step"},
+					&cli.IntFlag{Name: "slots", Value: engine.DefaultAccelerator.Slots, Usage: "streams in one batch step"},
+					&cli.StringFlag{Name: "kind", Value: engine.DefaultAccelerator.Kind, Usage: "the accelerator's kind"},
 				},
 				Action: runEngine,
 			},
@@ -113,11 +113,11 @@
 }
 
 func runEngine(ctx context.Context, c *cli.Command) error {
-	speed := engine.DefaultSpeed
-	speed.Kind, speed.Slots, speed.Step = c.String("kind"), c.Int("slots"), c.Duration("step")
+	speed := engine.DefaultAccelerator
+	speed.Kind, speed.Slots, speed.BaseTime = c.String("kind"), c.Int("slots"), c.Duration("step")
 	spec := model.Spec{Name: c.String("model"), Version: c.String("version"), Layers: c.Int("model-layers")}
 	layers := spanrill.LayerRange{From: c.Int("from"), To: c.Int("to")}
-	e := engine.New(c.String("name"), engine.WithModel(spec, layers), engine.WithSpeed(speed),
+	e := engine.New(c.String("name"), engine.WithModel(spec, layers), engine.WithAccelerator(speed),
 		engine.WithReportLag(200*time.Millisecond))
 	return serve(ctx, c.String("listen"), e.Listen, e.Close)
 }
@@ -129,7 +129,7 @@
 
 func runProxy(ctx context.Context, c *cli.Command) error {
 	p := faultproxy.New(c.String("to"))
-	if _, err := p.Control(c.String("control")); err != nil {
+	if _, err := p.ListenControl(c.String("control")); err != nil {
 		return fmt.Errorf("start control: %w", err)
 	}
 	return serve(ctx, c.String("listen"), p.Listen, p.Close)
--- a/e2e/control_test.go
+++ b/e2e/control_test.go
@@ -213,7 +213,7 @@
 		t.Skipf("a measurement; set %s=1", envControl)
 	}
 	speed := testSpeed
-	speed.Slots, speed.Step = 128, time.Millisecond
+	speed.Slots, speed.BaseTime = 128, time.Millisecond
 	f := newFleet(t, shape{daemons: 1, perStage: 2, services: 1, speed: speed})
 	const callers, tokens, calls = 64, 300, 2000
 	before := f.used()
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -68,12 +68,12 @@
 	perStage  int // engines for each of the three stages
 	services  int
 	boxLag    time.Duration
-	speed     engine.Speed
+	speed     engine.Accelerator
 	noDaemons bool // daemons are started by the test
 	limits    string
 }
 
-var testSpeed = engine.Speed{Kind: "t", Slots: 32, Step: 2 * time.Millisecond, TokenLayer: time.Microsecond, MemLayers: 24}
+var testSpeed = engine.Accelerator{Kind: "t", Slots: 32, BaseTime: 2 * time.Millisecond, PositionLayerTime: time.Microsecond, MaxLayers: 24}
 
 var testLayers = []spanrill.LayerRange{{From: 0, To: 8}, {From: 8, To: 16}, {From: 16, To: 24}}
 
@@ -141,8 +141,8 @@
 	f.boxes = append(f.boxes, b)
 }
 
-func (f *fleet) addEngine(name string, layers spanrill.LayerRange, speed engine.Speed) {
-	e := engine.New(name, engine.WithModel(f.spec, layers), engine.WithSpeed(speed), engine.WithReportLag(100*time.Millisecond))
+func (f *fleet) addEngine(name string, layers spanrill.LayerRange, speed engine.Accelerator) {
+	e := engine.New(name, engine.WithModel(f.spec, layers), engine.WithAccelerator(speed), engine.WithReportLag(100*time.Millisecond))
 	addr, err := e.Listen(f.ip + ":0")
 	f.check(err)
 	f.t.Cleanup(e.Close)
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -48,7 +48,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f.t = t
 			for name := range f.services {
-				f.proxies[name].Set(c.proxy)
+				f.proxies[name].SetFaults(c.proxy)
 				f.services[name].SetFaults(c.faults)
 			}
 			var wg sync.WaitGroup
@@ -71,7 +71,7 @@
 
 func (f *fleet) clearServices() {
 	for name := range f.services {
-		f.proxies[name].Set(faultproxy.Faults{})
+		f.proxies[name].SetFaults(faultproxy.Faults{})
 		f.services[name].SetFaults(service.Faults{})
 	}
 }
--- a/e2e/random_test.go
+++ b/e2e/random_test.go
@@ -134,15 +134,15 @@
 // proxyFault puts a fault before an upstream.
 func (c *chaos) proxyFault(fault faultproxy.Faults) func() {
 	p := c.f.proxies[c.upstream()]
-	p.Set(fault)
-	return func() { p.Set(faultproxy.Faults{}) }
+	p.SetFaults(fault)
+	return func() { p.SetFaults(faultproxy.Faults{}) }
 }
 
 func (c *chaos) cutUpstream() func() {
 	p := c.f.proxies[c.upstream()]
-	p.Set(faultproxy.Faults{Refuse: true})
-	p.Cut()
-	return func() { p.Set(faultproxy.Faults{}) }
+	p.SetFaults(faultproxy.Faults{Refuse: true})
+	p.CloseConnections()
+	return func() { p.SetFaults(faultproxy.Faults{}) }
 }
 
 func (c *chaos) freezeUpstream() func() { return c.proxyFault(faultproxy.Faults{Freeze: true}) }
--- a/e2e/together_test.go
+++ b/e2e/together_test.go
@@ -350,8 +350,8 @@
 	}
 	f.awaitReady(2)
 	for _, p := range between {
-		p.Set(faultproxy.Faults{Refuse: true})
-		p.Cut()
+		p.SetFaults(faultproxy.Faults{Refuse: true})
+		p.CloseConnections()
 	}
 	f.await("each daemon is alone", func() bool { return f.alive("d1") == 1 && f.alive("d2") == 1 })
 	revision := f.edit(1)
@@ -364,7 +364,7 @@
 		t.Errorf("one key ran %d times in two halves", f.runs("same"))
 	}
 	for _, p := range between {
-		p.Set(faultproxy.Faults{})
+		p.SetFaults(faultproxy.Faults{})
 	}
 	f.awaitReady(2)
 }
--- a/e2e/whole_test.go
+++ b/e2e/whole_test.go
@@ -96,10 +96,10 @@
 		{"last stage killed", func(f *fleet) { f.kill("e3a") }},
 		{"two stages killed at once", func(f *fleet) { f.kill("e1a", "e3b") }},
 		{"second kill during recovery", func(f *fleet) { f.kill("e2a"); f.kill("e1b") }},
-		{"link cut", func(f *fleet) { f.proxies["e2b"].Cut() }},
-		{"link cut twice", func(f *fleet) { f.proxies["e2b"].Cut(); f.proxies["e3a"].Cut() }},
-		{"link slowed", func(f *fleet) { f.proxies["e2a"].Set(faultproxy.Faults{DelayMillis: 30}) }},
-		{"stage frozen", func(f *fleet) { f.proxies["e3a"].Set(faultproxy.Faults{Freeze: true}) }},
+		{"link cut", func(f *fleet) { f.proxies["e2b"].CloseConnections() }},
+		{"link cut twice", func(f *fleet) { f.proxies["e2b"].CloseConnections(); f.proxies["e3a"].CloseConnections() }},
+		{"link slowed", func(f *fleet) { f.proxies["e2a"].SetFaults(faultproxy.Faults{DelayMillis: 30}) }},
+		{"stage frozen", func(f *fleet) { f.proxies["e3a"].SetFaults(faultproxy.Faults{Freeze: true}) }},
 		{"stage leaving", func(f *fleet) { f.engines["e2a"].SetFaults(engine.Faults{Leaving: true}) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/scene/scene.go
+++ b/scene/scene.go
@@ -36,22 +36,22 @@
 	"spanrill/transport/httpcall"
 )
 
-// Engine describes an engine of the deployment.
-type Engine struct {
+// EngineSpec describes an engine of the deployment.
+type EngineSpec struct {
 	Name   string
 	Zone   string
 	Layers spanrill.LayerRange
-	Speed  engine.Speed
+	Accelerator  engine.Accelerator
 	Empty  bool // starts without a model
 }
 
-// Account describes a client account. Its bearer key is KeyPrefix followed by its name.
-type Account struct {
+// AccountSpec describes a client account. Its bearer key is KeyPrefix followed by its name.
+type AccountSpec struct {
 	Name     string
 	Priority int
 	Weight   int
-	Requests int // requests per second, 0 for no limit
-	InFlight int // maximum of concurrent requests, 0 for no limit
+	RequestsPerSecond int // requests per second, 0 for no limit
+	MaxInFlight int // maximum of concurrent requests, 0 for no limit
 }
 
 // KeyPrefix is the prefix of each account's bearer key; the account's name follows it.
@@ -61,18 +61,18 @@
 type Spec struct {
 	Model     model.Spec
 	Zones     []string
-	Engines   []Engine
-	Services  int // upstreams of the service "readings", distributed over the zones
+	Engines   []EngineSpec
+	ServiceUpstreams  int // upstreams of the service "readings", distributed over the zones
 	Daemons   int
-	Accounts  []Account
-	Policy    string // routing policy, "" for the default
+	Accounts  []AccountSpec
+	RoutingPolicy    string // routing policy, "" for the default
 	Seed      uint64
 	ReportLag time.Duration // interval between the load reports of an engine
 	BoxLag    time.Duration // time until the platform's box list shows a change
-	// Link returns the delay of the link between two engines. Without it links have no delay.
-	Link func(from, to Engine) time.Duration
-	// Settings, if set, changes the settings of each daemon before it starts.
-	Settings func(*settings.Settings)
+	// LinkDelay returns the delay of the link between two engines. Without it links have no delay.
+	LinkDelay func(from, to EngineSpec) time.Duration
+	// ChangeSettings, if set, changes the settings of each daemon before it starts.
+	ChangeSettings func(*settings.Settings)
 	Log      *logrus.Logger
 }
 
@@ -149,7 +149,7 @@
 			return fmt.Errorf("start engine %s: %w", e.Name, err)
 		}
 	}
-	for i := range s.spec.Services {
+	for i := range s.spec.ServiceUpstreams {
 		svc := service.New(fmt.Sprintf("readings-%d", i+1))
 		addr, err := svc.Listen(s.ip + ":0")
 		if err != nil {
@@ -164,13 +164,13 @@
 	return nil
 }
 
-func (s *Scene) startEngine(e Engine) error {
-	opts := []engine.Option{engine.WithSpeed(e.Speed), engine.WithReportLag(s.spec.ReportLag)}
+func (s *Scene) startEngine(e EngineSpec) error {
+	opts := []engine.Option{engine.WithAccelerator(e.Accelerator), engine.WithReportLag(s.spec.ReportLag)}
 	if !e.Empty {
 		opts = append(opts, engine.WithModel(s.spec.Model, e.Layers))
 	}
 	eng := engine.New(e.Name, opts...)
-	eng.SetFaults(engine.Faults{LinkMicros: s.Links(e.Name)})
+	eng.SetFaults(engine.Faults{LinkMicros: s.LinkDelays(e.Name)})
 	addr, err := eng.Listen(s.ip + ":0")
 	if err != nil {
 		return err
@@ -192,11 +192,11 @@
 	v.Platform, v.FleetSecret = s.platformAddr(), "secret-of-the-scene"
 	v.Seed = s.spec.Seed + uint64(i) + 1
 	v.Drain.Notice = 100
-	if s.spec.Policy != "" {
-		v.RoutingPolicy = s.spec.Policy
+	if s.spec.RoutingPolicy != "" {
+		v.RoutingPolicy = s.spec.RoutingPolicy
 	}
-	if s.spec.Settings != nil {
-		s.spec.Settings(&v)
+	if s.spec.ChangeSettings != nil {
+		s.spec.ChangeSettings(&v)
 	}
 	return v
 }
@@ -251,7 +251,7 @@
 }
 
 // addAccount adds the documents of an account and of a template that only it uses.
-func (s *Scene) addAccount(docs map[config.Name]any, a Account) {
+func (s *Scene) addAccount(docs map[config.Name]any, a AccountSpec) {
 	hash := config.HashKey(KeyPrefix + a.Name)
 	docs[config.Name{Kind: config.KindTemplate, Name: a.Name}] = config.Template{
 		Name: a.Name,
@@ -262,7 +262,7 @@
 			Service: "readings", Site: config.StringLiteral(Site), Calls: []config.Call{{Method: "POST", Path: "/readings"}},
 		}},
 		Limits: config.Limits{
-			RequestsPerSecond: config.IntLiteral(a.Requests), InFlight: config.IntLiteral(a.InFlight), Weight: config.IntLiteral(a.Weight),
+			RequestsPerSecond: config.IntLiteral(a.RequestsPerSecond), InFlight: config.IntLiteral(a.MaxInFlight), Weight: config.IntLiteral(a.Weight),
 		},
 	}
 	docs[config.Name{Kind: config.KindAccount, Name: a.Name}] = config.Account{
@@ -306,10 +306,10 @@
 	return st.Ready && len(st.Peers) == len(s.daemons) && loaded >= expected
 }
 
-// Links returns the delays of the links from an engine to each engine, in microseconds.
-func (s *Scene) Links(name string) map[string]int {
+// LinkDelays returns the delays of the links from an engine to each engine, in microseconds.
+func (s *Scene) LinkDelays(name string) map[string]int {
 	links := map[string]int{}
-	if s.spec.Link == nil {
+	if s.spec.LinkDelay == nil {
 		return links
 	}
 	for _, from := range s.spec.Engines {
@@ -317,7 +317,7 @@
 			continue
 		}
 		for _, to := range s.spec.Engines {
-			links[to.Name] = int(s.spec.Link(from, to) / time.Microsecond)
+			links[to.Name] = int(s.spec.LinkDelay(from, to) / time.Microsecond)
 		}
 	}
 	return links
--- a/scene/scenes.go
+++ b/scene/scenes.go
@@ -13,9 +13,9 @@
 // Batches are small, so that a whole fleet runs on one machine and its throughput is limited by the
 // engines and not by the machine.
 var (
-	largeAccelerator  = engine.Speed{Kind: "l1", Slots: 6, Step: 6 * time.Millisecond, TokenLayer: 20 * time.Microsecond, MemLayers: 16}
-	mediumAccelerator = engine.Speed{Kind: "m1", Slots: 3, Step: 8 * time.Millisecond, TokenLayer: 50 * time.Microsecond, MemLayers: 12}
-	smallAccelerator  = engine.Speed{Kind: "s1", Slots: 2, Step: 10 * time.Millisecond, TokenLayer: 80 * time.Microsecond, MemLayers: 8}
+	largeAccelerator  = engine.Accelerator{Kind: "l1", Slots: 6, BaseTime: 6 * time.Millisecond, PositionLayerTime: 20 * time.Microsecond, MaxLayers: 16}
+	mediumAccelerator = engine.Accelerator{Kind: "m1", Slots: 3, BaseTime: 8 * time.Millisecond, PositionLayerTime: 50 * time.Microsecond, MaxLayers: 12}
+	smallAccelerator  = engine.Accelerator{Kind: "s1", Slots: 2, BaseTime: 10 * time.Millisecond, PositionLayerTime: 80 * time.Microsecond, MaxLayers: 8}
 )
 
 // layerThirds divides the 24 layers of the scenes' models into three stages.
@@ -23,12 +23,12 @@
 
 // linkDelay returns the delay of the link between two engines: 50 µs within an availability zone,
 // 450 µs between zones, and 5 ms between zones if both engines have the smallest accelerator.
-func linkDelay(from, to Engine) time.Duration {
+func linkDelay(from, to EngineSpec) time.Duration {
 	d := 50 * time.Microsecond
 	if from.Zone != to.Zone {
 		d = 450 * time.Microsecond
 	}
-	if from.Speed.Kind == smallAccelerator.Kind && to.Speed.Kind == smallAccelerator.Kind && from.Zone != to.Zone {
+	if from.Accelerator.Kind == smallAccelerator.Kind && to.Accelerator.Kind == smallAccelerator.Kind && from.Zone != to.Zone {
 		d = 5 * time.Millisecond
 	}
 	return d
@@ -39,14 +39,14 @@
 func Demo() Spec {
 	s := Spec{
 		Model: model.Spec{Name: "apiary-advice", Version: "1", Layers: 24},
-		Zones: []string{"hall-un", "hall-deux", "hall-trois"}, Services: 1, Daemons: 2,
-		Accounts:  []Account{{Name: "rucher", Priority: 5, Weight: 1}},
-		ReportLag: 200 * time.Millisecond, Link: linkDelay, Seed: 1,
+		Zones: []string{"hall-un", "hall-deux", "hall-trois"}, ServiceUpstreams: 1, Daemons: 2,
+		Accounts:  []AccountSpec{{Name: "rucher", Priority: 5, Weight: 1}},
+		ReportLag: 200 * time.Millisecond, LinkDelay: linkDelay, Seed: 1,
 	}
-	speeds := []engine.Speed{largeAccelerator, mediumAccelerator, largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator, largeAccelerator}
+	speeds := []engine.Accelerator{largeAccelerator, mediumAccelerator, largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator, largeAccelerator}
 	for i, speed := range speeds {
-		s.Engines = append(s.Engines, Engine{
-			Name: fmt.Sprintf("engine-%d", i+1), Zone: s.Zones[i%3], Layers: layerThirds[i%3], Speed: speed,
+		s.Engines = append(s.Engines, EngineSpec{
+			Name: fmt.Sprintf("engine-%d", i+1), Zone: s.Zones[i%3], Layers: layerThirds[i%3], Accelerator: speed,
 		})
 	}
 	return s
@@ -57,16 +57,16 @@
 func Quebec() Spec {
 	s := Spec{
 		Model: model.Spec{Name: "apiary-advice", Version: "1", Layers: 24},
-		Zones: []string{"hall-un", "hall-deux", "hall-trois"}, Services: 3, Daemons: 8,
-		ReportLag: 500 * time.Millisecond, Link: linkDelay, Seed: 1,
+		Zones: []string{"hall-un", "hall-deux", "hall-trois"}, ServiceUpstreams: 3, Daemons: 8,
+		ReportLag: 500 * time.Millisecond, LinkDelay: linkDelay, Seed: 1,
 	}
 	for i := range 10 {
-		s.Accounts = append(s.Accounts, Account{Name: fmt.Sprintf("account-%d", i+1), Priority: 5, Weight: 1})
+		s.Accounts = append(s.Accounts, AccountSpec{Name: fmt.Sprintf("account-%d", i+1), Priority: 5, Weight: 1})
 	}
-	kinds := []engine.Speed{largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator}
+	kinds := []engine.Accelerator{largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator}
 	for i := range 42 {
-		s.Engines = append(s.Engines, Engine{
-			Name: fmt.Sprintf("engine-%02d", i+1), Zone: s.Zones[i/3%3], Layers: layerThirds[i%3], Speed: kinds[i/3%4],
+		s.Engines = append(s.Engines, EngineSpec{
+			Name: fmt.Sprintf("engine-%02d", i+1), Zone: s.Zones[i/3%3], Layers: layerThirds[i%3], Accelerator: kinds[i/3%4],
 		})
 	}
 	return s
@@ -81,7 +81,7 @@
 func Dakar() Spec {
 	s := Quebec()
 	for i := range s.Accounts {
-		s.Accounts[i].Requests = accountRequestRate
+		s.Accounts[i].RequestsPerSecond = accountRequestRate
 	}
 	s.Model.Name = "label-reading"
 	rename := map[string]string{"hall-un": "hann", "hall-deux": "plateau", "hall-trois": "fann"}
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -118,14 +118,14 @@
 		w.store.SetFaults(platformtest.StoreFaults{Down: true})
 	case StoreSilent:
 		for _, l := range w.links { // a store that hangs in all calls, with room for others behind
-			l.Set(faultproxy.Faults{Freeze: true})
+			l.SetFaults(faultproxy.Faults{Freeze: true})
 		}
 	}
 	wait(ctx, s.For)
 	w.store.SetFaults(platformtest.StoreFaults{})
 	if s.Kind == StoreSilent {
 		for _, l := range w.links {
-			l.Set(faultproxy.Faults{})
+			l.SetFaults(faultproxy.Faults{})
 		}
 	}
 	return nil
@@ -181,12 +181,12 @@
 		link = r.world.links[s.Target%len(r.world.links)]
 		r.disturbStore(s.For)
 	}
-	link.Set(linkFaults(s))
+	link.SetFaults(linkFaults(s))
 	if s.Kind == StoreLinkCut || s.Way == 1 {
-		link.Cut()
+		link.CloseConnections()
 	}
 	wait(ctx, s.For)
-	link.Set(faultproxy.Faults{})
+	link.SetFaults(faultproxy.Faults{})
 	return nil
 }
 
--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -99,8 +99,8 @@
 func (e *Engine) batchTime(weight float64) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	perLayer := float64(e.speed.TokenLayer) * weight
-	d := float64(e.speed.Step) + perLayer*float64(e.layers.Len())
+	perLayer := float64(e.speed.PositionLayerTime) * weight
+	d := float64(e.speed.BaseTime) + perLayer*float64(e.layers.Len())
 	if e.faults.Slowdown > 0 {
 		d *= e.faults.Slowdown
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -45,25 +45,25 @@
 	MisreportRange bool           `json:"misreport_range"`  // report one layer less than was run
 	EndEarly       int            `json:"end_early"`        // close the stream at this token without an end event
 	LinkMicros     map[string]int `json:"link_micros"`      // delay of calls to the next stage, by its engine
-	DieAtToken     int            `json:"die_at_token"`     // kill the engine at this token
+	KillAtToken     int            `json:"die_at_token"`     // kill the engine at this token
 	StallAtToken   int            `json:"stall_at_token"`   // send nothing from this token on
 	FailOrders     int            `json:"fail_orders"`      // fail the next n orders
 	LoseOrderReply int            `json:"lose_order_reply"` // carry out the next n orders without an answer
 }
 
-// Speed describes an accelerator.
-type Speed struct {
+// Accelerator describes an accelerator.
+type Accelerator struct {
 	Kind       string        // name of the kind of accelerator
 	Slots      int           // maximum number of steps in a batch
-	Step       time.Duration // base time of a batch
-	TokenLayer time.Duration // time added to a batch for each position and layer
-	MemLayers  int           // number of layers that fit in memory
+	BaseTime       time.Duration // base time of a batch
+	PositionLayerTime time.Duration // time added to a batch for each position and layer
+	MaxLayers  int           // number of layers that fit in memory
 }
 
 // Engine is a stand-in for one engine. Create it with New.
 type Engine struct {
 	name      string
-	speed     Speed
+	speed     Accelerator
 	reportLag time.Duration
 	loadTime  time.Duration
 
@@ -95,8 +95,8 @@
 	return func(e *Engine) { e.spec, e.layers = s, r }
 }
 
-// WithSpeed sets the accelerator that the engine simulates.
-func WithSpeed(s Speed) Option {
+// WithAccelerator sets the accelerator that the engine simulates.
+func WithAccelerator(s Accelerator) Option {
 	return func(e *Engine) { e.speed = s }
 }
 
@@ -121,10 +121,10 @@
 	return func(e *Engine) { e.generation = g }
 }
 
-// DefaultSpeed describes the accelerator of engines for which no other is set.
-var DefaultSpeed = Speed{
-	Kind: "m1", Slots: 16, Step: 2 * time.Millisecond,
-	TokenLayer: 5 * time.Microsecond, MemLayers: 16,
+// DefaultAccelerator describes the accelerator of engines for which no other is set.
+var DefaultAccelerator = Accelerator{
+	Kind: "m1", Slots: 16, BaseTime: 2 * time.Millisecond,
+	PositionLayerTime: 5 * time.Microsecond, MaxLayers: 16,
 }
 
 const (
@@ -137,7 +137,7 @@
 // New returns an engine. Without the option WithModel it holds no model.
 func New(name string, opts ...Option) *Engine {
 	e := &Engine{
-		name: name, speed: DefaultSpeed, reportLag: defaultLag, loadTime: defaultLoadTime,
+		name: name, speed: DefaultAccelerator, reportLag: defaultLag, loadTime: defaultLoadTime,
 		generation: uint64(time.Now().UnixNano()),
 		terms:      map[string]uint64{}, streams: map[string]*stream{},
 		cache: newPrefixCache(defaultCacheBlocks), stopped: make(chan struct{}),
@@ -225,8 +225,8 @@
 	defer e.mu.Unlock()
 	return spanrill.UpstreamStatus{
 		Name: e.name, Running: len(e.streams), Waiting: waitingSteps, Slots: e.speed.Slots,
-		Kind: e.speed.Kind, StepMicros: int(e.speed.Step / time.Microsecond),
-		TokenNanos: int(e.speed.TokenLayer), MaxLayers: e.speed.MemLayers,
+		Kind: e.speed.Kind, StepMicros: int(e.speed.BaseTime / time.Microsecond),
+		TokenNanos: int(e.speed.PositionLayerTime), MaxLayers: e.speed.MaxLayers,
 	}
 }
 
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -60,7 +60,7 @@
 	}
 	r.promptLen = len(r.words)
 	for _, t := range req.Generated {
-		r.words = append(r.words, model.Word(t))
+		r.words = append(r.words, model.TokenWord(t))
 	}
 	if r.promptLen == 0 {
 		return nil, e.newRunError(spanrill.CodeBadRequest, "the prompt is empty")
@@ -115,7 +115,7 @@
 		if !out.writeToken(ev, r.engine) {
 			return
 		}
-		if runErr := r.decodeWord(model.Word(ev.Token)); runErr != nil {
+		if runErr := r.decodeWord(model.TokenWord(ev.Token)); runErr != nil {
 			out.write(spanrill.RunEvent{Error: runErr})
 			return
 		}
@@ -199,7 +199,7 @@
 
 // writeToken writes a token, or what the faults make of it. It reports whether the stream goes on.
 func (ew *eventWriter) writeToken(ev spanrill.RunEvent, e *Engine) bool {
-	if f := ew.faults; f.DieAtToken > 0 && ev.Index == f.DieAtToken {
+	if f := ew.faults; f.KillAtToken > 0 && ev.Index == f.KillAtToken {
 		go e.Kill()
 		return false
 	}
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -122,8 +122,8 @@
 	if o.Term < e.terms[o.LeaseName] && !e.faults.IgnoreFences {
 		return false, e.newRunError(spanrill.CodeFenced, "term %d is lower than term %d of an earlier order", o.Term, e.terms[o.LeaseName])
 	}
-	if o.Layers.Len() > e.speed.MemLayers {
-		return false, e.newRunError(spanrill.CodeBadRequest, "%d layers do not fit in memory, which holds %d", o.Layers.Len(), e.speed.MemLayers)
+	if o.Layers.Len() > e.speed.MaxLayers {
+		return false, e.newRunError(spanrill.CodeBadRequest, "%d layers do not fit in memory, which holds %d", o.Layers.Len(), e.speed.MaxLayers)
 	}
 	e.terms[o.LeaseName] = max(e.terms[o.LeaseName], o.Term)
 	e.orders = append(e.orders, o)
--- a/standin/faultproxy/proxy.go
+++ b/standin/faultproxy/proxy.go
@@ -67,20 +67,20 @@
 	return ln.Addr().String(), nil
 }
 
-// Control serves an HTTP interface on addr and returns the address that it is bound to. A POST with
+// ListenControl serves an HTTP interface on addr and returns the address that it is bound to. A POST with
 // Faults as JSON sets the faults.
-func (p *Proxy) Control(addr string) (string, error) {
+func (p *Proxy) ListenControl(addr string) (string, error) {
 	server := web.New(func(ctx *fasthttp.RequestCtx) {
 		var f Faults
 		if web.ReadJSON(ctx, &f) {
-			p.Set(f)
+			p.SetFaults(f)
 		}
 	})
 	return server.Listen(addr)
 }
 
-// Set replaces the faults to inject.
-func (p *Proxy) Set(f Faults) {
+// SetFaults replaces the faults to inject.
+func (p *Proxy) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
@@ -92,8 +92,8 @@
 	}
 }
 
-// Cut closes all open connections; the proxy goes on accepting new ones.
-func (p *Proxy) Cut() {
+// CloseConnections closes all open connections; the proxy goes on accepting new ones.
+func (p *Proxy) CloseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -118,7 +118,7 @@
 	if p.ln != nil {
 		_ = p.ln.Close()
 	}
-	p.Cut()
+	p.CloseConnections()
 }
 
 // currentFaults returns the faults and a channel that is closed when they change.
--- a/standin/faultproxy/proxy_test.go
+++ b/standin/faultproxy/proxy_test.go
@@ -65,10 +65,10 @@
 				t.Fatalf("echo on a silenced connection: %v, want a timeout", err)
 			}
 		}
-		p.Set(Faults{Silence: true})
+		p.SetFaults(Faults{Silence: true})
 		silenced = append(silenced, c)
 	}
-	p.Set(Faults{})
+	p.SetFaults(Faults{})
 	if err := readBack(t, silenced[0], 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("echo on a silenced connection after the fault was removed: %v, want a timeout", err)
 	}
--- a/standin/model/model.go
+++ b/standin/model/model.go
@@ -78,8 +78,8 @@
 	"mo", "nu", "pe", "ra", "si", "to", "ve", "zu",
 }
 
-// Word returns the word of a token.
-func Word(token uint32) string {
+// TokenWord returns the word of a token.
+func TokenWord(token uint32) string {
 	return syllables[token>>8&15] + syllables[token>>4&15] + syllables[token&15]
 }
 
@@ -104,7 +104,7 @@
 			return tokens
 		}
 		tokens = append(tokens, t)
-		out = RunLayers(allLayers, kv, Embed(s, Word(t)))
+		out = RunLayers(allLayers, kv, Embed(s, TokenWord(t)))
 	}
 	return tokens
 }
@@ -119,4 +119,4 @@
 }
 
 // TokenText returns the text of one token in a stream.
-func TokenText(t uint32) string { return " " + Word(t) }
+func TokenText(t uint32) string { return " " + TokenWord(t) }
--- a/transport/httpcall/silence_test.go
+++ b/transport/httpcall/silence_test.go
@@ -100,7 +100,7 @@
 				return c.Do(WithPromptAnswer(ctx), addr, request(addr), ReuseAllowed)
 			}
 		}
-		p.Set(faultproxy.Faults{Silence: true})
+		p.SetFaults(faultproxy.Faults{Silence: true})
 		for range lost {
 			if err := call(c, addr, shortTimeout, do); !errors.Is(err, ErrSilent) {
 				t.Fatalf("on a silent connection: %v", err)
@@ -123,11 +123,11 @@
 func TestSlowWorkKeepsIdleConnections(t *testing.T) {
 	c, p, addr, log := newReusedClient(t, 4)
 	for range 2 {
-		p.Set(faultproxy.Faults{Freeze: true})
+		p.SetFaults(faultproxy.Faults{Freeze: true})
 		if err := call(c, addr, shortTimeout, nil); !errors.Is(err, ErrSilent) {
 			t.Fatal(err)
 		}
-		p.Set(faultproxy.Faults{})
+		p.SetFaults(faultproxy.Faults{})
 		if err := call(c, addr, longTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -142,7 +142,7 @@
 // and a timeout on a new connection.
 func TestOtherFailuresKeepIdleConnections(t *testing.T) {
 	c, p, addr, log := newReusedClient(t, 3)
-	p.Set(faultproxy.Faults{Freeze: true})
+	p.SetFaults(faultproxy.Faults{Freeze: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(shortTimeout, cancel)
 	if _, err := c.Do(ctx, addr, request(addr), ReuseAllowed); err == nil || errors.Is(err, ErrSilent) {
@@ -154,7 +154,7 @@
 	if err := call(c, addr, shortTimeout, fresh); err == nil || errors.Is(err, ErrSilent) {
 		t.Fatalf("timeout on a new connection: %v", err)
 	}
-	p.Set(faultproxy.Faults{})
+	p.SetFaults(faultproxy.Faults{})
 	if err := call(c, addr, longTimeout, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 	if err := call(c, addr, longTimeout, twice); err != nil || p.Accepted() != 2 {
 		t.Fatalf("%d connections, error %v", p.Accepted(), err)
 	}
-	p.Set(faultproxy.Faults{Silence: true})
+	p.SetFaults(faultproxy.Faults{Silence: true})
 	if err := call(c, addr, longTimeout, twice); err != nil {
 		t.Fatal(err)
 	}
--- a/transport/peernet/peernet_test.go
+++ b/transport/peernet/peernet_test.go
@@ -133,7 +133,7 @@
 					t.Errorf("request to %s: %v", addr, err)
 					return
 				}
-				proxy.Cut()
+				proxy.CloseConnections()
 			}
 		}()
 	}
--- a/transport/peernet/silence_test.go
+++ b/transport/peernet/silence_test.go
@@ -86,7 +86,7 @@
 		t.Fatalf("%d connections were made for a link that works", proxy.Accepted())
 	}
 	wantSilences(t, a, hook, 0)
-	proxy.Set(faultproxy.Faults{Silence: true})
+	proxy.SetFaults(faultproxy.Faults{Silence: true})
 	for range silentTimeouts {
 		if err := ask(a, addr); !errors.Is(err, context.DeadlineExceeded) {
 			t.Fatalf("request on a silent link: %v, want a timeout", err)
@@ -148,7 +148,7 @@
 	}
 	<-received
 	for _, p := range proxies {
-		p.Set(faultproxy.Faults{Silence: true})
+		p.SetFaults(faultproxy.Faults{Silence: true})
 	}
 	for range silentTimeouts {
 		_, _ = ask(a, addrs[0]), ask(a, addrs[1])
