--- a/scene/scene.go
+++ b/scene/scene.go
@@ -38,20 +38,20 @@
 
 // EngineSpec describes an engine of the deployment.
 type EngineSpec struct {
-	Name   string
-	Zone   string
-	Layers spanrill.LayerRange
-	Accelerator  engine.Accelerator
-	Empty  bool // starts without a model
+	Name        string
+	Zone        string
+	Layers      spanrill.LayerRange
+	Accelerator engine.Accelerator
+	Empty       bool // starts without a model
 }
 
 // AccountSpec describes a client account. Its bearer key is KeyPrefix followed by its name.
 type AccountSpec struct {
-	Name     string
-	Priority int
-	Weight   int
+	Name              string
+	Priority          int
+	Weight            int
 	RequestsPerSecond int // requests per second, 0 for no limit
-	MaxInFlight int // maximum of concurrent requests, 0 for no limit
+	MaxInFlight       int // maximum of concurrent requests, 0 for no limit
 }
 
 // KeyPrefix is the prefix of each account's bearer key; the account's name follows it.
@@ -59,21 +59,21 @@
 
 // Spec describes a deployment.
 type Spec struct {
-	Model     model.Spec
-	Zones     []string
-	Engines   []EngineSpec
-	ServiceUpstreams  int // upstreams of the service "readings", distributed over the zones
-	Daemons   int
-	Accounts  []AccountSpec
+	Model            model.Spec
+	Zones            []string
+	Engines          []EngineSpec
+	ServiceUpstreams int // upstreams of the service "readings", distributed over the zones
+	Daemons          int
+	Accounts         []AccountSpec
 	RoutingPolicy    string // routing policy, "" for the default
-	Seed      uint64
-	ReportLag time.Duration // interval between the load reports of an engine
-	BoxLag    time.Duration // time until the platform's box list shows a change
+	Seed             uint64
+	ReportLag        time.Duration // interval between the load reports of an engine
+	BoxLag           time.Duration // time until the platform's box list shows a change
 	// LinkDelay returns the delay of the link between two engines. Without it links have no delay.
 	LinkDelay func(from, to EngineSpec) time.Duration
 	// ChangeSettings, if set, changes the settings of each daemon before it starts.
 	ChangeSettings func(*settings.Settings)
-	Log      *logrus.Logger
+	Log            *logrus.Logger
 }
 
 // Site is the name of the only site in a scene's configuration.
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -45,7 +45,7 @@
 	MisreportRange bool           `json:"misreport_range"`  // report one layer less than was run
 	EndEarly       int            `json:"end_early"`        // close the stream at this token without an end event
 	LinkMicros     map[string]int `json:"link_micros"`      // delay of calls to the next stage, by its engine
-	KillAtToken     int            `json:"die_at_token"`     // kill the engine at this token
+	KillAtToken    int            `json:"die_at_token"`     // kill the engine at this token
 	StallAtToken   int            `json:"stall_at_token"`   // send nothing from this token on
 	FailOrders     int            `json:"fail_orders"`      // fail the next n orders
 	LoseOrderReply int            `json:"lose_order_reply"` // carry out the next n orders without an answer
@@ -53,11 +53,11 @@
 
 // Accelerator describes an accelerator.
 type Accelerator struct {
-	Kind       string        // name of the kind of accelerator
-	Slots      int           // maximum number of steps in a batch
-	BaseTime       time.Duration // base time of a batch
+	Kind              string        // name of the kind of accelerator
+	Slots             int           // maximum number of steps in a batch
+	BaseTime          time.Duration // base time of a batch
 	PositionLayerTime time.Duration // time added to a batch for each position and layer
-	MaxLayers  int           // number of layers that fit in memory
+	MaxLayers         int           // number of layers that fit in memory
 }
 
 // Engine is a stand-in for one engine. Create it with New.
