--- a/bench/control.go
+++ b/bench/control.go
@@ -10,18 +10,18 @@
 
 // ControlTraffic is the traffic of a fleet without requests: messages between
 // daemons and calls of the platform, for each daemon and second.
-type Control struct {
+type ControlTraffic struct {
 	Daemons  int     `json:"daemons"`
 	Engines  int     `json:"engines"`
 	SentKB   float64 `json:"sent_kb"`
-	Received float64 `json:"received_kb"`
-	Reads    float64 `json:"platform_reads"`
-	Writes   float64 `json:"platform_writes"`
-	Boxes    float64 `json:"box_lists"`
+	ReceivedKB float64 `json:"received_kb"`
+	PlatformReads    float64 `json:"platform_reads"`
+	PlatformWrites   float64 `json:"platform_writes"`
+	BoxLists    float64 `json:"box_lists"`
 }
 
 // MeasureControlTraffic measures a fleet without requests for a duration.
-func MeasureControl(ctx context.Context, spec scene.Spec, duration time.Duration) (*Control, error) {
+func MeasureControlTraffic(ctx context.Context, spec scene.Spec, duration time.Duration) (*ControlTraffic, error) {
 	s, err := scene.Start(ctx, spec)
 	if err != nil {
 		return nil, fmt.Errorf("start scene: %w", err)
@@ -35,13 +35,13 @@
 	}
 	bytesAfter, callsAfter := peerTraffic(s), s.Platform().Calls()
 	daemonSeconds := duration.Seconds() * float64(len(s.Daemons()))
-	return &Control{
+	return &ControlTraffic{
 		Daemons: len(s.Daemons()), Engines: len(spec.Engines),
 		SentKB:   float64(bytesAfter.sent-bytesBefore.sent) / daemonSeconds / 1000,
-		Received: float64(bytesAfter.received-bytesBefore.received) / daemonSeconds / 1000,
-		Reads:    float64(callsAfter.Reads+callsAfter.Watches-callsBefore.Reads-callsBefore.Watches) / daemonSeconds,
-		Writes:   float64(callsAfter.Writes-callsBefore.Writes) / daemonSeconds,
-		Boxes:    float64(callsAfter.Boxes-callsBefore.Boxes) / daemonSeconds,
+		ReceivedKB: float64(bytesAfter.received-bytesBefore.received) / daemonSeconds / 1000,
+		PlatformReads:    float64(callsAfter.Reads+callsAfter.Watches-callsBefore.Reads-callsBefore.Watches) / daemonSeconds,
+		PlatformWrites:   float64(callsAfter.Writes-callsBefore.Writes) / daemonSeconds,
+		BoxLists:    float64(callsAfter.Boxes-callsBefore.Boxes) / daemonSeconds,
 	}, nil
 }
 
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -102,7 +102,7 @@
 }
 
 // RowHeader is the heading of the rows that WriteRow writes.
-const Header = "scene           policy           load  bound/s useful/s  /bound /offer  first p50    p95    p99  between p95  refused in p99  failed; retries"
+const RowHeader = "scene           policy           load  bound/s useful/s  /bound /offer  first p50    p95    p99  between p95  refused in p99  failed; retries"
 
 // WriteRow writes the report as one row of a table.
 func (r *Report) WriteRow(w io.Writer) {
--- a/cli/spanrillcmd/bench.go
+++ b/cli/spanrillcmd/bench.go
@@ -122,7 +122,7 @@
 		return err
 	}
 	if !c.Bool(flagJSON) {
-		printf(c, "%s\n", bench.Header)
+		printf(c, "%s\n", bench.RowHeader)
 	}
 	for _, load := range loads {
 		for _, policy := range strings.Split(c.String("policy"), ",") {
--- a/cli/spanrillcmd/benchother.go
+++ b/cli/spanrillcmd/benchother.go
@@ -37,11 +37,11 @@
 		Name: "control", Usage: "measure messages and platform calls of an idle fleet, per daemon and second",
 		Flags: []cli.Flag{&cli.DurationFlag{Name: "duration", Value: 10 * time.Second, Usage: "length of each measurement"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			var all []*bench.Control
+			var all []*bench.ControlTraffic
 			for _, daemons := range []int{2, 4, 8, 16} {
 				spec := scene.Quebec()
 				spec.Daemons = daemons
-				m, err := bench.MeasureControl(ctx, spec, c.Duration("duration"))
+				m, err := bench.MeasureControlTraffic(ctx, spec, c.Duration("duration"))
 				if err != nil {
 					return err
 				}
@@ -52,7 +52,7 @@
 			}
 			printf(c, "%8s %8s %10s %14s %14s %14s %10s\n", "daemons", "engines", "sent KB/s", "received KB/s", "platform reads", "writes", "box lists")
 			for _, m := range all {
-				printf(c, "%8d %8d %10.2f %14.2f %14.2f %14.2f %10.2f\n", m.Daemons, m.Engines, m.SentKB, m.Received, m.Reads, m.Writes, m.Boxes)
+				printf(c, "%8d %8d %10.2f %14.2f %14.2f %14.2f %10.2f\n", m.Daemons, m.Engines, m.SentKB, m.ReceivedKB, m.PlatformReads, m.PlatformWrites, m.BoxLists)
 			}
 			return nil
 		},
--- a/clock/manual.go
+++ b/clock/manual.go
@@ -72,7 +72,7 @@
 }
 
 // AwaitTimers blocks until at least n calls of After are waiting to fire.
-func (m *Manual) AwaitAlarms(n int) {
+func (m *Manual) AwaitTimers(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for len(m.timers) < n {
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -244,7 +244,7 @@
 		_, refusal := admit(g, s, "a")
 		refused <- refusal
 	}()
-	c.AwaitAlarms(1)
+	c.AwaitTimers(1)
 	c.Advance(2 * spanrill.Second)
 	if refusal := <-refused; refusal == nil || refusal.Reason() != spanrill.ReasonQueueDeadline {
 		t.Fatalf("got %v", refusal)
--- a/coordination/relay/start_test.go
+++ b/coordination/relay/start_test.go
@@ -36,7 +36,7 @@
 			go func() { done <- s.await(q.relay.Log) }()
 			waits := c.held > 0
 			if waits {
-				manual.AwaitAlarms(1)
+				manual.AwaitTimers(1)
 			}
 			const step spanrill.Millis = 10
 			for now := step; now <= c.held; now += step {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -41,7 +41,7 @@
 
 // WithMaxIdleFunc sets a function that returns how many values are kept for a key. It is called
 // by each Put.
-func WithMaxIdleOf[K comparable, V any](n func(K) int) Option[K, V] {
+func WithMaxIdleFunc[K comparable, V any](n func(K) int) Option[K, V] {
 	return func(p *Pool[K, V]) { p.maxIdle = n }
 }
 
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -28,7 +28,7 @@
 func TestMaxIdleFunc(t *testing.T) {
 	var discarded []int
 	limit := 2
-	p := New(WithMaxIdleOf[string, int](func(string) int { return limit }), WithDiscard[string](func(v int) { discarded = append(discarded, v) }))
+	p := New(WithMaxIdleFunc[string, int](func(string) int { return limit }), WithDiscard[string](func(v int) { discarded = append(discarded, v) }))
 	for v := range 4 {
 		p.Put("a", v)
 	}
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -407,10 +407,10 @@
 	before := h.platform.Calls()
 	const seconds = 600
 	for range seconds {
-		c.AwaitAlarms(daemons)
+		c.AwaitTimers(daemons)
 		c.Advance(spanrill.Second)
 	}
-	c.AwaitAlarms(daemons)
+	c.AwaitTimers(daemons)
 	calls := h.platform.Calls()
 	if n := calls.Reads + calls.Watches - before.Reads - before.Watches; n > seconds*daemons/4 {
 		t.Errorf("%d calls in %d seconds of outage", n, seconds)
--- a/transport/callerhttp/acceptor_test.go
+++ b/transport/callerhttp/acceptor_test.go
@@ -83,7 +83,7 @@
 	t.Helper()
 	waiting := make(chan struct{})
 	go func() {
-		now.AwaitAlarms(1)
+		now.AwaitTimers(1)
 		close(waiting)
 	}()
 	select {
@@ -103,7 +103,7 @@
 		ended <- err
 	}()
 	ln.results <- syscall.EMFILE
-	now.AwaitAlarms(1)
+	now.AwaitTimers(1)
 	_ = a.Close()
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Fatalf("Accept returned %v, want net.ErrClosed", err)
--- a/transport/httpcall/client.go
+++ b/transport/httpcall/client.go
@@ -120,7 +120,7 @@
 		pool.WithDiscard[string](func(cn *conn) { _ = cn.Close() }), pool.WithMaxTotal[string, *conn](c.maxTotal),
 	}
 	if c.maxIdle != nil {
-		poolOpts = append(poolOpts, pool.WithMaxIdleOf[string, *conn](c.maxIdle))
+		poolOpts = append(poolOpts, pool.WithMaxIdleFunc[string, *conn](c.maxIdle))
 	}
 	c.idle = pool.New(poolOpts...)
 	c.dialer.Timeout = c.dialTimeout.Duration()
