--- a/bench/control.go
+++ b/bench/control.go
@@ -11,13 +11,13 @@
 // ControlTraffic is the traffic of a fleet without requests: messages between
 // daemons and calls of the platform, for each daemon and second.
 type ControlTraffic struct {
-	Daemons  int     `json:"daemons"`
-	Engines  int     `json:"engines"`
-	SentKB   float64 `json:"sent_kb"`
-	ReceivedKB float64 `json:"received_kb"`
-	PlatformReads    float64 `json:"platform_reads"`
-	PlatformWrites   float64 `json:"platform_writes"`
-	BoxLists    float64 `json:"box_lists"`
+	Daemons        int     `json:"daemons"`
+	Engines        int     `json:"engines"`
+	SentKB         float64 `json:"sent_kb"`
+	ReceivedKB     float64 `json:"received_kb"`
+	PlatformReads  float64 `json:"platform_reads"`
+	PlatformWrites float64 `json:"platform_writes"`
+	BoxLists       float64 `json:"box_lists"`
 }
 
 // MeasureControlTraffic measures a fleet without requests for a duration.
@@ -37,11 +37,11 @@
 	daemonSeconds := duration.Seconds() * float64(len(s.Daemons()))
 	return &ControlTraffic{
 		Daemons: len(s.Daemons()), Engines: len(spec.Engines),
-		SentKB:   float64(bytesAfter.sent-bytesBefore.sent) / daemonSeconds / 1000,
-		ReceivedKB: float64(bytesAfter.received-bytesBefore.received) / daemonSeconds / 1000,
-		PlatformReads:    float64(callsAfter.Reads+callsAfter.Watches-callsBefore.Reads-callsBefore.Watches) / daemonSeconds,
-		PlatformWrites:   float64(callsAfter.Writes-callsBefore.Writes) / daemonSeconds,
-		BoxLists:    float64(callsAfter.Boxes-callsBefore.Boxes) / daemonSeconds,
+		SentKB:         float64(bytesAfter.sent-bytesBefore.sent) / daemonSeconds / 1000,
+		ReceivedKB:     float64(bytesAfter.received-bytesBefore.received) / daemonSeconds / 1000,
+		PlatformReads:  float64(callsAfter.Reads+callsAfter.Watches-callsBefore.Reads-callsBefore.Watches) / daemonSeconds,
+		PlatformWrites: float64(callsAfter.Writes-callsBefore.Writes) / daemonSeconds,
+		BoxLists:       float64(callsAfter.Boxes-callsBefore.Boxes) / daemonSeconds,
 	}, nil
 }
 
