--- a/refusal.go
+++ b/refusal.go
@@ -45,10 +45,10 @@
 	ReasonConfigStale      // the configuration was not confirmed recently enough
 	ReasonUpstreamsStale   // the entries of upstreams are outdated, other daemons have newer ones
 	ReasonChainsFull       // all chains are at capacity
-	ReasonSuspected        // upstreams terminated while running the request, which is withheld for a while
+	ReasonSuspected        // upstreams crashed while running the request, which is withheld for a while
 	ReasonUpstreamsRest    // every upstream that could take it has asked for rest
 	ReasonUpstreamsLimited // every upstream that could take it has exhausted its rate limit
-	ReasonCrashesUpstreams // too many upstreams terminated while running the request
+	ReasonCrashesUpstreams // too many upstreams crashed while running the request
 	ReasonInternal         // an internal error of this daemon
 	reasonCount
 )
--- a/route.go
+++ b/route.go
@@ -9,8 +9,8 @@
 	RepeatNever Repeat = iota
 	// RepeatSafe means that a request may run any number of times.
 	RepeatSafe
-	// RepeatResume means that a stream may run again from after the last event that
-	// its caller has received.
+	// RepeatResume means that a stream may be requested again, to continue after the last
+	// event that its caller has received.
 	RepeatResume
 )
 
@@ -79,8 +79,8 @@
 	ZoneLinkMbps          float64 // bandwidth between two availability zones, shared by all requests
 	LoadSeconds           float64 // to load all layers
 	ConcurrentLoads       int     // maximum number of concurrent loads at full speed
-	MeanPromptTokens      float64 // mean tokens
-	MeanAnswerTokens      float64 // mean tokens
+	MeanPromptTokens      float64 // of a request
+	MeanAnswerTokens      float64 // of a request
 	TokensPerEvent        int     // in one event of a stream, 0 if unknown
 	Kinds                 map[string]AcceleratorKind
 	ZoneDelayMillis       map[ZonePair]float64 // one way, milliseconds
--- a/upstream.go
+++ b/upstream.go
@@ -101,11 +101,11 @@
 
 // RunRequest asks a chain to generate tokens.
 type RunRequest struct {
-	ID        string     `json:"id"`       // differs for each attempt
-	Path      string     `json:"path"`     // the caller's path, which determines the format of Body
-	Body      []byte     `json:"body"`     // the caller's body, unmodified
-	Model     string     `json:"model"`    //
-	Version   string     `json:"version"`  //
+	ID        string     `json:"id"`   // differs for each attempt
+	Path      string     `json:"path"` // the caller's path, which determines the format of Body
+	Body      []byte     `json:"body"` // the caller's body, unmodified
+	Model     string     `json:"model"`
+	Version   string     `json:"version"`
 	LayerNum  int        `json:"layers"`   // layers of the whole model
 	Seed      uint64     `json:"seed"`     // the same for each attempt
 	Priority  int        `json:"priority"` // 0 is lowest
@@ -228,9 +228,9 @@
 // host is reachable, and no process listens at the address.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// IsLocalResourceError reports whether an error means that this machine could not open a connection because
-// it lacks file descriptors, ports, buffers or memory. Such an error says nothing about the other
-// end.
+// IsLocalResourceError reports whether an error means that this machine could not open a connection
+// because it lacks file descriptors, ports, buffers or memory. Such an error says nothing about the
+// other end.
 func IsLocalResourceError(err error) bool {
 	for _, errno := range [...]error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, errno) {
