--- a/state/fleet/available.go
+++ b/state/fleet/available.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// RecordStoreAvailable records that the store answered other daemons from one time to the other
-// without a break. For entries that were removed in this period, the time for which they are held
+// RecordStoreAvailable records that the store answered other daemons without a break between two
+// times. For entries that were removed in this period, the time for which they are held
 // counts from when they were last confirmed.
 func (t *Table) RecordStoreAvailable(from, to spanrill.Millis) {
 	t.mu.Lock()
--- a/state/fleet/conflict.go
+++ b/state/fleet/conflict.go
@@ -91,7 +91,7 @@
 	if u == nil || u.Name() == entry.ID || u.Dead() {
 		return nil
 	}
-	if _, lapsed := t.held[u.Name()]; lapsed {
+	if _, isHeld := t.held[u.Name()]; isHeld {
 		return nil
 	}
 	return u
--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -163,7 +163,7 @@
 		return
 	}
 	if isRestart(old, &entry) {
-		t.restart(u, entry, "its entry tells another start")
+		t.restart(u, entry, "its entry has another start time")
 		return
 	}
 	moved := entry.Addr != old.Addr || entry.Service != old.Service
--- a/state/fleet/incarnation.go
+++ b/state/fleet/incarnation.go
@@ -27,8 +27,9 @@
 // daemon.
 const restartSeparator = "~"
 
-// isRestart reports whether a newer entry belongs to another incarnation than an older one. Beats
-// may rise without a new revision, so a lower value counts only with a later revision.
+// isRestart reports whether a newer entry belongs to another incarnation than an older one. The
+// write count may rise without a new revision, so a lower count is a restart only with a later
+// revision.
 func isRestart(old, newer *spanrill.EngineEntry) bool {
 	if fromOlderCopy(old, newer) {
 		return false
@@ -76,18 +77,18 @@
 }
 
 // addEnded records the start time of an ended incarnation, unless it is unknown (0).
-func (p *pastStarts) addEnded(born int64) {
-	if born > 0 {
-		p.endedStarts = append(p.endedStarts, born)
+func (p *pastStarts) addEnded(startedAt int64) {
+	if startedAt > 0 {
+		p.endedStarts = append(p.endedStarts, startedAt)
 		p.endedStarts = p.endedStarts[max(0, len(p.endedStarts)-maxEndedStarts):]
 	}
 }
 
 // hasEnded reports whether an entry with this name and start time belongs to an ended incarnation.
 // The caller holds the lock.
-func (t *Table) hasEnded(name string, born int64) bool {
+func (t *Table) hasEnded(name string, startedAt int64) bool {
 	p := t.pastStarts[name]
-	return born > 0 && p != nil && slices.Contains(p.endedStarts, born)
+	return startedAt > 0 && p != nil && slices.Contains(p.endedStarts, startedAt)
 }
 
 // endPrevious marks removed incarnations of an entry's name as ended if the entry belongs to
@@ -172,19 +173,19 @@
 
 // restartReason returns why a report belongs to another incarnation, or "" if it doesn't.
 func (u *Upstream) restartReason(r *spanrill.EngineReport, sent, now spanrill.Millis) string {
-	if born := u.Entry().StartedAt; born > 0 && r.StartedAt > 0 {
-		if born != r.StartedAt {
-			return "its report tells another start"
+	if startedAt := u.Entry().StartedAt; startedAt > 0 && r.StartedAt > 0 {
+		if startedAt != r.StartedAt {
+			return "its report has another start time"
 		}
 		return ""
 	}
 	u.orders.mu.Lock()
 	defer u.orders.mu.Unlock()
-	if r.Sequence < u.orders.count && sent > u.orders.heardAt {
-		return "its report tells fewer orders"
+	if r.Sequence < u.orders.count && sent > u.orders.receivedAt {
+		return "its report counts fewer orders"
 	}
 	if r.Sequence >= u.orders.count {
-		u.orders.count, u.orders.heardAt = r.Sequence, now
+		u.orders.count, u.orders.receivedAt = r.Sequence, now
 	}
 	return ""
 }
--- a/state/fleet/incarnation_test.go
+++ b/state/fleet/incarnation_test.go
@@ -9,9 +9,9 @@
 )
 
 // startItem returns an entry with a start time, a write count and a number of layers.
-func startItem(t *testing.T, id string, revision uint64, born int64, beats uint64, layers int) spanrill.Item {
+func startItem(t *testing.T, id string, revision uint64, startedAt int64, writeCount uint64, layers int) spanrill.Item {
 	t.Helper()
-	value, err := json.Marshal(spanrill.EngineEntry{Service: "s", Addr: "1:1", StartedAt: born, WriteCount: beats, Layers: spanrill.LayerRange{To: layers}})
+	value, err := json.Marshal(spanrill.EngineEntry{Service: "s", Addr: "1:1", StartedAt: startedAt, WriteCount: writeCount, Layers: spanrill.LayerRange{To: layers}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,12 +22,12 @@
 
 // restartTable returns a table whose upstream "a" has a target, reservations, refusals, failures and
 // other state that a restart must reset.
-func restartTable(t *testing.T, born int64, beats uint64) (*Table, *clock.Manual, *Upstream) {
+func restartTable(t *testing.T, startedAt int64, writeCount uint64) (*Table, *clock.Manual, *Upstream) {
 	t.Helper()
 	c := clock.NewManual()
 	c.Advance(100 * spanrill.Second)
 	table := New(c, decode)
-	table.Listed([]spanrill.Item{startItem(t, "a", 10, born, beats, 8)}, 10, c.Now())
+	table.Listed([]spanrill.Item{startItem(t, "a", 10, startedAt, writeCount, 8)}, 10, c.Now())
 	u := table.View().ByAddr("1:1")
 	u.SetTarget(&Target{Layers: spanrill.LayerRange{To: 8}, Done: true})
 	u.Reserve(900)
@@ -64,18 +64,18 @@
 // observation is a single piece of news about the upstream: an entry in a change, in a list or from
 // a peer, the removal of its entry, an outage of the store, or a report.
 type observation struct {
-	source   string
-	born     int64
-	count    uint64 // number of writes, or of orders in a report
-	layers   int
-	revision uint64 // of the entry, if not the next one after 10
-	at       spanrill.Millis
+	source    string
+	startedAt int64
+	count     uint64 // number of writes, or of orders in a report
+	layers    int
+	revision  uint64 // of the entry, if not the next one after 10
+	at        spanrill.Millis
 }
 
 // apply passes the observation to a table. Its entry has the revision 10+next unless it sets one.
 func (o observation) apply(t *testing.T, table *Table, next uint64, now spanrill.Millis) {
 	t.Helper()
-	entry := startItem(t, "a", 10+next, o.born, o.count, o.layers)
+	entry := startItem(t, "a", 10+next, o.startedAt, o.count, o.layers)
 	if o.revision > 0 {
 		entry.Revision = o.revision
 	}
@@ -93,7 +93,7 @@
 	case "outage":
 		table.RecordStoreFailure()
 	case "report":
-		table.HandleReport("1:1", &spanrill.EngineReport{StartedAt: o.born, Sequence: o.count}, now+o.at)
+		table.HandleReport("1:1", &spanrill.EngineReport{StartedAt: o.startedAt, Sequence: o.count}, now+o.at)
 	}
 }
 
@@ -102,32 +102,32 @@
 func TestRestartDetection(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		born         int64 // of the first incarnation, 0 without a start time
+		startedAt    int64 // of the first incarnation, 0 without a start time
 		observations []observation
 		wantLayers   int // number of layers held at the end
 		wantRestart  bool
 	}{
-		{"between two heartbeats", 1000, []observation{{source: "change", born: 2000, count: 1}}, 0, true},
-		{"and it already holds layers again", 1000, []observation{{source: "change", born: 2000, count: 9, layers: 4}}, 4, true},
-		{"with its clock set back", 1000, []observation{{source: "change", born: 500, count: 1}}, 0, true},
-		{"in a list", 1000, []observation{{source: "list", born: 2000, count: 1}}, 0, true},
-		{"from a peer", 1000, []observation{{source: "peer", born: 2000, count: 1}}, 0, true},
-		{"while its entry is removed", 1000, []observation{{source: "gone"}, {source: "change", born: 2000, count: 1}}, 0, true},
-		{"while its entry is held", 1000, []observation{{source: "outage"}, {source: "gone"}, {source: "change", born: 2000, count: 1}}, 0, true},
-		{"twice in a row", 1000, []observation{{source: "change", born: 2000, count: 1, layers: 8}, {source: "change", born: 3000, count: 1}}, 0, true},
-		{"by a report, before its entry", 1000, []observation{{source: "report", born: 2000}}, 0, true},
-		{"by a report, followed by a late entry of the previous incarnation", 1000, []observation{{source: "report", born: 2000}, {source: "change", born: 1000, count: 6, layers: 8}}, 0, true},
-		{"followed by a late entry and a late report of the previous incarnation", 1000, []observation{{source: "change", born: 2000, count: 1}, {source: "change", born: 1000, count: 6, layers: 8}, {source: "report", born: 1000, count: 7}}, 0, true},
-		{"while its entry is removed, followed by a late entry of the previous incarnation", 1000, []observation{{source: "gone"}, {source: "change", born: 2000, count: 1}, {source: "change", born: 1000, count: 6, layers: 8}}, 0, true},
+		{"between two heartbeats", 1000, []observation{{source: "change", startedAt: 2000, count: 1}}, 0, true},
+		{"and it already holds layers again", 1000, []observation{{source: "change", startedAt: 2000, count: 9, layers: 4}}, 4, true},
+		{"with its clock set back", 1000, []observation{{source: "change", startedAt: 500, count: 1}}, 0, true},
+		{"in a list", 1000, []observation{{source: "list", startedAt: 2000, count: 1}}, 0, true},
+		{"from a peer", 1000, []observation{{source: "peer", startedAt: 2000, count: 1}}, 0, true},
+		{"while its entry is removed", 1000, []observation{{source: "gone"}, {source: "change", startedAt: 2000, count: 1}}, 0, true},
+		{"while its entry is held", 1000, []observation{{source: "outage"}, {source: "gone"}, {source: "change", startedAt: 2000, count: 1}}, 0, true},
+		{"twice in a row", 1000, []observation{{source: "change", startedAt: 2000, count: 1, layers: 8}, {source: "change", startedAt: 3000, count: 1}}, 0, true},
+		{"by a report, before its entry", 1000, []observation{{source: "report", startedAt: 2000}}, 0, true},
+		{"by a report, followed by a late entry of the previous incarnation", 1000, []observation{{source: "report", startedAt: 2000}, {source: "change", startedAt: 1000, count: 6, layers: 8}}, 0, true},
+		{"followed by a late entry and a late report of the previous incarnation", 1000, []observation{{source: "change", startedAt: 2000, count: 1}, {source: "change", startedAt: 1000, count: 6, layers: 8}, {source: "report", startedAt: 1000, count: 7}}, 0, true},
+		{"while its entry is removed, followed by a late entry of the previous incarnation", 1000, []observation{{source: "gone"}, {source: "change", startedAt: 2000, count: 1}, {source: "change", startedAt: 1000, count: 6, layers: 8}}, 0, true},
 		{"no start time, lower write count", 0, []observation{{source: "change", count: 2}}, 0, true},
 		{"no start time, lower order count", 0, []observation{{source: "report", count: 4}, {source: "report", at: 1}}, 0, true},
 		{"no restart: an older report arrives after a newer one", 0, []observation{{source: "report", count: 4}, {source: "report", count: 3, at: -5}}, 8, false},
 		{"no restart: a peer sends a lower write count of the same revision", 0, []observation{{source: "peer", count: 3, layers: 8, revision: 10}}, 8, false},
-		{"no restart: the same start time", 1000, []observation{{source: "change", born: 1000, count: 6, layers: 8}, {source: "report", born: 1000, at: 1}}, 8, false},
-		{"no restart: the entry is written again after its removal", 1000, []observation{{source: "outage"}, {source: "gone"}, {source: "change", born: 1000, count: 6, layers: 8}}, 8, false},
+		{"no restart: the same start time", 1000, []observation{{source: "change", startedAt: 1000, count: 6, layers: 8}, {source: "report", startedAt: 1000, at: 1}}, 8, false},
+		{"no restart: the entry is written again after its removal", 1000, []observation{{source: "outage"}, {source: "gone"}, {source: "change", startedAt: 1000, count: 6, layers: 8}}, 8, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			table, manual, before := restartTable(t, c.born, 5)
+			table, manual, before := restartTable(t, c.startedAt, 5)
 			var restarted []string
 			table.onRestart = func(addr string) { restarted = append(restarted, addr) }
 			for i, h := range c.observations {
--- a/state/fleet/notice_test.go
+++ b/state/fleet/notice_test.go
@@ -117,8 +117,8 @@
 // Guards against excluding a name forever if its upstream announced that it leaves and restarts long
 // after its entry was removed.
 func TestNoticesAfterRestartOfRemovedUpstream(t *testing.T) {
-	entry := func(born int64, beats, revision uint64) spanrill.EngineEntry {
-		return spanrill.EngineEntry{ID: "a", Service: "s", Addr: "1:1", StartedAt: born, WriteCount: beats, Revision: revision}
+	entry := func(startedAt int64, writeCount, revision uint64) spanrill.EngineEntry {
+		return spanrill.EngineEntry{ID: "a", Service: "s", Addr: "1:1", StartedAt: startedAt, WriteCount: writeCount, Revision: revision}
 	}
 	for _, c := range []struct {
 		name        string
--- a/state/fleet/removals.go
+++ b/state/fleet/removals.go
@@ -14,30 +14,30 @@
 func newRemovals() *removals { return &removals{revisions: map[string]uint64{}} }
 
 // add records that an entry was removed at or before a revision.
-func (e *removals) add(name string, at uint64) {
-	e.revisions[name] = at
-	if len(e.revisions) > maxKeptRemovals {
-		e.reset(at)
+func (r *removals) add(name string, at uint64) {
+	r.revisions[name] = at
+	if len(r.revisions) > maxKeptRemovals {
+		r.reset(at)
 	}
 }
 
 // cancel drops the removal of an entry that exists again.
-func (e *removals) cancel(name string) { delete(e.revisions, name) }
+func (r *removals) cancel(name string) { delete(r.revisions, name) }
 
 // reset drops all records because removals up to a revision are not known completely.
-func (e *removals) reset(at uint64) {
-	clear(e.revisions)
-	e.completeSince = at
+func (r *removals) reset(at uint64) {
+	clear(r.revisions)
+	r.completeSince = at
 }
 
 // since returns the names of the entries that were removed after a revision, and whether they are
 // complete.
-func (e *removals) since(at uint64) ([]string, bool) {
-	if at < e.completeSince {
+func (r *removals) since(at uint64) ([]string, bool) {
+	if at < r.completeSince {
 		return nil, false
 	}
 	var names []string
-	for name, removedAt := range e.revisions {
+	for name, removedAt := range r.revisions {
 		if removedAt > at {
 			names = append(names, name)
 		}
--- a/state/fleet/removals_test.go
+++ b/state/fleet/removals_test.go
@@ -65,7 +65,7 @@
 	return spanrill.EngineEntry{ID: item.Name, Service: "s", Addr: item.Name + ":1", Revision: item.Revision}, nil
 }
 
-// normalized returns an update in a form that can be compared: sorted and without Change.
+// normalized returns an update in a form that can be compared: sorted and without LastChange.
 func normalized(k Update) Update {
 	slices.SortFunc(k.Entries, func(a, b spanrill.EngineEntry) int { return strings.Compare(a.ID, b.ID) })
 	slices.Sort(k.Unreadable)
--- a/state/fleet/removed.go
+++ b/state/fleet/removed.go
@@ -83,8 +83,8 @@
 func (t *Table) remove(id, reason string) {
 	u := t.byName[id]
 	u.removed.Store(true)
-	if born := u.Entry().StartedAt; born > 0 {
-		t.pastStartsOf(id).removedStart = born
+	if startedAt := u.Entry().StartedAt; startedAt > 0 {
+		t.pastStartsOf(id).removedStart = startedAt
 	}
 	t.recentlyRemoved[u.ID()] = removedUpstream{upstream: u, removedAt: t.clock.Now()}
 	delete(t.byName, id)
--- a/state/fleet/restored_test.go
+++ b/state/fleet/restored_test.go
@@ -9,17 +9,17 @@
 
 // listedEntry is an entry of a list, with the upstream's write count and start time.
 type listedEntry struct {
-	id, addr string
-	counter  uint64
-	beats    uint64
-	born     int64
-	leaving  bool
+	id, addr   string
+	counter    uint64
+	writeCount uint64
+	startedAt  int64
+	leaving    bool
 }
 
 func listItems(t *testing.T, era uint64, entries ...listedEntry) (items []spanrill.Item) {
 	t.Helper()
 	for _, e := range entries {
-		value, err := json.Marshal(spanrill.EngineEntry{Service: "s", Addr: e.addr, Leaving: e.leaving, WriteCount: e.beats, StartedAt: e.born})
+		value, err := json.Marshal(spanrill.EngineEntry{Service: "s", Addr: e.addr, Leaving: e.leaving, WriteCount: e.writeCount, StartedAt: e.startedAt})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,8 +72,8 @@
 // Guards against the use of a removed entry that an older copy of the store still lists, and against
 // an upstream that stays in quarantine.
 func TestRemovedEntryAfterRestore(t *testing.T) {
-	entry := func(era, counter, beats uint64) []spanrill.Item {
-		return listItems(t, era, listedEntry{"a", "1:1", counter, beats, 0, false})
+	entry := func(era, counter, writeCount uint64) []spanrill.Item {
+		return listItems(t, era, listedEntry{"a", "1:1", counter, writeCount, 0, false})
 	}
 	for _, c := range []struct {
 		name         string
--- a/state/fleet/update.go
+++ b/state/fleet/update.go
@@ -13,15 +13,15 @@
 // Listed replaces all entries by a list of the whole collection as it stood at a revision. The read
 // was sent at the time given.
 func (t *Table) Listed(items []spanrill.Item, at uint64, sent spanrill.Millis) {
-	k := Update{Entries: make([]spanrill.EngineEntry, 0, len(items)), Revision: at, LastChange: at}
+	update := Update{Entries: make([]spanrill.EngineEntry, 0, len(items)), Revision: at, LastChange: at}
 	for _, item := range items {
 		if entry, ok := t.decodeItem(item); ok {
-			k.Entries = append(k.Entries, entry)
+			update.Entries = append(update.Entries, entry)
 		} else {
-			k.Unreadable = append(k.Unreadable, item.Name)
+			update.Unreadable = append(update.Unreadable, item.Name)
 		}
 	}
-	if known := t.Revision(); !t.Merge(k, sent) {
+	if known := t.Revision(); !t.Merge(update, sent) {
 		events.ListOutdated.Log(t.log, logrus.Fields{"collection": "upstreams", "revision": at, "known": known})
 	}
 }
@@ -43,25 +43,25 @@
 // Merge applies an update from the store or from a peer unless it is older than the table or starts
 // at a revision that the table has not reached, and reports whether it was applied. The read
 // that confirmed the entries was sent at the time given.
-func (t *Table) Merge(k Update, sent spanrill.Millis) bool {
+func (t *Table) Merge(update Update, sent spanrill.Millis) bool {
 	defer t.notifyRestarts()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k.Revision < t.revision || k.Since > t.revision {
+	if update.Revision < t.revision || update.Since > t.revision {
 		return false
 	}
-	if k.Since > 0 {
-		t.mergeChanges(k, sent)
+	if update.Since > 0 {
+		t.mergeChanges(update, sent)
 		return true
 	}
-	t.noteRestore(k.Revision)
-	present, lastConfirmed := make(map[string]bool, len(k.Entries)), t.confirmedAt
+	t.noteRestore(update.Revision)
+	present, lastConfirmed := make(map[string]bool, len(update.Entries)), t.confirmedAt
 	t.confirm(sent)
-	for _, entry := range k.Entries {
+	for _, entry := range update.Entries {
 		present[entry.ID] = true
 		t.applyEntry(entry)
 	}
-	for _, id := range k.Unreadable {
+	for _, id := range update.Unreadable {
 		t.setUnreadable(id)
 		present[id] = true
 	}
@@ -70,14 +70,14 @@
 			t.entryGone(id, lastConfirmed, sent)
 		}
 	}
-	if k.Revision > t.revision {
-		t.removals.reset(k.Revision) // removals in between may be missing
+	if update.Revision > t.revision {
+		t.removals.reset(update.Revision) // removals in between may be missing
 	}
 	maps.DeleteFunc(t.restored.quarantined, func(id string, _ spanrill.EngineEntry) bool { return !present[id] })
 	maps.DeleteFunc(t.conflicts, func(id string, _ *conflictingEntry) bool { return !present[id] })
 	maps.DeleteFunc(t.unreadableNames, func(id string, _ bool) bool { return !present[id] })
 	t.admitResolved()
-	t.revision, t.lastChange = k.Revision, max(t.lastChange, k.LastChange)
+	t.revision, t.lastChange = update.Revision, max(t.lastChange, update.LastChange)
 	t.publishView()
 	t.readyOnce.Do(func() { close(t.ready) })
 	return true
@@ -85,21 +85,21 @@
 
 // mergeChanges applies the changes since a revision that the table has reached. The caller holds
 // the lock.
-func (t *Table) mergeChanges(k Update, sent spanrill.Millis) {
+func (t *Table) mergeChanges(update Update, sent spanrill.Millis) {
 	lastConfirmed := t.confirmedAt
 	t.confirm(sent)
-	for _, entry := range k.Entries {
+	for _, entry := range update.Entries {
 		t.applyEntry(entry)
 	}
-	for _, id := range k.Unreadable {
+	for _, id := range update.Unreadable {
 		t.setUnreadable(id)
 	}
-	for _, id := range k.Removed {
+	for _, id := range update.Removed {
 		t.entryGone(id, lastConfirmed, sent)
-		t.removals.add(id, k.Revision)
+		t.removals.add(id, update.Revision)
 	}
 	t.admitResolved()
-	t.revision, t.lastChange = k.Revision, max(t.lastChange, k.LastChange)
+	t.revision, t.lastChange = update.Revision, max(t.lastChange, update.LastChange)
 	t.publishView()
 }
 
@@ -108,14 +108,14 @@
 func (t *Table) UpdateSince(after uint64) Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.fullUpdate()
+	update := t.fullUpdate()
 	removed, ok := t.removals.since(after)
 	if !ok || after == 0 || after > t.revision {
-		return k
+		return update
 	}
-	k.Since, k.Removed = after, removed
-	k.Entries = slices.DeleteFunc(k.Entries, func(e spanrill.EngineEntry) bool { return e.Revision <= after })
-	return k
+	update.Since, update.Removed = after, removed
+	update.Entries = slices.DeleteFunc(update.Entries, func(e spanrill.EngineEntry) bool { return e.Revision <= after })
+	return update
 }
 
 // FullUpdate returns all entries for a peer. Held entries are left out: the store no longer has
@@ -128,16 +128,16 @@
 
 // fullUpdate is FullUpdate for a caller that holds the lock.
 func (t *Table) fullUpdate() Update {
-	k := Update{Revision: t.revision, LastChange: t.lastChange, Unreadable: slices.Collect(maps.Keys(t.unreadableNames))}
+	update := Update{Revision: t.revision, LastChange: t.lastChange, Unreadable: slices.Collect(maps.Keys(t.unreadableNames))}
 	for _, c := range t.conflicts {
-		k.Entries = append(k.Entries, c.entry)
+		update.Entries = append(update.Entries, c.entry)
 	}
 	for id, u := range t.byName {
 		if _, held := t.held[id]; !held {
-			k.Entries = append(k.Entries, *u.Entry())
+			update.Entries = append(update.Entries, *u.Entry())
 		}
 	}
-	return k
+	return update
 }
 
 // Revision returns the revision of the store up to which all entries are known.
--- a/state/fleet/upstream.go
+++ b/state/fleet/upstream.go
@@ -45,9 +45,9 @@
 
 // orderCount is the number of orders that an upstream has reported as applied.
 type orderCount struct {
-	mu      sync.Mutex
-	count   uint64
-	heardAt spanrill.Millis // when the report arrived
+	mu         sync.Mutex
+	count      uint64
+	receivedAt spanrill.Millis // when the report arrived
 }
 
 func (t *Table) newUpstream(e spanrill.EngineEntry, restarts int) *Upstream {
--- a/state/load/eject.go
+++ b/state/load/eject.go
@@ -22,7 +22,7 @@
 	if spanrill.Millis(until) > now {
 		return false
 	}
-	n := u.failures.Add(1)
+	n := u.ejections.Add(1)
 	d := min(firstEjection<<min(n-1, 8), maxEjection)
 	if !u.ejectedUntil.CompareAndSwap(until, int64(now+d)) {
 		return false
@@ -32,13 +32,13 @@
 }
 
 // RecordSuccess records that a request was completed on the upstream. After the ramp time it resets
-// the number of failures.
+// the number of consecutive ejections.
 func (u *Upstream) RecordSuccess(now spanrill.Millis) {
-	if u.failures.Load() == 0 {
+	if u.ejections.Load() == 0 {
 		return
 	}
 	if now > spanrill.Millis(u.ejectionEnd.Load())+rampTime {
-		u.failures.Store(0)
+		u.ejections.Store(0)
 	}
 }
 
--- a/state/load/upstream.go
+++ b/state/load/upstream.go
@@ -22,7 +22,7 @@
 	leaving      atomic.Bool // according to its report or a refusal
 
 	ejectedUntil atomic.Int64  // spanrill.Millis
-	failures     atomic.Int64  // consecutive ejections
+	ejections    atomic.Int64  // consecutive ejections
 	ejectionEnd  atomic.Int64  // spanrill.Millis; end of the last ejection, or 0
 	slowdown     atomic.Uint64 // float64 bits: smoothed ratio of observed to expected step time
 	slowdownAt   atomic.Int64  // spanrill.Millis of the last observation
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -53,8 +53,7 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// ImplausibleValues describes the values of the configuration that cannot be true and were treated
-// as missing.
+// ImplausibleValues describes the implausible values of the configuration, which were ignored.
 func (t *Table) ImplausibleValues() []string { return t.config.IgnoredValues }
 
 // Limits returns the limits on what callers may send.
@@ -63,8 +62,8 @@
 // Services returns all services.
 func (t *Table) Services() []spanrill.ServiceInfo { return t.config.Services }
 
-// HasAccounts reports whether there are client accounts, so that routes that are not open need a
-// key.
+// HasAccounts reports whether there are client accounts, so that requests need a key except on
+// routes with AuthExempt.
 func (t *Table) HasAccounts() bool { return len(t.config.Accounts) > 0 }
 
 // Find returns the route of the host with the longest prefix of the path. A port in the host is
