--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// lossyNetwork returns a network on which one of n questions is answered.
+// lossyNetwork returns a network on which one of n requests is answered.
 func lossyNetwork(n int) func(int, int, spanrill.Millis) bool {
 	return func(asker, asked int, now spanrill.Millis) bool {
 		return (asker*31+asked*17+int(now/exchange.RoundInterval)*7)%n != 0
@@ -51,7 +51,7 @@
 	silent, refused, paused, lossy, isolated, noLargeAnswers, hangs := withoutFaults("the store does not answer a third"),
 		withoutFaults("the store refuses all but one, and peers answer late"),
 		withoutFaults("the store does not answer two thirds, and the first in rank are paused"),
-		withoutFaults("the store answers only three, and half of the questions are lost"),
+		withoutFaults("the store answers only three, and half of the requests are lost"),
 		withoutFaults("the store does not answer one, and no peer answers it for 2.5 s"),
 		withoutFaults("the store does not answer one, and only small answers of peers reach it"),
 		withoutFaults("one store call of one gets no answer, and no peer answers it")
@@ -88,9 +88,9 @@
 		sc.name, sc.drain = sc.name+", with the shortest drain bound", 2*spanrill.Second
 	}
 	scenarios := []scenario{withoutFaults("no faults"), silent, refused, paused, lossy, isolated, noLargeAnswers, hangs, silentShortBound, pausedShortBound}
-	// Which peers a daemon asks is random here: with other seeds, entries by which requests
-	// were sent got too old in 21 of 40 fleets, 3,212 ms at most, when a daemon without news
-	// for long asked no more peers than others.
+	// The peers that a daemon asks are random here. When a daemon that had no news for long asked
+	// no more peers than others, requests were sent with entries that were too old in 21 of 40
+	// fleets with other seeds, 3,212 ms at most.
 	for seed := uint64(1); seed <= lossySeeds; seed++ {
 		lossy.seed = seed
 		scenarios = append(scenarios, lossy)
@@ -114,15 +114,15 @@
 
 // Guards against requests to an engine that arrive later than drain_ms after the store has
 // acknowledged that the engine leaves, under each fault. Excluded daemons, which are paused, are
-// not judged.
+// not checked.
 func TestNoRequestAfterDrain(t *testing.T) {
 	for _, sc := range drainScenarios() {
 		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
 			f := newDrainFleet(simDaemons, simZones, sc)
 			last, rank := f.run(t)
-			t.Logf("last request %d ms after the engine left, with entries of at most %d ms; oldest entries %d ms; %d store calls, %d questions",
-				last, f.maxSendAge, f.maxProofAge(), f.calls, f.questions.Load())
+			t.Logf("last request %d ms after the engine left, with entries of at most %d ms; oldest entries %d ms; %d store calls, %d requests to peers",
+				last, f.maxSendAge, f.maxEntryAge(), f.calls, f.requests.Load())
 			if last+dialTimeout > sc.drain {
 				t.Fatalf("rank %d sends a request %d ms after the store has acknowledged that the engine leaves", rank, last)
 			}
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -36,7 +36,7 @@
 	end        spanrill.Millis
 	calls      int             // of the store
 	maxSendAge spanrill.Millis // maximum age of entries with which a daemon that is not excluded sends after the engines left
-	questions  atomic.Int64
+	requests   atomic.Int64
 }
 
 // scenario describes the faults of a simulation. Its functions identify daemons by rank.
@@ -45,7 +45,7 @@
 	name        string
 	excluded    func(rank int) bool                                          // the daemon may exceed the bound
 	storeCall   func(rank int, now spanrill.Millis) (spanrill.Millis, error) // duration of a store call, and its error
-	unanswered  func(asker, asked int, now spanrill.Millis) bool             // a question to a peer gets no answer
+	unanswered  func(asker, asked int, now spanrill.Millis) bool             // a request to a peer gets no answer
 	answerDelay func(rank int) spanrill.Millis                               // duration of answers of peers
 	paused      func(rank int, now spanrill.Millis) bool                     // the daemon does nothing
 	dropsLarge  func(rank int, now spanrill.Millis) bool                     // answers with entries do not reach the daemon
@@ -70,7 +70,7 @@
 var errSim = errors.New("no answer")
 
 // drainDaemon is one daemon. While it processes an answer its clock is behind the fleet's by the
-// time that the answer took, because ages count from the time of the question.
+// time that the answer took, because ages count from the time of the request.
 type drainDaemon struct {
 	*Gateway
 	fleet       *drainFleet
@@ -85,7 +85,7 @@
 	nextLook    spanrill.Millis // next check whether entries have to be read
 	nextRound   spanrill.Millis // next exchange round
 	nextTend    spanrill.Millis
-	maxProofAge spanrill.Millis // maximum age of the entries
+	maxEntryAge spanrill.Millis // maximum age of the entries
 }
 
 func (d *drainDaemon) Now() spanrill.Millis {
@@ -147,7 +147,7 @@
 
 func (d *drainDaemon) Ask(_ context.Context, addr string, kind uint8, req, reply any) error {
 	other, now := d.fleet.byName[addr], spanrill.Millis(d.fleet.now.Load())
-	d.fleet.questions.Add(1)
+	d.fleet.requests.Add(1)
 	sc := d.fleet.scenario
 	if sc.unanswered(d.rank, other.rank, now) || sc.paused(other.rank, now) || kind == uint8(peermsg.KindEntries) && sc.dropsLarge(d.rank, now) {
 		return errSim
@@ -156,7 +156,7 @@
 	return err
 }
 
-// replyOf decodes a daemon's answer to a question of another into reply, and returns the encoded
+// replyOf decodes a daemon's answer to a request of another into reply, and returns the encoded
 // size of both messages.
 func replyOf(e *exchange.Exchange, kind uint8, req, reply any) (size int, err error) {
 	var answer any
@@ -170,7 +170,7 @@
 	default:
 		return 0, errSim
 	}
-	question, err := peermsg.Encode(req)
+	request, err := peermsg.Encode(req)
 	if err != nil {
 		return 0, err
 	}
@@ -178,7 +178,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return len(question) + len(data), peermsg.Decode(data, reply)
+	return len(request) + len(data), peermsg.Decode(data, reply)
 }
 
 func newDrainFleet(daemons, zones int, sc scenario) *drainFleet {
@@ -272,7 +272,7 @@
 // advance does what is due at the given time.
 func (d *drainDaemon) advance(now spanrill.Millis) {
 	if _, _, age := d.Gateway.fleet.Freshness(); now > simStart+2*spanrill.Second {
-		d.maxProofAge = max(d.maxProofAge, age)
+		d.maxEntryAge = max(d.maxEntryAge, age)
 	}
 	d.callStore(now)
 	if now >= d.nextRound {
@@ -315,11 +315,11 @@
 	d.callEnd, d.nextLook = 0, now+pause
 }
 
-// maxProofAge returns the maximum age of entries of all daemons that are not excluded.
-func (f *drainFleet) maxProofAge() (age spanrill.Millis) {
+// maxEntryAge returns the maximum age of entries of all daemons that are not excluded.
+func (f *drainFleet) maxEntryAge() (age spanrill.Millis) {
 	for _, d := range f.daemons {
 		if !f.scenario.excluded(d.rank) {
-			age = max(age, d.maxProofAge)
+			age = max(age, d.maxEntryAge)
 		}
 	}
 	return age
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -196,8 +196,8 @@
 // askersForOthers daemons ask at first, however many there are; if no news follows, all ask
 // within allAskAfter.
 func askForOthersChance(late spanrill.Millis, daemons int, spread spanrill.Millis) float64 {
-	looksPerBroadcast := float64(max(spread, newsRound)) / float64(refreshPoll)
-	first := askersForOthers / (looksPerBroadcast * float64(max(1, daemons)))
+	checksPerBroadcast := float64(max(spread, newsRound)) / float64(refreshPoll)
+	first := askersForOthers / (checksPerBroadcast * float64(max(1, daemons)))
 	return min(1, first+math.Pow(float64(late)/float64(allAskAfter), askChanceExponent))
 }
 
@@ -336,8 +336,9 @@
 	return max(g.configs.UnresponsiveFor(), g.upstreams.UnresponsiveFor()) > storeSilence
 }
 
-// storeSilence is how long store calls fail or hang before other daemons are told: 75 times the
-// usual answer time of 4 ms, and more than an answer takes from a store that is 60 times slower.
+// storeSilence is how long store calls fail or hang before this daemon reports it to others: 75
+// times the usual answer time of 4 ms, and more than an answer takes from a store that is 60 times
+// slower.
 const storeSilence spanrill.Millis = 300
 
 // maxRetryPause returns the longest pause between failed store calls. In a fleet where news
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -165,7 +165,7 @@
 
 // broadcastSuspect sends the marks of a request that is withheld from now on to all other daemons.
 // Its caller may retry at another daemon within milliseconds, and polling brings the marks up to a
-// round later: of eight attempts in a row two more engines terminated in that time.
+// round later: of eight attempts in a row two more engines crashed in that time.
 func (p *peers) broadcastSuspect(c suspect.Content) {
 	payload, err := peermsg.Encode(&peermsg.SuspectNotice{Marks: exchange.SuspectMarks(p.gateway.suspects.ContentMarks(c))})
 	if err != nil {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -66,7 +66,7 @@
 		"exchange":      g.exchange.Run,
 		"placement":     g.placer.Run,
 		"suspects":      g.keeper.Run,
-		"callers gone":  g.relay.Run,
+		"relay":         g.relay.Run,
 		"upkeep":        g.upkeep,
 		"readiness":     g.serveReady,
 		"callers":       g.serveCallers,
