--- a/protocol/callerapi/service.go
+++ b/protocol/callerapi/service.go
@@ -9,7 +9,8 @@
 	"spanrill/state/load"
 )
 
-// handleService forwards a call to a plain handleService. NameAndPath is the request path behind /services/.
+// handleService forwards a call to a plain service. NameAndPath is the part of the request path
+// after /services/.
 func (c *call) handleService(nameAndPath string) {
 	name, path, _ := strings.Cut(nameAndPath, "/")
 	path = "/" + path
--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -262,7 +262,7 @@
 
 	UpstreamsRevision   uint64          // store revision up to which the sender knows all upstreams
 	UpstreamsLastChange uint64          // store revision of their last change
-	UpstreamsAge        spanrill.Millis // age of that knowledge, when the answer was made
+	UpstreamsAge        spanrill.Millis // time since they were confirmed, when the answer was made
 
 	StoreSilent bool // the platform's store does not answer the sender
 
@@ -299,20 +299,20 @@
 	Limit      UpstreamLimit   // latest limit that the granting daemon knows
 }
 
-// SuspectNotice announces a request that is blocked from now on, without being asked for news.
+// SuspectNotice announces a request that is withheld from now on, without being asked for news.
 type SuspectNotice struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Marks    []SuspectMark
 }
 
-// SuspectMark records that an upstream was lost while it ran a request.
+// SuspectMark records that an upstream crashed while it ran a request.
 type SuspectMark struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Content  uint64   // hash of the request's content and its client account
 	Upstream uint32   // hash of its name
 	Age      spanrill.Millis
 	Fresh    bool // the request had started there shortly before
-	Trial    bool // not a loss: a request with this content is tried again
+	Trial    bool // not a crash: a request with this content is tried again
 }
 
 // Placement is a statement of the holder of the placement lease. Other daemons forward it.
@@ -371,7 +371,7 @@
 	Packed     []byte          // an EntryList, compressed
 	Revision   uint64          // store revision of the entries
 	LastChange uint64          // store revision of their last change
-	Age        spanrill.Millis // time since the entries were known to be current, when the message was made
+	Age        spanrill.Millis // time since the entries were confirmed, when the message was made
 	Since      uint64          // revision after which the changes were made, or 0 if all entries are sent
 }
 
@@ -379,7 +379,7 @@
 type EntryList struct {
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Entries    []spanrill.EngineEntry
-	Unreadable []string // names of entries that describe no usable upstream
+	Unreadable []string // names of entries that cannot be decoded
 	Removed    []string // names of entries that were removed, if the list has changes
 }
 
