--- a/transport/httpcall/client.go
+++ b/transport/httpcall/client.go
@@ -12,7 +12,7 @@
 //	c := httpcall.New(httpcall.WithDialTimeout(500 * spanrill.Millis(1)))
 //	answer, err := c.Do(ctx, "10.0.0.7:8000", req, httpcall.ReuseNever)
 //	if err != nil {
-//		return fmt.Errorf("post reading: %w", err)
+//		return fmt.Errorf("call upstream: %w", err)
 //	}
 //	defer answer.Close()
 package httpcall
@@ -57,7 +57,7 @@
 	dialer       net.Dialer
 	log          logrus.FieldLogger
 	meters       *meter.Meters
-	onHead       OnHeaders
+	onHeaders    OnHeaders
 	maxIdle      func(addr string) int
 	maxTotal     int
 }
@@ -101,7 +101,7 @@
 
 // WithOnHeaders sets a function that gets the headers of each answer before Do returns it.
 func WithOnHeaders(f OnHeaders) Option {
-	return func(c *Client) { c.onHead = f }
+	return func(c *Client) { c.onHeaders = f }
 }
 
 const (
@@ -112,7 +112,7 @@
 
 // New returns a client with no connections.
 func New(opts ...Option) *Client {
-	c := &Client{dialTimeout: defaultDialTimeout, ackTimeout: defaultAckTimeout, log: logrus.StandardLogger(), meters: meter.New(), onHead: func(string, *fasthttp.ResponseHeader, spanrill.Millis) {}}
+	c := &Client{dialTimeout: defaultDialTimeout, ackTimeout: defaultAckTimeout, log: logrus.StandardLogger(), meters: meter.New(), onHeaders: func(string, *fasthttp.ResponseHeader, spanrill.Millis) {}}
 	for _, o := range opts {
 		o(c)
 	}
@@ -216,7 +216,7 @@
 	if cn.reused {
 		c.timedOutOnce.Delete(addr)
 	}
-	c.onHead(addr, a.Header(), spanrill.MillisOf(time.Since(start)))
+	c.onHeaders(addr, a.Header(), spanrill.MillisOf(time.Since(start)))
 	return a, nil
 }
 
--- a/transport/peernet/link.go
+++ b/transport/peernet/link.go
@@ -35,7 +35,7 @@
 	writer       *frame.Writer
 	unsent       []outbound   // messages that wait for the session keys
 	queuedBytes  atomic.Int64 // frames handed to the event loop and not yet written
-	lastReceived atomic.Int64 // when bytes last arrived, as a time of elapsed
+	lastReceived atomic.Int64 // when bytes last arrived, as returned by Net.elapsed
 	timeouts     atomic.Int32 // requests that have timed out since then
 }
 
--- a/transport/peernet/peernet.go
+++ b/transport/peernet/peernet.go
@@ -63,8 +63,8 @@
 	client    *gnet.Client
 	started   chan struct{}    // closed once connections can be dialed
 	enrollMu  sync.Mutex       // held while a link is made
-	stopped   bool             // guarded by joining
-	mu        sync.Mutex       // guards links and taken
+	stopped   bool             // guarded by enrollMu
+	mu        sync.Mutex       // guards links and accepted
 	links     map[string]*link // links that this daemon dialed, by address
 	accepted  map[*link]bool   // links that peers dialed
 	idleLimit time.Duration    // time without a byte after which an accepted link may be closed
