--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -73,19 +73,19 @@
 // time that the answer took, because ages count from the time of the request.
 type drainDaemon struct {
 	*Gateway
-	fleet       *drainFleet
-	rank        int
-	member      peermsg.Member
-	clockLag    atomic.Int64
-	clockOffset spanrill.Millis // differs for each daemon
-	entries     *follow.Follower
-	sentAt      spanrill.Millis // of the running store call
-	callEnd     spanrill.Millis // or 0 if no call runs
-	callErr     error
-	nextLook    spanrill.Millis // next check whether entries have to be read
-	nextRound   spanrill.Millis // next exchange round
-	nextTend    spanrill.Millis
-	maxEntryAge spanrill.Millis // maximum age of the entries
+	fleet           *drainFleet
+	rank            int
+	member          peermsg.Member
+	clockLag        atomic.Int64
+	clockOffset     spanrill.Millis // differs for each daemon
+	entries         *follow.Follower
+	sentAt          spanrill.Millis // of the running store call
+	callEnd         spanrill.Millis // or 0 if no call runs
+	callErr         error
+	nextCheck       spanrill.Millis // next check whether entries have to be read
+	nextRound       spanrill.Millis // next exchange round
+	nextMaintenance spanrill.Millis
+	maxEntryAge     spanrill.Millis // maximum age of the entries
 }
 
 func (d *drainDaemon) Now() spanrill.Millis {
@@ -281,19 +281,19 @@
 		d.clockLag.Store(0)
 		d.nextRound = now + exchange.RoundInterval*9/10 + spanrill.Millis(d.random.Float64()*float64(exchange.RoundInterval)/5)
 	}
-	if now >= d.nextTend {
+	if now >= d.nextMaintenance {
 		d.Gateway.fleet.Maintain()
-		d.nextTend = now + upkeepInterval
+		d.nextMaintenance = now + upkeepInterval
 	}
 }
 
 // callStore starts a store call when one is due, and completes it when its duration has passed.
 func (d *drainDaemon) callStore(now spanrill.Millis) {
-	if d.callEnd == 0 && now >= d.nextLook {
+	if d.callEnd == 0 && now >= d.nextCheck {
 		select {
 		case <-d.Gateway.fleet.Ready():
 			if pause := d.upstreamsDue(); pause > 0 {
-				d.nextLook = now + pause
+				d.nextCheck = now + pause
 				return
 			}
 		default:
@@ -312,7 +312,7 @@
 	d.clockLag.Store(int64(now - d.sentAt))
 	pause := d.upstreams.Step(context.Background())
 	d.clockLag.Store(0)
-	d.callEnd, d.nextLook = 0, now+pause
+	d.callEnd, d.nextCheck = 0, now+pause
 }
 
 // maxEntryAge returns the maximum age of entries of all daemons that are not excluded.
--- a/state/follow/follow.go
+++ b/state/follow/follow.go
@@ -136,8 +136,8 @@
 }
 
 const (
-	// defaultWait is the longest watch that the store allows.
-	defaultWait = 30 * spanrill.Second
+	// defaultWatchTimeout is the longest watch that the store allows.
+	defaultWatchTimeout = 30 * spanrill.Second
 	// maxRetryDoublings bounds how often the pause between failed calls doubles.
 	maxRetryDoublings = 4
 	// InitialRetryDelay is the pause after the first failed call: 25 times the store's usual
@@ -154,7 +154,7 @@
 func New(source spanrill.Collection, clock spanrill.Clock, sink Sink, opts ...Option) *Follower {
 	f := &Follower{
 		source: source, clock: clock, sink: sink, log: logrus.StandardLogger(),
-		watchTimeout: defaultWait, jitter: func() float64 { return 0 }, knownRevision: func() uint64 { return 0 },
+		watchTimeout: defaultWatchTimeout, jitter: func() float64 { return 0 }, knownRevision: func() uint64 { return 0 },
 		maxRetryDelay: func() spanrill.Millis { return MaxRetryDelay },
 		listDelay:     func() spanrill.Millis { return 0 },
 	}
