--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -111,7 +111,7 @@
 	draining            atomic.Bool
 	wasFresh            atomic.Bool
 	reportedTable       *routes.Table // whose ignored values were logged; used by upkeep only
-	storeEra            uint64        // last era seen by noteEra
+	storeEra            uint64        // last era seen by logEraChange
 	liveDaemons         atomic.Int64  // number of daemons known to be alive, including this one
 	wasAccepting        atomic.Bool   // result of the last check in logAccepting
 	leaseHeldAt         atomic.Int64  // when this daemon last held the placement lease
--- a/protocol/peermsg/ask.go
+++ b/protocol/peermsg/ask.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := n.Ask(ctx, addr, kind, payload)
+	answer, err := n.Request(ctx, addr, kind, payload)
 	if err != nil {
 		return fmt.Errorf("ask peer: %w", err)
 	}
--- a/transport/peernet/peernet.go
+++ b/transport/peernet/peernet.go
@@ -202,7 +202,7 @@
 }
 
 // Request sends a request and returns its reply.
-func (n *Net) Ask(ctx context.Context, addr string, kind Kind, payload []byte) ([]byte, error) {
+func (n *Net) Request(ctx context.Context, addr string, kind Kind, payload []byte) ([]byte, error) {
 	l, err := n.link(addr)
 	if err != nil {
 		return nil, err
--- a/transport/peernet/peernet_test.go
+++ b/transport/peernet/peernet_test.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	for i := range 200 {
-		reply, err := a.Ask(ctx, addr, testKind, fmt.Appendf(nil, "%d", i))
+		reply, err := a.Request(ctx, addr, testKind, fmt.Appendf(nil, "%d", i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +70,7 @@
 	a, _ := start(t, "a", "some-other-secret", echo)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	if reply, err := a.Ask(ctx, addr, testKind, nil); err == nil {
+	if reply, err := a.Request(ctx, addr, testKind, nil); err == nil {
 		t.Fatalf("a peer with another secret got the reply %q", reply)
 	}
 	if a.meters.FramesRefused.Get()+b.meters.FramesRefused.Get() == 0 {
@@ -106,7 +106,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	if _, err := a.Ask(ctx, addr, testKind, nil); err != nil {
+	if _, err := a.Request(ctx, addr, testKind, nil); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -129,7 +129,7 @@
 		go func() {
 			defer callers.Done()
 			for range 100 {
-				if _, err := a.Ask(ctx, addr, testKind, nil); errors.Is(err, context.DeadlineExceeded) {
+				if _, err := a.Request(ctx, addr, testKind, nil); errors.Is(err, context.DeadlineExceeded) {
 					t.Errorf("request to %s: %v", addr, err)
 					return
 				}
--- a/transport/peernet/silence_test.go
+++ b/transport/peernet/silence_test.go
@@ -44,7 +44,7 @@
 func ask(n *Net, addr string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	_, err := n.Ask(ctx, addr, testKind, nil)
+	_, err := n.Request(ctx, addr, testKind, nil)
 	return err
 }
 
@@ -114,7 +114,7 @@
 	slow := make(chan error, 2*silentTimeouts)
 	for range cap(slow) {
 		go func() {
-			_, err := a.Ask(ctx, addr, oneWay, nil)
+			_, err := a.Request(ctx, addr, oneWay, nil)
 			slow <- err
 		}()
 	}
