--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -41,8 +41,8 @@
 type Messenger interface {
 	// Ask sends a request and decodes its reply.
 	Ask(ctx context.Context, addr string, kind uint8, req, reply any) error
-	// Tell sends a message without a reply.
-	Tell(addr string, kind uint8, msg any) error
+	// Send sends a message without a reply.
+	Send(addr string, kind uint8, msg any) error
 }
 
 // Claims claims the keys of calls, so that each call runs at most once.
@@ -210,7 +210,7 @@
 	if err != nil {
 		return fmt.Errorf("encode record: %w", err)
 	}
-	return c.messenger.Tell(addr, uint8(peermsg.KindSettle), &peermsg.Settlement{Slot: slot, Record: value})
+	return c.messenger.Send(addr, uint8(peermsg.KindSettle), &peermsg.Settlement{Slot: slot, Record: value})
 }
 
 // HandleClaim answers the claim of another daemon.
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -26,7 +26,7 @@
 
 func (noPeers) Ask(context.Context, string, uint8, any, any) error { return errors.New("no peers") }
 
-func (noPeers) Tell(string, uint8, any) error { return errors.New("no peers") }
+func (noPeers) Send(string, uint8, any) error { return errors.New("no peers") }
 
 func startPlatform(t *testing.T) (*platform.Platform, spanrill.ObjectStore) {
 	t.Helper()
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -36,9 +36,10 @@
 type record struct {
 	Holder   string          `json:"holder"` // empty if handed back
 	Term     uint64          `json:"term"`
-	Duration spanrill.Millis `json:"time"`  // validity from each write
-	Beat     uint64          `json:"beat"`  // increases with each write
-	Write    string          `json:"write"` // id of the last write
+	Duration spanrill.Millis `json:"time"` // validity from each write
+	// Beat increases with each write that takes or renews the lease, but not when it is handed back.
+	Beat  uint64 `json:"beat"`
+	Write string `json:"write"` // id of the last write
 }
 
 // Lease is a daemon's view of a lease.
--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -147,11 +147,11 @@
 	if g.sends >= g.route.MaxAttempts+maxExtraSends {
 		return false
 	}
-	use := retry.PriorityWaiting
+	retryPriority := retry.PriorityWaiting
 	if failure.outcome == spanrill.OutcomeNotRun && !g.mayHaveRun {
-		use = retry.PriorityRefusable
+		retryPriority = retry.PriorityRefusable
 	}
-	if g.relay.Budgets.Of(g.service.Name).TakeOrBorrow(g.ctx, use) {
+	if g.relay.Budgets.Of(g.service.Name).TakeOrBorrow(g.ctx, retryPriority) {
 		return true
 	}
 	g.relay.Meters.CountRefusal(spanrill.ReasonRetryBudget)
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -163,7 +163,7 @@
 // checkSuspect returns a refusal if the request is withheld from upstreams because others have
 // terminated while they ran it, or nil.
 func (q *request) checkSuspect() *spanrill.Refusal {
-	v := q.trial.Check()
+	v := q.guard.Check()
 	if !v.Refused() {
 		return nil
 	}
--- a/coordination/relay/continuation.go
+++ b/coordination/relay/continuation.go
@@ -86,7 +86,7 @@
 		g.logNoOtherPath(err)
 		return false
 	}
-	if !r.Budgets.Of(g.service.Name).TakeOrBorrow(g.ctx, g.retryUse()) {
+	if !r.Budgets.Of(g.service.Name).TakeOrBorrow(g.ctx, g.retryPriority()) {
 		path.Release()
 		r.Meters.CountRefusal(spanrill.ReasonRetryBudget)
 		g.logNoOtherPath(errNoBudget)
@@ -97,8 +97,8 @@
 	return true
 }
 
-// retryUse returns the class of retry budget that the request uses.
-func (g *generation) retryUse() retry.Priority {
+// retryPriority returns the priority that the request has in the retry budget.
+func (g *generation) retryPriority() retry.Priority {
 	if g.begun {
 		return retry.PriorityRunning
 	}
--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -79,11 +79,11 @@
 	if a.outcome != spanrill.OutcomeNotRun && q.route.Repeat != spanrill.RepeatSafe {
 		return false
 	}
-	use := retry.PriorityWaiting
+	retryPriority := retry.PriorityWaiting
 	if a.outcome == spanrill.OutcomeNotRun {
-		use = retry.PriorityRefusable
+		retryPriority = retry.PriorityRefusable
 	}
-	if q.relay.Budgets.Of(q.service.Name).TakeOrBorrow(q.ctx, use) {
+	if q.relay.Budgets.Of(q.service.Name).TakeOrBorrow(q.ctx, retryPriority) {
 		return true
 	}
 	q.relay.Meters.CountRefusal(spanrill.ReasonRetryBudget)
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -155,7 +155,7 @@
 	keptAnswer *attempt    // answer of an upstream that is passed on if later attempts bring none, or nil
 
 	content  suspect.Content          // identifies what is asked for
-	trial    *suspect.Guard           // this request in the ledger of suspects
+	guard    *suspect.Guard           // tracks this request in the ledger of suspects
 	brokenOn map[*fleet.Upstream]bool // upstreams on which attempts broke off
 
 	considered []string // why each chain was rejected, if no path was found
@@ -276,12 +276,12 @@
 	q.deadline = q.start + timeout
 	q.body = q.http.Request.Body()
 	q.content = q.requestContent()
-	q.trial = q.relay.Suspects.Begin(q.content)
+	q.guard = q.relay.Suspects.Begin(q.content)
 	ctx, stop := context.WithTimeout(context.Background(), timeout.Duration())
 	q.ctx, q.cancel = context.WithCancelCause(ctx)
 	unregister := q.relay.callers.add(q.http.Conn(), q.deadline, q.cancel)
 	q.finish = func() {
-		q.trial.End()
+		q.guard.End()
 		unregister()
 		q.cancel(nil)
 		stop()
--- a/coordination/relay/watch.go
+++ b/coordination/relay/watch.go
@@ -303,7 +303,7 @@
 // hasOtherPath reports whether another path has room for the request and the retry budget allows
 // it.
 func (g *generation) hasOtherPath() bool {
-	if !g.mayContinue() || !g.relay.Budgets.Of(g.service.Name).Available(g.ctx, g.retryUse()) {
+	if !g.mayContinue() || !g.relay.Budgets.Of(g.service.Name).Available(g.ctx, g.retryPriority()) {
 		return false
 	}
 	path, err := g.relay.Router.Pick(g.service.Name, g.service.Model, g.pathNeed(true))
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -103,11 +103,11 @@
 }
 
 func (p *peers) gossip(addr string, g *peermsg.Gossip) error {
-	return p.Tell(addr, uint8(peermsg.KindGossip), g)
+	return p.Send(addr, uint8(peermsg.KindGossip), g)
 }
 
-// Tell sends a message that gets no reply.
-func (p *peers) Tell(addr string, kind uint8, msg any) error {
+// Send sends a message that gets no reply.
+func (p *peers) Send(addr string, kind uint8, msg any) error {
 	payload, err := peermsg.Encode(msg)
 	if err != nil {
 		return err
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -47,12 +47,12 @@
 	return ok
 }
 
-// contends reports whether this daemon should try to take the lease: it is not stopping, has a
-// configuration, and no peer reports that it holds the lease.
+// isLeaseCandidate reports whether this daemon should try to take the lease: it is not stopping,
+// has a configuration, and no peer reports that it holds the lease.
 //
 // Only the first in rank try at once, and of daemons that have just started only the seeds. The
 // others try when the lease has been free for so long that the first ones must be unreachable.
-func (g *Gateway) contends() bool {
+func (g *Gateway) isLeaseCandidate() bool {
 	now := int64(g.clock.Now())
 	if g.exchange.PlacementHeld() || g.leaseFreeSince.Load() < 0 {
 		g.leaseFreeSince.Store(now)
@@ -70,10 +70,11 @@
 	return contends
 }
 
-// yields reports whether this daemon, as the holder of the placement lease, hands it to a daemon
-// with a larger CPU share. When all daemons start, a seed takes the lease whatever its share.
-// Running orders continue, and the next holder reads from the engines which layers they hold.
-func (g *Gateway) yields() bool {
+// shouldYieldLease reports whether this daemon, as the holder of the placement lease, hands it to a
+// daemon with a larger CPU share. When all daemons start, a seed takes the lease whatever its
+// share. Running orders continue, and the next holder reads from the engines which layers they
+// hold.
+func (g *Gateway) shouldYieldLease() bool {
 	contendedLate := g.clock.Now()-spanrill.Millis(g.lateContentionAt.Load()) < holderGrace
 	if contendedLate || g.isStarting() || !g.exchange.Settled() {
 		return false // those first in rank did not take the lease when it was free
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -218,7 +218,7 @@
 	}
 	g.limiter = ratelimit.New(g.fleet, g.clock, g.peers)
 	g.lease = lease.New(g.adapter.Store, g.clock, "placement", g.peers.name, lease.WithDuration(leaseTime),
-		lease.WithLogger(g.log), lease.WithCandidate(g.contends), lease.WithYield(g.yields), lease.WithEra(g.adapter.Era))
+		lease.WithLogger(g.log), lease.WithCandidate(g.isLeaseCandidate), lease.WithYield(g.shouldYieldLease), lease.WithEra(g.adapter.Era))
 	g.keeper = suspect.NewKeeper(g.suspects, g.adapter.Store, g.clock, g.log, func() bool { _, ok := g.lease.Held(); return ok },
 		suspect.WithEra(g.adapter.Era))
 	g.exchange = exchange.New(g.peers, exchange.State{
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -281,12 +281,12 @@
 
 // takeLease takes the lease if it is free, with one read and one write.
 func (d *startDaemon) takeLease() spanrill.Millis {
-	if d.fleet.holder == d && d.yields() {
+	if d.fleet.holder == d && d.shouldYieldLease() {
 		d.fleet.calls++
 		d.fleet.holder = nil
 		return leaseTime / 3
 	}
-	if d.contends() {
+	if d.isLeaseCandidate() {
 		d.fleet.calls += 2
 		if d.fleet.holder == nil && !d.cannotTakeLease {
 			d.fleet.holder = d
