--- a/coordination/layout/many_test.go
+++ b/coordination/layout/many_test.go
@@ -29,8 +29,9 @@
 }
 
 // The lease holder plans for all engines and may use a fifth of a core. With 2,922 engines a
-// first layout takes 322 ms, and took 1,522 ms when each chain was divided separately and copies
-// were counted per engine. A repair that changes nothing takes 18 to 26 ms, and took 41 ms.
+// first layout takes 322 ms; dividing each chain separately and counting copies per engine takes
+// 1,522 ms. A repair that changes nothing takes 18 to 26 ms; checking all engines for each chain
+// takes 41 ms.
 func BenchmarkManyEngines(b *testing.B) {
 	for _, n := range []int{2922, 5844} {
 		m, engines := manyEngines(n)
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -91,8 +91,8 @@
 
 // recordBrokenAttempt records that an attempt broke off, or was continued elsewhere, because of the
 // upstream that it was sent to. Later engines of a path are not recorded: when a part of the fleet
-// fails, several of them are lost together. When they were counted, 64 streams were taken for the
-// cause of three terminations on a day on which engines crashed together.
+// fails, several of them are lost together. Recording them as well takes 64 streams for the cause
+// of three terminations when engines crash together.
 //
 // Whether the upstream still accepts connections is tested immediately. Without this test, nine
 // attempts at a call that crashes services terminated four of them at three daemons; with it, at
