--- a/coordination/suspect/keeper.go
+++ b/coordination/suspect/keeper.go
@@ -13,16 +13,16 @@
 	"spanrill/events"
 )
 
-// Keeper keeps the contents that are held back or proved in the store, so that they survive the
-// end of all daemons: their requests return afterwards, and each daemon would let them crash
-// further engines. One daemon at a time does this. While nothing changes, it makes one call to
-// the store, when it becomes active.
+// Keeper stores the contents that are withheld or proved, so that they survive a restart of all
+// daemons: callers repeat their requests afterwards, and each daemon would let these crash further
+// engines. One daemon at a time does this. While nothing changes, it makes one call to the store,
+// when it becomes active.
 type Keeper struct {
 	ledger   *Ledger
 	store    spanrill.ObjectStore
 	clock    spanrill.Clock
 	log      logrus.FieldLogger
-	isActive func() bool // reports whether this daemon is the one that does it
+	isActive func() bool // reports whether this daemon is the one that stores them
 	era      func() uint64
 
 	loaded        bool
--- a/coordination/suspect/ledger.go
+++ b/coordination/suspect/ledger.go
@@ -23,7 +23,7 @@
 // contentState is what is known of a content.
 type contentState struct {
 	losses          []loss
-	lastTrial       spanrill.Millis // when it was last tried after being held back, on any daemon
+	lastTrial       spanrill.Millis // when it was last tried after being withheld, on any daemon
 	hasTrial        bool
 	trialRecordedAt spanrill.Millis // when this daemon recorded that trial
 }
@@ -40,7 +40,7 @@
 func (v Verdict) Refused() bool { return v.refused }
 
 // Proved reports whether the request is refused because enough upstreams have crashed under it,
-// and not only held back for a while.
+// and not only withheld for a while.
 func (v Verdict) Proved() bool { return v.proved }
 
 // Losses returns how many upstreams have crashed under the request.
@@ -62,7 +62,7 @@
 	cached     digestCache
 }
 
-// digestCache holds the last digest of the contents that are held back or proved.
+// digestCache holds the last digest of the contents that are withheld or proved.
 type digestCache struct {
 	value      uint64
 	computedAt spanrill.Millis
@@ -181,9 +181,10 @@
 	return at
 }
 
-// heldSince returns the time from which holdTime counts: the last loss or trial. After a trial
-// without result, as when the upstream has no room, the next one waits as long as after a loss.
-func (s *contentState) heldSince() spanrill.Millis {
+// withheldSince returns the time from which withholdTime counts: the last loss or trial. After a
+// trial without result, as when the upstream has no room, the next one waits as long as after a
+// loss.
+func (s *contentState) withheldSince() spanrill.Millis {
 	if s.hasTrial {
 		return max(s.lastLoss(), s.lastTrial)
 	}
@@ -201,7 +202,7 @@
 
 func (s *contentState) isProved() bool { return len(s.losses) >= provedThreshold }
 
-func (s *contentState) isHeld() bool { return s.freshLosses() >= heldThreshold }
+func (s *contentState) isWithheld() bool { return s.freshLosses() >= withholdThreshold }
 
 func (s *contentState) freshLosses() (n int) {
 	for _, lost := range s.losses {
@@ -212,7 +213,8 @@
 	return n
 }
 
-// RecordServed records that a request was answered completely, so its content does not crash upstreams.
+// RecordServed records that a request was answered completely, so its content does not crash
+// upstreams.
 func (l *Ledger) RecordServed(c Content) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,7 +236,7 @@
 type Guard struct {
 	ledger  *Ledger
 	content Content
-	trial   bool // the request is the trial of a held content; others wait for its end
+	trial   bool // the request is the trial of a withheld content; others wait for its end
 	sent    bool
 	sentAt  spanrill.Millis // when it was first sent in its trial
 }
@@ -243,7 +245,7 @@
 func (l *Ledger) Begin(c Content) *Guard { return &Guard{ledger: l, content: c} }
 
 // Check returns whether the request may be sent now, for the first time or again. It starts a
-// trial if the content was held back until now.
+// trial if the content was withheld until now.
 func (g *Guard) Check() Verdict {
 	l := g.ledger
 	l.mu.Lock()
@@ -252,19 +254,19 @@
 	v := l.evaluate(g.content, now, g.trial)
 	s := l.suspects[g.content]
 	switch {
-	case v.refused || s == nil || !s.isHeld():
+	case v.refused || s == nil || !s.isWithheld():
 	case !g.trial:
 		g.trial = true
 		l.trials++
 	case g.sent && now-g.sentAt < trialTime:
-		v.refused, v.retryAfter = true, l.jitteredWait(holdTime)
+		v.refused, v.retryAfter = true, l.jitteredWait(withholdTime)
 	}
 	return v
 }
 
-// RecordSent records that the request is sent to an upstream. It returns true if that begins a trial,
-// which must be announced to all daemons at once. In a trial the request goes to one upstream
-// only: after a refusal or a break-off there it must not reach another one.
+// RecordSent records that the request is sent to an upstream. It returns true if that begins a
+// trial, which must be announced to all daemons at once. In a trial the request goes to one
+// upstream only: after a refusal or a failure there it must not reach another one.
 func (g *Guard) RecordSent() (begins bool) {
 	if !g.trial || g.sent {
 		return false
@@ -314,13 +316,13 @@
 		return Verdict{}
 	}
 	v := Verdict{losses: len(s.losses)}
-	switch waited := now - s.heldSince(); {
+	switch waited := now - s.withheldSince(); {
 	case s.isProved():
 		v.refused, v.proved, v.retryAfter = true, true, provedRetryAfter
-	case !s.isHeld():
-	case waited < holdTime:
+	case !s.isWithheld():
+	case waited < withholdTime:
 		if !isTrial {
-			v.refused, v.retryAfter = true, l.jitteredWait(holdTime-waited)
+			v.refused, v.retryAfter = true, l.jitteredWait(withholdTime-waited)
 		}
 	case l.trials > 0 && !isTrial:
 		v.refused, v.retryAfter = true, trialRetryAfter
--- a/coordination/suspect/ledger_test.go
+++ b/coordination/suspect/ledger_test.go
@@ -40,9 +40,9 @@
 		{"one upstream that crashes twice", []event{{lostUpstream: 1}, {delay: 4000, lostUpstream: 1}}, true, false},
 		{"two crashes, the first after a long run", []event{{lostUpstream: 1, ranLong: true}, {delay: 200, lostUpstream: 2}}, false, false},
 		{"three crashes after long runs", []event{{lostUpstream: 1, ranLong: true}, {delay: 200, lostUpstream: 2, ranLong: true}, {delay: 200, lostUpstream: 3, ranLong: true}}, true, true},
-		{"two crashes, then holdTime", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: holdTime}}, false, false},
-		{"three crashes, then holdTime", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: 200, lostUpstream: 3}, {delay: holdTime}}, true, true},
-		{"a third crash in its trial", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: holdTime, lostUpstream: 3}}, true, true},
+		{"two crashes, then withholdTime", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: withholdTime}}, false, false},
+		{"three crashes, then withholdTime", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: 200, lostUpstream: 3}, {delay: withholdTime}}, true, true},
+		{"a third crash in its trial", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: withholdTime, lostUpstream: 3}}, true, true},
 		{"answered after two crashes", []event{{lostUpstream: 1}, {delay: 200, lostUpstream: 2}, {delay: 100, served: true}}, false, false},
 		{"answered shortly before three crashes", []event{{served: true}, {delay: 100, lostUpstream: 1}, {delay: 100, lostUpstream: 2}, {delay: 100, lostUpstream: 3}}, false, false},
 		{"answered long before three crashes", []event{{served: true}, {delay: 3 * servedSpan, lostUpstream: 1}, {delay: 100, lostUpstream: 2}, {delay: 100, lostUpstream: 3}}, true, true},
@@ -66,7 +66,7 @@
 	}
 }
 
-// Requests that were held back are tried one at a time; the others wait for the end of the trial.
+// Requests that were withheld are tried one at a time; the others wait for the end of the trial.
 func TestOneTrialAtATime(t *testing.T) {
 	c := clock.NewManual()
 	l := New(c)
@@ -74,7 +74,7 @@
 		l.RecordLoss(content, Loss{Upstream: 1, At: c.Now(), Fresh: true})
 		l.RecordLoss(content, Loss{Upstream: 2, At: c.Now(), Fresh: true})
 	}
-	c.Advance(holdTime)
+	c.Advance(withholdTime)
 	first, second := l.Begin(0), l.Begin(1)
 	if first.Check().Refused() || first.Check().Refused() || !second.Check().Refused() {
 		t.Fatal("want one trial, which may continue")
@@ -118,8 +118,8 @@
 
 // A request arrives once a second, at a daemon that has not had it, and crashes the engine that
 // runs it with ten bystanders, two of which were sent there just before. No more than three
-// engines crash, however large the fleet is, and no bystander is refused in the end: none is held
-// back for longer than the engines need to come back.
+// engines crash, however large the fleet is, and no bystander is refused in the end: none is
+// withheld for longer than the engines need to come back.
 func TestLossesOfOneRequestAreBounded(t *testing.T) {
 	for _, n := range []int{1, 7, 73, 300} {
 		t.Run(fmt.Sprint(n, " daemons"), func(t *testing.T) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// A starting daemon learns which requests are held back or proved long after the last loss, from
+// A starting daemon learns which requests are withheld or proved long after the last loss, from
 // its peers as well as from the store.
 func TestStartingDaemonLearnsHeldRequests(t *testing.T) {
 	f := newTestFleet(2)
--- a/coordination/suspect/marks.go
+++ b/coordination/suspect/marks.go
@@ -30,7 +30,7 @@
 )
 
 // MarksFor returns the marks recorded recently. For a peer with a different digest it also returns
-// the losses of all contents that are held back or proved, whenever they were recorded.
+// the losses of all contents that are withheld or proved, whenever they were recorded.
 func (l *Ledger) MarksFor(digest uint64) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,7 +53,7 @@
 	return newest(marks, maxNewsMarks)
 }
 
-// BlockedMarks returns the losses of all contents that are held back or proved.
+// BlockedMarks returns the losses of all contents that are withheld or proved.
 func (l *Ledger) BlockedMarks() []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,9 +92,9 @@
 	return Mark{Content: c, Age: now - s.lastTrial, Trial: true}
 }
 
-// isBlocked reports whether the content is held back or proved.
+// isBlocked reports whether the content is withheld or proved.
 func (s *contentState) isBlocked(now spanrill.Millis) bool {
-	return !s.isExpired(now) && (s.isHeld() || s.isProved())
+	return !s.isExpired(now) && (s.isWithheld() || s.isProved())
 }
 
 func (l *loss) mark(c Content, now spanrill.Millis) Mark {
@@ -107,7 +107,7 @@
 	return marks[:min(limit, len(marks))]
 }
 
-// Digest returns a hash of the contents that are held back or proved. It is equal on two daemons
+// Digest returns a hash of the contents that are withheld or proved. It is equal on two daemons
 // that refuse the same contents.
 func (l *Ledger) Digest() uint64 {
 	l.mu.Lock()
@@ -163,7 +163,7 @@
 // hold l.mu.
 func (l *Ledger) mergeTrial(m Mark, now spanrill.Millis) {
 	s := l.suspects[m.Content]
-	if s == nil || m.Age >= holdTime {
+	if s == nil || m.Age >= withholdTime {
 		return
 	}
 	if s.recordTrial(now-m.Age, now) {
--- a/coordination/suspect/suspect.go
+++ b/coordination/suspect/suspect.go
@@ -2,14 +2,14 @@
 // remaining ones.
 //
 // A crash breaks off every request that runs on the upstream, so a single crash says little about
-// each of them. What counts is a request that is present at several crashes, however often it was
-// sent and to which daemon: losses are counted by the content of the request, and daemons exchange
-// them.
+// each of them. A request is suspected when several upstreams have crashed under it, however often
+// it was sent and to which daemon: losses are counted by the content of the request, and daemons
+// exchange them.
 //
 //	content.go   identifies equal requests
 //	ledger.go    records the losses of each content and decides what may be sent
 //	marks.go     losses as daemons exchange and store them
-//	keeper.go    keeps the contents that are held back in the store
+//	keeper.go    stores the contents that are withheld or proved
 //	served.go    contents that were answered recently
 //
 // # Usage
@@ -32,17 +32,17 @@
 	// run there (five crashes), before its caller had an event. Of the 82 requests that were broken
 	// off by two crashes, 78 had events.
 	FreshTime spanrill.Millis = 300
-	// heldThreshold is the number of fresh losses from which a request is held back. Bystanders of
-	// one crash are retried at once, as after any other failure, and few of them are bystanders of
-	// the next one too. With three chains, as in the smallest fleets, a third loss leaves none.
-	heldThreshold = 2
+	// withholdThreshold is the number of fresh losses from which a request is withheld. Bystanders
+	// of one crash are retried at once, as after any other failure, and few of them are bystanders
+	// of the next one too. With three chains, as in the smallest fleets, a third loss leaves none.
+	withholdThreshold = 2
 	// provedThreshold is the number of losses, fresh or not, from which a request counts as proved
 	// to crash upstreams and is no longer tried.
 	provedThreshold = 3
-	// holdTime is how long a request is held back after its last loss: an engine is back 3 to 5 s
-	// after a crash, and its chain is complete some seconds later. After that, one held request at
-	// a time is tried.
-	holdTime = 10 * spanrill.Second
+	// withholdTime is how long a request is withheld after its last loss: an engine is back 3 to 5 s
+	// after a crash, and its chain is complete some seconds later. After that, one withheld
+	// request at a time is tried.
+	withholdTime = 10 * spanrill.Second
 	// trialTime is how long a trial takes: within a second a stream has shown that its engine
 	// survives. trialRetryAfter is the Retry-After of a request that waits for the trial of another
 	// one.
@@ -66,6 +66,7 @@
 	// detect the same crash. An upstream that crashed again under its name took 3 s to come back.
 	crashMergeWindow = 2 * spanrill.Second
 	// maxContents bounds the recorded contents: over a hundred crashes with 64 requests each, or
-	// 0.7 MB at 87 bytes a content. Beyond that, unproved contents with the oldest losses go.
+	// 0.7 MB at 87 bytes a content. Beyond that, unproved contents with the oldest losses are
+	// removed.
 	maxContents = 8192
 )
--- a/coordination/suspect/trial_test.go
+++ b/coordination/suspect/trial_test.go
@@ -10,10 +10,10 @@
 )
 
 // Guards against one trial per daemon instead of one in the fleet. Three upstreams had crashed
-// under a request, of which two crashes held it back on all six daemons. 10 s later its callers,
-// which had received the same Retry-After, came to four daemons within 72 ms (at 36.13, 36.16,
-// 36.19 and 36.20 s). Each daemon tried the request, because losses were exchanged but trials were
-// not, and two more upstreams crashed, at 36.26 and 36.28 s.
+// under a request, and two of these crashes made all six daemons withhold it. 10 s later its
+// callers, which had received the same Retry-After, came to four daemons within 72 ms (at 36.13,
+// 36.16, 36.19 and 36.20 s). Each daemon tried the request, because losses were exchanged but
+// trials were not, and two more upstreams crashed, at 36.26 and 36.28 s.
 func TestOneTrialAcrossDaemons(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -29,7 +29,7 @@
 				l.RecordLoss(1, Loss{Upstream: 1, At: f.clock.Now(), Fresh: true})
 				l.RecordLoss(1, Loss{Upstream: 2, At: f.clock.Now(), Fresh: true})
 			}
-			f.clock.Advance(holdTime)
+			f.clock.Advance(withholdTime)
 			trials := 0
 			for i := range c.callers {
 				daemon := f.daemons[i%len(f.daemons)]
@@ -59,7 +59,7 @@
 		l := New(c)
 		l.RecordLoss(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
 		l.RecordLoss(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
-		c.Advance(holdTime)
+		c.Advance(withholdTime)
 		guard := l.Begin(1)
 		if guard.Check().Refused() || guard.Check().Refused() {
 			t.Fatal("no trial")
@@ -73,13 +73,13 @@
 		t.Error("a refused trial goes to another upstream")
 	}
 	guard.End()
-	c.Advance(holdTime - 6)
+	c.Advance(withholdTime - 6)
 	if !l.Begin(1).Check().Refused() {
 		t.Error("the next trial starts too early")
 	}
 	c.Advance(1)
 	if l.Begin(1).Check().Refused() {
-		t.Error("no second trial after holdTime")
+		t.Error("no second trial after withholdTime")
 	}
 	c, _, guard = startTrial()
 	c.Advance(trialTime)
@@ -95,11 +95,11 @@
 	l := New(c)
 	l.RecordLoss(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
 	l.RecordLoss(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
-	c.Advance(holdTime)
+	c.Advance(withholdTime)
 	for range 3 {
 		guard := l.Begin(1)
 		if guard.Check().Refused() {
-			t.Fatal("held back although nothing was sent")
+			t.Fatal("withheld although nothing was sent")
 		}
 		guard.End()
 	}
@@ -115,7 +115,7 @@
 	const window spanrill.Millis = 100
 	for range 100 {
 		after := l.Begin(1).Check().RetryAfter()
-		if after < holdTime || after > holdTime+retryAfterJitter {
+		if after < withholdTime || after > withholdTime+retryAfterJitter {
 			t.Fatalf("retry after %d ms", after)
 		}
 		perWindow[after/window]++
@@ -127,20 +127,20 @@
 	}
 }
 
-// A trial reported by a peer defers only a content that is held back here. Marks of old trials and
+// A trial reported by a peer defers only a content that is withheld here. Marks of old trials and
 // of contents without losses are ignored.
 func TestTrialReportedByPeer(t *testing.T) {
 	c := clock.NewManual()
 	l := New(c)
 	l.Merge([]Mark{{Content: 5, Trial: true}, {Content: 6, Age: -5, Trial: true}})
 	if l.Begin(5).Check().Refused() || len(l.suspects) > 0 {
-		t.Error("a content without losses is held back")
+		t.Error("a content without losses is withheld")
 	}
 	l.RecordLoss(1, Loss{Upstream: 1, At: c.Now(), Fresh: true})
 	l.RecordLoss(1, Loss{Upstream: 2, At: c.Now(), Fresh: true})
-	c.Advance(holdTime)
-	l.Merge([]Mark{{Content: 1, Trial: true, Age: 2 * holdTime}})
+	c.Advance(withholdTime)
+	l.Merge([]Mark{{Content: 1, Trial: true, Age: 2 * withholdTime}})
 	if l.Begin(1).Check().Refused() {
-		t.Error("an old trial holds the request back")
+		t.Error("an old trial withholds the request")
 	}
 }
