--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -35,7 +35,7 @@
 			failure.retry = meter.RetryDial
 		}
 	}
-	if isWithheld(err) {
+	if failedPresendCheck(err) {
 		failure.retry = meter.RetryWithheld
 	}
 	return failure
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -14,9 +14,9 @@
 	"spanrill/state/fleet"
 )
 
-// brokenAttempts finds out which upstreams have terminated while they ran a request. A broken
+// brokenAttempts finds out which upstreams have crashed while they ran a request. A broken
 // connection is not enough evidence, because it may have been reset while the upstream works on. An
-// upstream counts as terminated when nothing listens at its address any more, or when it has been
+// upstream counts as crashed when nothing listens at its address any more, or when it has been
 // started again.
 type brokenAttempts struct {
 	mu      sync.Mutex
@@ -43,9 +43,9 @@
 	maxBrokenAttempts = 2048
 )
 
-// upstreamState reports whether the upstream has terminated or is alive. Both are false while
+// upstreamState reports whether the upstream has crashed or is alive. Both are false while
 // neither is known.
-func (a *brokenAttempt) upstreamState() (terminated, alive bool) {
+func (a *brokenAttempt) upstreamState() (crashed, alive bool) {
 	u := a.upstream
 	switch {
 	case u.Ended():
@@ -53,7 +53,7 @@
 	case u.LastListening() > a.brokeAt:
 		return false, true
 	case u.Removed() && u.Dead():
-		return !a.leaving, a.leaving // a leaving upstream terminates as planned
+		return !a.leaving, a.leaving // a leaving upstream ends as planned
 	}
 	return false, false
 }
@@ -70,15 +70,15 @@
 }
 
 // take removes the broken attempts whose cause is known, or that are older than maxCauseWait, and
-// returns those whose upstreams have terminated.
+// returns those whose upstreams have crashed.
 func (s *brokenAttempts) take(now spanrill.Millis) (found []brokenAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := s.pending[:0]
 	for _, attempt := range s.pending {
-		terminated, alive := attempt.upstreamState()
+		crashed, alive := attempt.upstreamState()
 		switch {
-		case terminated:
+		case crashed:
 			found = append(found, attempt)
 		case !alive && now-attempt.brokeAt < maxCauseWait:
 			kept = append(kept, attempt)
@@ -92,12 +92,12 @@
 // recordBrokenAttempt records that an attempt broke off, or was continued elsewhere, because of the
 // upstream that it was sent to. Later engines of a path are not recorded: when a part of the fleet
 // fails, several of them are lost together. When they were counted, 64 streams were taken for the
-// cause of three terminations on a day on which engines crashed together.
+// cause of three crashes on a day on which engines crashed together.
 //
 // Whether the upstream still accepts connections is tested immediately. Without this test, nine
-// attempts at a call that crashes services terminated four of them at three daemons; with it, at
+// attempts at a call that crashes services crashed four of them at three daemons; with it, at
 // most three. If an attempt with this content broke off before, the result is awaited, because the
-// request must not go to the next upstream if this one has terminated too.
+// request must not go to the next upstream if this one has crashed too.
 func (q *request) recordBrokenAttempt(u *fleet.Upstream, streamedFor spanrill.Millis) {
 	if q.brokenOn[u] {
 		return
@@ -113,7 +113,7 @@
 	repeated = repeated || r.Suspects.Verdict(q.content).Losses() > 0
 	check := func() {
 		r.Prober.CheckListening(context.WithoutCancel(q.ctx), u)
-		r.reportTerminatedUpstreams()
+		r.reportCrashes()
 	}
 	if repeated {
 		check()
@@ -122,9 +122,9 @@
 	go check()
 }
 
-// reportTerminatedUpstreams records and logs the upstreams that were found to have terminated while
-// they ran a request.
-func (r *Relay) reportTerminatedUpstreams() {
+// reportCrashes records and logs the upstreams that were found to have crashed while they ran a
+// request.
+func (r *Relay) reportCrashes() {
 	now := r.Clock.Now()
 	for _, attempt := range r.brokenAttempts.take(now) {
 		r.Meters.UpstreamCrashes.Inc()
@@ -161,9 +161,9 @@
 }
 
 // checkSuspect returns a refusal if the request is withheld from upstreams because others have
-// terminated while they ran it, or nil.
+// crashed while they ran it, or nil.
 func (q *request) checkSuspect() *spanrill.Refusal {
-	v := q.trial.Check()
+	v := q.guard.Check()
 	if !v.Refused() {
 		return nil
 	}
@@ -171,7 +171,7 @@
 	if v.Proved() {
 		reason = spanrill.ReasonCrashesUpstreams
 	}
-	return spanrill.NewRefusal(reason, "%d upstreams have terminated while running this request", v.Losses()).WithRetryAfter(v.RetryAfter())
+	return spanrill.NewRefusal(reason, "%d upstreams have crashed while running this request", v.Losses()).WithRetryAfter(v.RetryAfter())
 }
 
 // isSuspectRefusal reports whether a refusal was made by checkSuspect.
--- a/coordination/relay/callers.go
+++ b/coordination/relay/callers.go
@@ -84,12 +84,12 @@
 const callerCheckInterval spanrill.Millis = 150
 
 // Run checks at intervals for callers that have disconnected, for requests on engines that are to
-// give up layers, and for upstreams that terminated under a request, until the context ends.
+// give up layers, and for upstreams that crashed under a request, until the context ends.
 func (r *Relay) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		r.callers.check()
 		r.generations.checkVacatedPaths()
-		r.reportTerminatedUpstreams()
+		r.reportCrashes()
 		select {
 		case <-ctx.Done():
 		case <-r.Clock.After(callerCheckInterval):
--- a/coordination/relay/maysend.go
+++ b/coordination/relay/maysend.go
@@ -24,7 +24,7 @@
 // the other daemons.
 func (q *request) recordSend() {
 	q.sends++
-	if q.trial.RecordSent() {
+	if q.guard.RecordSent() {
 		q.relay.OnSuspected(q.content)
 		events.RequestTrialSent.Log(q.relay.Log, logrus.Fields{"content": q.content.String(), "request": q.head.ID})
 	}
--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -67,7 +67,7 @@
 // mayRetry reports whether another attempt is allowed. A request that did not run may always be
 // sent to another upstream. One that may have run may only if the route allows repeats.
 func (q *request) mayRetry(a *attempt) bool {
-	if isWithheld(a.err) {
+	if failedPresendCheck(a.err) {
 		return true
 	}
 	if !a.reached {
@@ -250,7 +250,7 @@
 	if a.reached {
 		a.sends++
 	}
-	if isWithheld(err) {
+	if failedPresendCheck(err) {
 		a.retry = meter.RetryWithheld
 		return
 	}
--- a/coordination/relay/plain_test.go
+++ b/coordination/relay/plain_test.go
@@ -18,7 +18,7 @@
 	table := fleet.New(c, nil, fleet.WithDrain(testDrain))
 	r := &Relay{Dependencies: Dependencies{Fleet: table, Clock: c, Random: rng.New(1)}}
 	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "a", Service: "s", Addr: "1:1"}}, Revision: 1, LastChange: 1}, 0)
-	return &request{ctx: context.Background(), relay: r, trial: suspect.New(c).Begin(0), route: &spanrill.Route{}, service: &spanrill.ServiceInfo{Name: "s"}}, c
+	return &request{ctx: context.Background(), relay: r, guard: suspect.New(c).Begin(0), route: &spanrill.Route{}, service: &spanrill.ServiceInfo{Name: "s"}}, c
 }
 
 // A daemon with old entries of upstreams sends requests if the store answers no daemon. If it answers
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -27,7 +27,7 @@
 //	rests.go          upstreams that have asked for rest
 //	limits.go         upstreams whose rate limit is exhausted
 //	retrytimes.go     retry times of callers that find all chains full
-//	brokenattempts.go upstreams that terminate while they run a request
+//	brokenattempts.go upstreams that crash while they run a request
 //	log.go            log lines about requests
 //
 // # Usage
@@ -67,10 +67,10 @@
 	Codec   spanrill.HeaderCodec
 	HTTP    *httpcall.Client
 	Budgets *retry.Budgets
-	// Suspects records the requests under which upstreams have terminated.
+	// Suspects records the requests under which upstreams have crashed.
 	Suspects *suspect.Ledger
-	// OnSuspected is called when a request is withheld from upstreams from now on, so that other
-	// daemons learn of it immediately.
+	// OnSuspected is called when a request begins to be withheld from upstreams or is sent as a
+	// trial, so that other daemons learn of it immediately.
 	OnSuspected func(suspect.Content)
 	// Permit returns nil if the rate limit of an upstream allows a request now.
 	Permit func(context.Context, *fleet.Upstream) error
@@ -155,7 +155,7 @@
 	keptAnswer *attempt    // answer of an upstream that is passed on if later attempts bring none, or nil
 
 	content  suspect.Content          // identifies what is asked for
-	trial    *suspect.Guard           // this request in the ledger of suspects
+	guard    *suspect.Guard           // tracks this request in the ledger of suspects
 	brokenOn map[*fleet.Upstream]bool // upstreams on which attempts broke off
 
 	considered []string // why each chain was rejected, if no path was found
@@ -276,12 +276,12 @@
 	q.deadline = q.start + timeout
 	q.body = q.http.Request.Body()
 	q.content = q.requestContent()
-	q.trial = q.relay.Suspects.Begin(q.content)
+	q.guard = q.relay.Suspects.Begin(q.content)
 	ctx, stop := context.WithTimeout(context.Background(), timeout.Duration())
 	q.ctx, q.cancel = context.WithCancelCause(ctx)
 	unregister := q.relay.callers.add(q.http.Conn(), q.deadline, q.cancel)
 	q.finish = func() {
-		q.trial.End()
+		q.guard.End()
 		unregister()
 		q.cancel(nil)
 		stop()
--- a/coordination/relay/rests.go
+++ b/coordination/relay/rests.go
@@ -10,9 +10,9 @@
 	"spanrill/transport/httpcall"
 )
 
-// isWithheld reports whether a call was ended before its first byte because its upstream rests,
-// leaves, or has exhausted its rate limit. Such a call is not a failure of the upstream.
-func isWithheld(err error) bool {
+// failedPresendCheck reports whether a call was ended before its first byte because its upstream
+// rests, leaves, or has exhausted its rate limit. Such a call is not a failure of the upstream.
+func failedPresendCheck(err error) bool {
 	return errors.Is(err, fleet.ErrResting) || errors.Is(err, fleet.ErrLeaving) || errors.Is(err, fleet.ErrLimited)
 }
 
@@ -50,7 +50,7 @@
 // restingUpstreams returns the upstreams that could take the request if they did not rest.
 func (q *request) restingUpstreams() []*fleet.Upstream { return q.blockedBy(fleet.ErrResting) }
 
-// blockedBy returns the upstreams of the request's service for which MaySend returns the given
+// blockedBy returns the upstreams of the request's service for which CheckSend returns the given
 // error. For a request that runs on a path, these are only engines with the first layer.
 func (q *request) blockedBy(cause error) []*fleet.Upstream {
 	now := q.relay.Clock.Now()
--- a/coordination/relay/rests_test.go
+++ b/coordination/relay/rests_test.go
@@ -71,7 +71,7 @@
 			u := q.pickPlain(nil)
 			q.relay.Fleet.HandleNotice(u.Addr(), c.notice, clock.Now())
 			err := u.CheckSend(clock.Now())
-			if !errors.Is(err, c.want) || isWithheld(err) != (c.want != nil) {
+			if !errors.Is(err, c.want) || failedPresendCheck(err) != (c.want != nil) {
 				t.Fatalf("error %v, want %v", err, c.want)
 			}
 			if err == nil {
