--- a/coordination/layout/consolidate.go
+++ b/coordination/layout/consolidate.go
@@ -8,7 +8,7 @@
 
 // consolidateZones forms a chain inside one availability zone from engines of that zone
 // that serve chains over several zones, whose rate the pipes between zones limit. It does
-// so only when every chain is whole and no engine is changing.
+// so only when every chain is complete and no engine is changing.
 func (r *repair) consolidateZones(chains []*chain.Chain) {
 	if len(r.moves) > 0 || r.anyChanging() || len(brokenChains(chains)) > 0 {
 		return
--- a/coordination/layout/describe.go
+++ b/coordination/layout/describe.go
@@ -49,7 +49,7 @@
 	return info
 }
 
-// Rate returns how many usual requests per second the whole chains of a layout
+// Rate returns how many usual requests per second the complete chains of a layout
 // serve together.
 func Rate(m *spanrill.EngineModel, engines []Engine) float64 {
 	total := 0.0
--- a/coordination/layout/layout.go
+++ b/coordination/layout/layout.go
@@ -5,6 +5,7 @@
 // spares, then from the chain that misses the most layers, and it puts added
 // engines to use. Both are functions of what the engines hold now, so any daemon
 // can continue where another one stopped.
+//
 // # Usage
 //
 //	moves := layout.Plan(model, engines)
--- a/coordination/layout/layout_test.go
+++ b/coordination/layout/layout_test.go
@@ -58,7 +58,7 @@
 
 func apply(engines []Engine, moves []Move) []Engine { return Apply(engines, moves) }
 
-func countChains(m *spanrill.EngineModel, engines []Engine) (whole, broken int) {
+func countChains(m *spanrill.EngineModel, engines []Engine) (complete, broken int) {
 	var holders []chain.Holder
 	for _, e := range engines {
 		holders = append(holders, chain.Holder{ID: e.ID, Zone: e.Zone, Layers: e.Layers})
@@ -66,12 +66,12 @@
 	chains, _ := chain.Build(m.Layers, holders)
 	for _, c := range chains {
 		if c.Complete() {
-			whole++
+			complete++
 		} else {
 			broken++
 		}
 	}
-	return whole, broken
+	return complete, broken
 }
 
 // Three chains, each inside one availability zone, have more memory for prompts
@@ -79,7 +79,7 @@
 func TestPlanKeepsChainsInsideZones(t *testing.T) {
 	m := testModel()
 	moves := Plan(m, testFleet())
-	whole, broken := countChains(m, apply(testFleet(), moves))
+	complete, broken := countChains(m, apply(testFleet(), moves))
 	t.Log(moves)
 	total := 0.0
 	chains, spares := readChains(m, candidates(m, apply(testFleet(), moves)))
@@ -96,8 +96,8 @@
 		t.Logf("zone %s, %d parts, %d crossings, room %.0f, rate %.1f, token %.1f ms", c.Zone(), len(c.Parts()), cost.Crossings(s), cost.MinCapacity(m, s), cost.Rate(m, s), cost.TokenMillis(m, s, 70))
 	}
 	t.Logf("rate %.1f a second, %d spares", total, len(spares))
-	if whole < 3 || broken > 0 {
-		t.Fatalf("%d whole chains and %d broken ones, want 3 and 0", whole, broken)
+	if complete < 3 || broken > 0 {
+		t.Fatalf("%d complete chains and %d broken ones, want 3 and 0", complete, broken)
 	}
 }
 
@@ -157,13 +157,13 @@
 		lost := append([]Engine(nil), engines...)
 		lost[i].Layers = spanrill.LayerRange{}
 		after := apply(lost, Repair(m, lost))
-		if whole, broken := countChains(m, after); whole < 3 || broken > 0 {
-			t.Fatalf("without %s: %d whole and %d broken chains", engines[i].ID, whole, broken)
+		if complete, broken := countChains(m, after); complete < 3 || broken > 0 {
+			t.Fatalf("without %s: %d complete and %d broken chains", engines[i].ID, complete, broken)
 		}
 	}
 }
 
-// Two broken chains that cannot be filled become one whole chain.
+// Two broken chains that cannot be filled become one complete chain.
 func TestRepairGivesUpTheWorstChain(t *testing.T) {
 	m := testModel()
 	engines := apply(testFleet(), Plan(m, testFleet()))
@@ -176,10 +176,10 @@
 	for range 6 {
 		engines = apply(engines, Repair(m, engines))
 	}
-	whole, broken := countChains(m, engines)
-	t.Logf("%d whole before, %d whole and %d broken after", before, whole, broken)
-	if whole < 2 || broken > 1 {
-		t.Fatalf("%d whole chains and %d broken ones, want at least 2 and at most 1", whole, broken)
+	complete, broken := countChains(m, engines)
+	t.Logf("%d complete before, %d complete and %d broken after", before, complete, broken)
+	if complete < 2 || broken > 1 {
+		t.Fatalf("%d complete chains and %d broken ones, want at least 2 and at most 1", complete, broken)
 	}
 }
 
@@ -235,8 +235,8 @@
 			t.Fatalf("still changing after six steps: %v", moves)
 		}
 	}
-	if whole, _ := countChains(m, engines); whole < 3 {
-		t.Fatalf("%d whole chains", whole)
+	if complete, _ := countChains(m, engines); complete < 3 {
+		t.Fatalf("%d complete chains", complete)
 	}
 }
 
@@ -269,7 +269,7 @@
 	}
 }
 
-// Once all chains are whole and nothing is changing, chains over several zones are moved
+// Once all chains are complete and nothing is changing, chains over several zones are moved
 // into one zone, and then the layout is stable.
 func TestChainsMoveBackIntoOneZone(t *testing.T) {
 	m := testModel()
@@ -288,7 +288,7 @@
 	}
 	for _, c := range chains {
 		if !c.Complete() || spansZones(c) {
-			t.Fatalf("chain %v is not whole inside one zone, holes %v", c.Parts(), c.Holes())
+			t.Fatalf("chain %v is not complete inside one zone, holes %v", c.Parts(), c.Holes())
 		}
 	}
 	if moves := Repair(m, engines); len(moves) != 0 {
@@ -302,7 +302,7 @@
 		quarter("a1", 0), quarter("a2", 20), quarter("a3", 40), quarter("a4", 60),
 		quarter("b1", 0), quarter("b2", 20), quarter("b3", 60), // the hole is 40-60
 	}
-	engines[0].Changing = true // of the whole chain, or the copy of it in the other
+	engines[0].Changing = true // of the complete chain, or the copy of it in the other
 	moves := Repair(hugeModel(), engines)
 	if len(moves) == 0 {
 		t.Fatal("the chain waits for a change of another chain")
--- a/coordination/layout/relieve.go
+++ b/coordination/layout/relieve.go
@@ -6,7 +6,7 @@
 	"spanrill/coordination/cost"
 )
 
-// relieveBottlenecks gives whole chains more memory where one of their engines has
+// relieveBottlenecks gives complete chains more memory where one of their engines has
 // little. It takes two steps, which interrupt nothing: a free engine of the zone loads
 // a part of that engine's layers, and then the engine drops them.
 func (r *repair) relieveBottlenecks(chains []*chain.Chain) {
--- a/coordination/layout/repair.go
+++ b/coordination/layout/repair.go
@@ -129,7 +129,7 @@
 // prefers engines of the chain's own availability zone; see restoreFromZone. A chain
 // waits while engines that concern it are still changing. Only a chain that its zone
 // cannot restore gets engines of other zones. As a last resort the chain that misses
-// the most layers gives up its engines, if at least two chains have holes: one whole
+// the most layers gives up its engines, if at least two chains have holes: one complete
 // chain serves more than two broken ones.
 func (r *repair) repairChains(chains []*chain.Chain) {
 	broken := brokenChains(chains)
@@ -148,7 +148,7 @@
 
 // restoreFromAnyZone fills all holes of a chain from any availability zone and, if giveUp
 // is set, from the chain that misses the most layers. It reports whether the chain is
-// whole then.
+// complete then.
 func (r *repair) restoreFromAnyZone(c *chain.Chain, giveUp bool, worst *chain.Chain) bool {
 	for _, hole := range c.Holes() {
 		if r.coveredOutsideChains(hole) {
@@ -166,7 +166,7 @@
 
 // coveredOutsideChains reports whether engines that belong to no chain hold a hole's
 // layers, or are being brought to hold them. They may be in another availability zone;
-// the chain is not derived as whole then, but requests are routed through them.
+// the chain is not derived as complete then, but requests are routed through them.
 func (r *repair) coveredOutsideChains(hole spanrill.LayerRange) bool {
 	var ranges []spanrill.LayerRange
 	for _, h := range r.unchained {
