--- a/coordination/layoutrun/executor.go
+++ b/coordination/layoutrun/executor.go
@@ -60,7 +60,7 @@
 		report, err := x.report(ctx)
 		if err != nil {
 			if ctx.Err() == nil && !spanrill.IsLocalResourceError(err) {
-				x.upstream.SetDead(true) // the upkeep checks dead upstreams and detects its return
+				x.upstream.SetDead(true) // the prober rechecks dead upstreams and detects its return
 			}
 			x.log(events.OrderFailed, logrus.Fields{"error": err, "asked": "report"})
 			return false
--- a/coordination/layoutrun/placer.go
+++ b/coordination/layoutrun/placer.go
@@ -187,18 +187,18 @@
 	now, upstreams := p.clock.Now(), p.table.View().ByService(s.Name)
 	engines = make([]layout.Engine, 0, len(upstreams))
 	for _, u := range upstreams {
-		lost, leaves := p.verify(ctx, u, now, true)
+		crashed, leaving := p.verify(ctx, u, now, true)
 		entry := u.Entry()
 		if u.Removed() {
 			continue
 		}
-		if lost {
+		if crashed {
 			engines = append(engines, layout.Engine{ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers, Crashed: true})
 			continue
 		}
 		e := layout.Engine{
 			ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers,
-			Leaving: !u.AcceptsRequests() || leaves, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.DiscoveredAt() < justJoinedTime,
+			Leaving: !u.AcceptsRequests() || leaving, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.DiscoveredAt() < justJoinedTime,
 		}
 		if t := u.Target(); t != nil {
 			e.Layers, e.Changing = t.Layers, !t.Done
@@ -227,7 +227,7 @@
 		if u.Service() != s.Name || u.Dead() {
 			continue
 		}
-		if lost, _ := p.verify(ctx, u, now, true); !lost {
+		if crashed, _ := p.verify(ctx, u, now, true); !crashed {
 			entry := u.Entry()
 			engines = append(engines, layout.Engine{ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers, Leaving: true})
 		}
--- a/coordination/layoutrun/verify.go
+++ b/coordination/layoutrun/verify.go
@@ -19,7 +19,7 @@
 	querying  bool
 	hasRoom   bool            // not full in its last report
 	roomSince spanrill.Millis // since when it was not full in all reports
-	lost      bool            // did not answer the placer either
+	crashed   bool            // did not answer the placer either
 	leaving   bool            // refuses although it has had free memory for a while
 }
 
@@ -40,10 +40,10 @@
 	fullThreshold = 0.8
 )
 
-// verify returns whether the placer has found an engine lost, or leaving without notice.
-// If requests reported the engine as failing and mayAct is set, it also starts a new
-// report request, whose result later calls return. The caller holds the lock.
-func (p *Placer) verify(ctx context.Context, u *fleet.Upstream, now spanrill.Millis, mayAct bool) (lost, leaves bool) {
+// verify returns whether the placer has found that an engine has crashed, or is leaving
+// without notice. If requests reported the engine as failing and mayAct is set, it also
+// starts a new report request, whose result later calls return. The caller holds the lock.
+func (p *Placer) verify(ctx context.Context, u *fleet.Upstream, now spanrill.Millis, mayAct bool) (crashed, leaving bool) {
 	id := u.ID()
 	v := p.verifications[id]
 	if !u.Removed() && !u.Dead() && !u.RefusesPersistently(now) && (v == nil || now-u.LastRefusalAt() > verifyWindow) {
@@ -58,7 +58,7 @@
 		v.querying, v.queriedAt = true, now
 		p.tasks.Start(ctx, "verify upstream", func(ctx context.Context) error { return p.queryUpstream(ctx, u, v) })
 	}
-	return v.lost && (u.Dead() || u.Removed()), v.leaving
+	return v.crashed && (u.Dead() || u.Removed()), v.leaving
 }
 
 // queryUpstream requests a report from an engine and records the result.
@@ -72,15 +72,15 @@
 	if spanrill.IsLocalResourceError(err) {
 		return err // the daemon lacks resources; says nothing about the engine
 	}
-	lost := err != nil
-	v.recordRoom(!lost && report.Waiting == 0 && report.KVUsed < fullThreshold*report.KVTotal, p.clock.Now())
-	leaves := v.hasRoom && u.LastRefusalAt() > v.roomSince+minRoomTime
-	if lost == v.lost && leaves == v.leaving {
+	crashed := err != nil
+	v.recordRoom(!crashed && report.Waiting == 0 && report.KVUsed < fullThreshold*report.KVTotal, p.clock.Now())
+	leaving := v.hasRoom && u.LastRefusalAt() > v.roomSince+minRoomTime
+	if crashed == v.crashed && leaving == v.leaving {
 		return nil
 	}
-	v.lost, v.leaving = lost, leaves
+	v.crashed, v.leaving = crashed, leaving
 	events.UpstreamVerified.Log(p.log, logrus.Fields{
-		"upstream": u.ID(), "lost": lost, "leaves": leaves, "error": err,
+		"upstream": u.ID(), "lost": crashed, "leaves": leaving, "error": err,
 		"waiting": report.Waiting, "kv_used": report.KVUsed, "kv_total": report.KVTotal,
 	})
 	return nil
--- a/coordination/layoutrun/verify_test.go
+++ b/coordination/layoutrun/verify_test.go
@@ -38,9 +38,9 @@
 // an engine whose memory is full for a moment refuses just as a leaving one does.
 func TestVerify(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		steps        []verifyStep
-		lost, leaves bool
+		name             string
+		steps            []verifyStep
+		crashed, leaving bool
 	}{
 		{"full, then empty", []verifyStep{{refuses: true, used: 99}, {used: 99}, {used: 10}, {used: 10}, {used: 10}}, false, false},
 		{"refuses once with free memory", []verifyStep{{refuses: true, used: 10}, {used: 10}, {used: 10}}, false, false},
@@ -61,7 +61,7 @@
 			table.Listed([]spanrill.Item{{Name: "e"}}, 1, 0)
 			u, engine := table.View().ByID("e"), &reportingEngine{}
 			p := New(mayAlwaysAct, engine, table, nil, manual, log)
-			var lost, leaves bool
+			var crashed, leaving bool
 			for _, s := range c.steps {
 				manual.Advance(verifyInterval)
 				engine.used, engine.silent = s.used, s.silent
@@ -71,13 +71,13 @@
 				}
 				for range 2 { // the second call returns the result of the first
 					p.mu.Lock()
-					lost, leaves = p.verify(context.Background(), u, manual.Now(), true)
+					crashed, leaving = p.verify(context.Background(), u, manual.Now(), true)
 					p.mu.Unlock()
 					_ = p.tasks.Wait()
 				}
 			}
-			if lost != c.lost || leaves != c.leaves {
-				t.Fatalf("lost %t and leaves %t, want %t and %t", lost, leaves, c.lost, c.leaves)
+			if crashed != c.crashed || leaving != c.leaving {
+				t.Fatalf("crashed %t and leaving %t, want %t and %t", crashed, leaving, c.crashed, c.leaving)
 			}
 		})
 	}
