--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -74,8 +74,8 @@
 }
 
 const (
-	// RoundInterval is the pause between two rounds. The figures of other daemons are at most this old; in
-	// that time a daemon starts two requests at the current load.
+	// RoundInterval is the pause between two rounds. The figures of other daemons are at most this
+	// old; in that time a daemon starts two requests at the current load.
 	RoundInterval spanrill.Millis = 250
 	roundInterval                 = RoundInterval
 	// askTimeout bounds one request to a peer: many times a round trip of 1 ms.
@@ -121,8 +121,8 @@
 	lastAddedAt    atomic.Int64 // when a daemon last joined
 	startedAt      spanrill.Millis
 	startRounds    int // rounds made before this daemon had a configuration and entries
-	// wasSettled is the result of Settled in the last round.
-	wasSettled atomic.Bool
+	// fleetSizeWasKnown is the result of FleetSizeKnown in the last round.
+	fleetSizeWasKnown atomic.Bool
 	// depth is the number of levels of the trees in the last round.
 	depth atomic.Int64
 
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -128,11 +128,12 @@
 		t.Fatalf("active version %d, want 5", got)
 	}
 	if got := here.config.ConfirmedAt(); got != asked-400 {
-		t.Fatalf("proved at %d, want %d: 400 ms before the request", got, asked-400)
+		t.Fatalf("confirmed at %d, want %d: 400 ms before the request", got, asked-400)
 	}
 }
 
-// A peer with an older configuration changes neither the configuration here nor its proof.
+// A peer with an older configuration changes neither the configuration here nor the time of its
+// confirmation.
 func TestOlderConfigOfPeerIsIgnored(t *testing.T) {
 	c, here, there, _ := pair(1)
 	there.take(4, 40, c.Now())
@@ -140,7 +141,7 @@
 	proved := here.config.ConfirmedAt()
 	here.exchange.Round(context.Background())
 	if here.config.Table().Version() != 5 || here.config.ConfirmedAt() != proved {
-		t.Fatalf("version %d, proved at %d", here.config.Table().Version(), here.config.ConfirmedAt())
+		t.Fatalf("version %d, confirmed at %d", here.config.Table().Version(), here.config.ConfirmedAt())
 	}
 }
 
--- a/coordination/exchange/loans_test.go
+++ b/coordination/exchange/loans_test.go
@@ -94,19 +94,19 @@
 
 func (noPeers) Others() []peermsg.Member { return nil }
 
-// A daemon with seeds that has heard of no other daemon does not consider the fleet settled
-// until seedWait is over.
-func TestSettledWithoutPeers(t *testing.T) {
+// A daemon with seeds that has heard of no other daemon does not consider the fleet's size
+// known until seedWait is over.
+func TestFleetSizeWithoutPeers(t *testing.T) {
 	for _, seeded := range []bool{false, true} {
 		c, here, _, wire := pair(1)
 		e := New(noPeers{wire}, State{Name: "here", Seeds: seedsIf(seeded), Config: here.config, Fleet: here.table, Budgets: here.budgets, Suspects: suspect.New(c)}, c, here.exchange.log, here.exchange.random)
 		c.Advance(settleTime)
 		if e.Settled() == seeded {
-			t.Errorf("seeded %v: settled after %d ms alone", seeded, settleTime)
+			t.Errorf("seeded %v: fleet size known after %d ms alone", seeded, settleTime)
 		}
 		c.Advance(seedWait)
 		if !e.Settled() {
-			t.Errorf("seeded %v: not settled after %d ms alone", seeded, settleTime+seedWait)
+			t.Errorf("seeded %v: fleet size not known after %d ms alone", seeded, settleTime+seedWait)
 		}
 	}
 }
--- a/coordination/exchange/suspects.go
+++ b/coordination/exchange/suspects.go
@@ -24,7 +24,7 @@
 
 // MergeSuspects merges marks from a peer. Their ages do not include the time that the message
 // took, which is shorter than the differences between the times at which requests detect the
-// same end.
+// same crash.
 func (e *Exchange) MergeSuspects(received []peermsg.SuspectMark) {
 	marks := make([]suspect.Mark, len(received))
 	for i, m := range received {
--- a/coordination/exchange/tree.go
+++ b/coordination/exchange/tree.go
@@ -30,7 +30,7 @@
 	if int64(others) > e.otherCount.Swap(int64(others)) {
 		e.lastAddedAt.Store(int64(e.clock.Now()))
 	}
-	if settled := e.Settled(); settled != e.wasSettled.Swap(settled) && settled {
+	if known := e.Settled(); known != e.fleetSizeWasKnown.Swap(known) && known {
 		events.FleetSizeKnown.Log(e.log, logrus.Fields{"daemons": 1 + others})
 	}
 	var out []recipient
@@ -186,8 +186,8 @@
 	delete(e.unresponsive, name)
 }
 
-// Unresponsive reports whether a peer did not answer the last request of this daemon. It is false for a
-// peer that was never asked.
+// Unresponsive reports whether a peer did not answer the last request of this daemon. It is
+// false for a peer that was never asked.
 func (e *Exchange) Unresponsive(name string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -243,15 +243,15 @@
 	return int(max(1, e.depth.Load()))
 }
 
-// settleTime is how long no daemon must have joined before the fleet counts as known: three
-// gossip rounds of the members.
+// settleTime is how long no daemon must have joined before the size of the fleet counts as
+// known: three gossip rounds of the members.
 const settleTime spanrill.Millis = 1500
 
 // seedWait is how long a daemon with seeds that has heard of no other daemon still expects them
 // to start: longer than it takes all of them.
 const seedWait = 5 * spanrill.Second
 
-// Settled reports whether this daemon knows how many others there are.
+// FleetSizeKnown reports whether this daemon knows how many others there are.
 func (e *Exchange) Settled() bool {
 	if len(e.state.Seeds) > 0 && e.otherCount.Load() == 0 && e.clock.Now()-e.startedAt < seedWait {
 		return false
