--- a/coordination/ratelimit/limiter.go
+++ b/coordination/ratelimit/limiter.go
@@ -54,9 +54,9 @@
 }
 
 const (
-	// askWait is the timeout for asking a daemon for a permit: many times the round trip
+	// askTimeout is the timeout for asking a daemon for a permit: many times the round trip
 	// between availability zones.
-	askWait spanrill.Millis = 50
+	askTimeout spanrill.Millis = 50
 	// noAnswerRetryAfter is how long requests to an upstream are deferred if no daemon answers.
 	noAnswerRetryAfter spanrill.Millis = 100
 )
@@ -99,7 +99,7 @@
 }
 
 func (l *Limiter) askPeer(ctx context.Context, addr string, asked *peermsg.PermitRequest) (*peermsg.Permit, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
 	sent := l.clock.Now()
 	permit, err := l.peers.AskPermit(ctx, addr, asked)
--- a/coordination/ratelimit/limiter_test.go
+++ b/coordination/ratelimit/limiter_test.go
@@ -214,7 +214,7 @@
 }
 
 // Guards against older or invalid messages that replace a newer limit.
-func TestTakeNews(t *testing.T) {
+func TestMergeNews(t *testing.T) {
 	message := func(age spanrill.Millis, perSecond float64) peermsg.UpstreamLimit {
 		return peermsg.UpstreamLimit{Upstream: fleet.KeyOf(upstreamID), Set: true, PerSecond: perSecond, Age: age}
 	}
--- a/coordination/ratelimit/news.go
+++ b/coordination/ratelimit/news.go
@@ -19,7 +19,7 @@
 	return news
 }
 
-// TakeNews stores the limits in a message of another daemon. Their ages are subtracted from the
+// MergeNews stores the limits in a message of another daemon. Their ages are subtracted from the
 // given time.
 func TakeNews(table *fleet.Table, limits []peermsg.UpstreamLimit, at spanrill.Millis) {
 	for _, m := range limits {
