--- a/coordination/probe/identify.go
+++ b/coordination/probe/identify.go
@@ -33,27 +33,27 @@
 // Resolve queries the addresses of claims that the table cannot decide, each one at intervals
 // until it answers. It does not wait for the answers, which go to the table. It is called a few
 // times a second.
-func (n *AddressResolver) Resolve(ctx context.Context, table *fleet.Table) {
+func (r *AddressResolver) Resolve(ctx context.Context, table *fleet.Table) {
 	claims := table.AddressConflicts()
-	n.forget(claims)
+	r.forget(claims)
 	for _, c := range claims {
-		healthPath := n.healthPath(c.Service)
-		if healthPath == "" || !n.markIfDue(c.Addr, n.queryInterval(table, c.Addr)) {
+		healthPath := r.healthPath(c.Service)
+		if healthPath == "" || !r.markIfDue(c.Addr, r.queryInterval(table, c.Addr)) {
 			continue
 		}
-		n.queries.Start(ctx, "identify upstream", func(ctx context.Context) error { return n.identify(ctx, table, c, healthPath) })
+		r.queries.Start(ctx, "identify upstream", func(ctx context.Context) error { return r.identify(ctx, table, c, healthPath) })
 	}
 }
 
 // Wait waits until all queries have ended.
-func (n *AddressResolver) Wait() { _ = n.queries.Wait() } // errors are logged where they occur
+func (r *AddressResolver) Wait() { _ = r.queries.Wait() } // errors are logged where they occur
 
-func (n *AddressResolver) identify(ctx context.Context, table *fleet.Table, c fleet.AddressConflict, healthPath string) error {
+func (r *AddressResolver) identify(ctx context.Context, table *fleet.Table, c fleet.AddressConflict, healthPath string) error {
 	ctx, cancel := context.WithTimeout(ctx, identifyTimeout.Duration())
 	defer cancel()
-	name, err := n.identifier.Identify(ctx, c.Addr, healthPath)
+	name, err := r.identifier.Identify(ctx, c.Addr, healthPath)
 	if err != nil {
-		events.AddressConflictUnanswered.Log(n.log, logrus.Fields{"upstream": c.Name, "addr": c.Addr, "error": err})
+		events.AddressConflictUnanswered.Log(r.log, logrus.Fields{"upstream": c.Name, "addr": c.Addr, "error": err})
 		return err
 	}
 	table.ResolveAddress(c.Addr, name)
@@ -69,36 +69,36 @@
 const restingInterval = 2 * spanrill.Second
 
 // queryInterval returns the least time between two queries to an address.
-func (n *AddressResolver) queryInterval(table *fleet.Table, addr string) spanrill.Millis {
-	if u := table.View().ByAddr(addr); u != nil && u.Resting(n.clock.Now()) {
+func (r *AddressResolver) queryInterval(table *fleet.Table, addr string) spanrill.Millis {
+	if u := table.View().ByAddr(addr); u != nil && u.Resting(r.clock.Now()) {
 		return restingInterval
 	}
 	return recheckInterval
 }
 
 // markIfDue reports whether an address may be queried now, and records the query if so.
-func (n *AddressResolver) markIfDue(addr string, interval spanrill.Millis) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.clock.Now()
-	if at, queried := n.queriedAt[addr]; queried && now-at < interval {
+func (r *AddressResolver) markIfDue(addr string, interval spanrill.Millis) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.clock.Now()
+	if at, queried := r.queriedAt[addr]; queried && now-at < interval {
 		return false
 	}
-	n.queriedAt[addr] = now
+	r.queriedAt[addr] = now
 	return true
 }
 
 // forget drops addresses that are no longer claimed.
-func (n *AddressResolver) forget(claims []fleet.AddressConflict) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (r *AddressResolver) forget(claims []fleet.AddressConflict) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	claimed := make(map[string]bool, len(claims))
 	for _, c := range claims {
 		claimed[c.Addr] = true
 	}
-	for addr := range n.queriedAt {
+	for addr := range r.queriedAt {
 		if !claimed[addr] {
-			delete(n.queriedAt, addr)
+			delete(r.queriedAt, addr)
 		}
 	}
 }
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -46,7 +46,7 @@
 	// maxTries bounds how often an engine is queried while its silence is inconclusive. The last
 	// try decides, for a daemon that hears from no engine at all.
 	maxTries = 3
-	// maxTimerDelay is how much later than its time-out a query may end before the process counts
+	// maxTimerDelay is how much later than its timeout a query may end before the process counts
 	// as paused: many times the usual delay of timers.
 	maxTimerDelay spanrill.Millis = 20
 )
@@ -210,7 +210,7 @@
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout.Duration())
 	results := make(chan reportResult, 2)
 	var pending sync.WaitGroup
-	// The slower of two queries is not cancelled, so that its time-out reveals a silent connection.
+	// The slower of two queries is not cancelled, so that its timeout reveals a silent connection.
 	defer func() {
 		go func() {
 			pending.Wait()
