--- a/coordination/routing/explain.go
+++ b/coordination/routing/explain.go
@@ -42,7 +42,7 @@
 
 // stageCandidates returns the engines whose layers start at from, the best first.
 func stageCandidates(index *load.ModelIndex, q *Query, from int) []Candidate {
-	ways := index.Reachability(q.Layers)
+	reachability := index.Reachability(q.Layers)
 	var result []Candidate
 	for _, u := range index.StartingAt(from) {
 		c := Candidate{
@@ -51,7 +51,7 @@
 			LinkMicros: u.LinkMicros(), Score: Score(u, q),
 		}
 		switch {
-		case !ways.ReachesEnd(u.Layers().To):
+		case !reachability.ReachesEnd(u.Layers().To):
 			c.WhyNot = "no chain leads on from it"
 		case u.Ejected(q.Now):
 			c.WhyNot = "ejected"
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -28,13 +28,13 @@
 	Now        spanrill.Millis  // set by the router
 	Previous   *load.Upstream   // the upstream of the previous stage, set by the router
 
-	ways       *load.Reachability // nil for a plain service
-	lastResort bool               // ejected and avoided upstreams may be picked too
+	reachability *load.Reachability // nil for a plain service
+	lastResort   bool               // ejected and avoided upstreams may be picked too
 }
 
 // Usable reports whether a policy may pick the upstream.
 func (q *Query) Usable(u *load.Upstream) bool {
-	if q.ways != nil && !q.ways.ReachesEnd(u.Layers().To) || contains(q.Exclude, u) {
+	if q.reachability != nil && !q.reachability.ReachesEnd(u.Layers().To) || contains(q.Exclude, u) {
 		return false
 	}
 	return q.lastResort || !u.Ejected(q.Now) && !contains(q.Avoid, u)
@@ -103,7 +103,7 @@
 	}
 	q.Now = r.clock.Now()
 	q.Previous = nil
-	q.ways = index.Reachability(q.Layers)
+	q.reachability = index.Reachability(q.Layers)
 	for layer := 0; layer < q.Layers; {
 		u := r.pick(index.StartingAt(layer), q)
 		if u == nil {
