--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -74,8 +74,8 @@
 )
 
 // New returns claims that are written by the owners of their slots, or by keeper.
-func New(keeper *Keeper, owners Owners, asker Messenger, clock spanrill.Clock, random *rng.Source, opts ...Option) *Claims {
-	c := &Claims{keeper: keeper, owners: owners, messenger: asker, clock: clock, random: random, log: logrus.StandardLogger()}
+func New(keeper *Keeper, owners Owners, messenger Messenger, clock spanrill.Clock, random *rng.Source, opts ...Option) *Claims {
+	c := &Claims{keeper: keeper, owners: owners, messenger: messenger, clock: clock, random: random, log: logrus.StandardLogger()}
 	for _, o := range opts {
 		o(c)
 	}
