--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -28,7 +28,7 @@
 	Zone   string
 	Layers spanrill.LayerRange
 	Used   int64   // of holders of the same layers, the most used one is a part and the others are spares
-	Pace   float64 // of its kind; of series that cover as much, the fastest becomes the chain
+	Pace   float64 // time factor of its kind, lower is faster; of series that cover as much, the fastest becomes the chain
 }
 
 // Chain is a series of holders in the order of their layers.
