--- a/coordination/retry/shared.go
+++ b/coordination/retry/shared.go
@@ -84,7 +84,7 @@
 // largest supported fleet.
 const assumedDaemons = 400
 
-// SharedBudgetOption changes a default of NewShared.
+// SharedBudgetOption changes a default of NewSharedBudget.
 type SharedBudgetOption func(*SharedBudget)
 
 // WithBorrower sets the function that borrows retries from other daemons.
