--- a/coordination/observe/observe.go
+++ b/coordination/observe/observe.go
@@ -171,8 +171,8 @@
 	})
 }
 
-// pollMatching polls the matching upstreams, at most maxConcurrentPolls at a time, and stores their reports
-// in the table.
+// pollMatching polls the matching upstreams, at most maxConcurrentPolls at a time, and stores
+// their reports in the table.
 func (o *Observer) pollMatching(ctx context.Context, match func(*load.Upstream) bool) []spanrill.UpstreamStatus {
 	var mu sync.Mutex
 	var reports []spanrill.UpstreamStatus
