--- a/coordination/exchange/apply.go
+++ b/coordination/exchange/apply.go
@@ -21,7 +21,7 @@
 	}
 	others, known := e.peerSum(now)
 	e.state.Budgets.StartRound(others.retries, retry.Fleet{
-		Known: known, Daemons: max(known, 1+int(e.otherCount.Load())), Rounds: e.AggregationRounds(), Complete: e.Settled(),
+		Known: known, Daemons: max(known, 1+int(e.otherCount.Load())), Rounds: e.AggregationRounds(), Complete: e.FleetSizeKnown(),
 	})
 	e.dropReportedTargets()
 	e.applyPaces()
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -221,7 +221,7 @@
 	e.mergeFleetSums(news.Fleet, sent)
 	e.mergeStoreAnswered(&news, sent)
 	e.MergeSuspects(news.Suspects)
-	ratelimit.TakeNews(e.state.Fleet, news.Limits, sent)
+	ratelimit.MergeNews(e.state.Fleet, news.Limits, sent)
 	e.mu.Lock()
 	e.newsByPeer[cmp.Or(news.Name, m.Name)] = peerNews{news: news, askedAt: sent}
 	e.mu.Unlock()
--- a/coordination/exchange/loans_test.go
+++ b/coordination/exchange/loans_test.go
@@ -101,11 +101,11 @@
 		c, here, _, wire := pair(1)
 		e := New(noPeers{wire}, State{Name: "here", Seeds: seedsIf(seeded), Config: here.config, Fleet: here.table, Budgets: here.budgets, Suspects: suspect.New(c)}, c, here.exchange.log, here.exchange.random)
 		c.Advance(settleTime)
-		if e.Settled() == seeded {
+		if e.FleetSizeKnown() == seeded {
 			t.Errorf("seeded %v: fleet size known after %d ms alone", seeded, settleTime)
 		}
 		c.Advance(seedWait)
-		if !e.Settled() {
+		if !e.FleetSizeKnown() {
 			t.Errorf("seeded %v: fleet size not known after %d ms alone", seeded, settleTime+seedWait)
 		}
 	}
--- a/coordination/exchange/tree.go
+++ b/coordination/exchange/tree.go
@@ -30,7 +30,7 @@
 	if int64(others) > e.otherCount.Swap(int64(others)) {
 		e.lastAddedAt.Store(int64(e.clock.Now()))
 	}
-	if known := e.Settled(); known != e.fleetSizeWasKnown.Swap(known) && known {
+	if known := e.FleetSizeKnown(); known != e.fleetSizeWasKnown.Swap(known) && known {
 		events.FleetSizeKnown.Log(e.log, logrus.Fields{"daemons": 1 + others})
 	}
 	var out []recipient
@@ -252,7 +252,7 @@
 const seedWait = 5 * spanrill.Second
 
 // FleetSizeKnown reports whether this daemon knows how many others there are.
-func (e *Exchange) Settled() bool {
+func (e *Exchange) FleetSizeKnown() bool {
 	if len(e.state.Seeds) > 0 && e.otherCount.Load() == 0 && e.clock.Now()-e.startedAt < seedWait {
 		return false
 	}
--- a/coordination/ratelimit/limiter.go
+++ b/coordination/ratelimit/limiter.go
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	if permit.Limit.Upstream == asked.Limit.Upstream {
-		TakeNews(l.table, []peermsg.UpstreamLimit{permit.Limit}, sent)
+		MergeNews(l.table, []peermsg.UpstreamLimit{permit.Limit}, sent)
 	}
 	permit.RetryAfter = min(max(1, permit.RetryAfter), maxRetryAfter)
 	return permit, nil
@@ -115,7 +115,7 @@
 
 // HandleAskPermit grants or denies a permit to a daemon.
 func (l *Limiter) HandleAskPermit(asked *peermsg.PermitRequest) *peermsg.Permit {
-	TakeNews(l.table, []peermsg.UpstreamLimit{asked.Limit}, l.clock.Now())
+	MergeNews(l.table, []peermsg.UpstreamLimit{asked.Limit}, l.clock.Now())
 	known := asked.Limit
 	if u := l.table.View().ByKey(asked.Limit.Upstream); u != nil {
 		known = limitMessage(l.table.LimitOf(u), l.clock.Now())
--- a/coordination/ratelimit/limiter_test.go
+++ b/coordination/ratelimit/limiter_test.go
@@ -233,7 +233,7 @@
 			n := newNetwork(1, 3, 1)
 			m := n.daemons[0]
 			n.clock.Advance(1000)
-			TakeNews(m.table, []peermsg.UpstreamLimit{c.news}, n.clock.Now())
+			MergeNews(m.table, []peermsg.UpstreamLimit{c.news}, n.clock.Now())
 			if got := m.upstream().Limit().PerSecond; got != c.want {
 				t.Errorf("limit %v, want %v", got, c.want)
 			}
@@ -247,7 +247,7 @@
 	from, to := n.daemons[0], n.newMember("new")
 	exchange := func() {
 		n.clock.Advance(100)
-		TakeNews(to.table, News(from.table, n.clock, to.table.LimitsDigest()), n.clock.Now())
+		MergeNews(to.table, News(from.table, n.clock, to.table.LimitsDigest()), n.clock.Now())
 	}
 	exchange()
 	if got := to.upstream().Limit().PerSecond; got != 3 {
--- a/coordination/ratelimit/news.go
+++ b/coordination/ratelimit/news.go
@@ -21,7 +21,7 @@
 
 // MergeNews stores the limits in a message of another daemon. Their ages are subtracted from the
 // given time.
-func TakeNews(table *fleet.Table, limits []peermsg.UpstreamLimit, at spanrill.Millis) {
+func MergeNews(table *fleet.Table, limits []peermsg.UpstreamLimit, at spanrill.Millis) {
 	for _, m := range limits {
 		if m.Age < 0 {
 			continue // a timestamp in the future would override later answers of the upstream
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -75,7 +75,7 @@
 // Running orders continue, and the next holder reads from the engines which layers they hold.
 func (g *Gateway) yields() bool {
 	contendedLate := g.clock.Now()-spanrill.Millis(g.lateContentionAt.Load()) < holderGrace
-	if contendedLate || g.isStarting() || !g.exchange.Settled() {
+	if contendedLate || g.isStarting() || !g.exchange.FleetSizeKnown() {
 		return false // those first in rank did not take the lease when it was free
 	}
 	first := g.peers.list.Ranked("placement")[0]
@@ -275,7 +275,7 @@
 // rank among the few peers that it knows is too high then. A daemon that has run for a
 // while uses its rank even while others join, because the seeds may be gone.
 func (g *Gateway) isStarting() bool {
-	return len(g.settings.Peers) > 0 && !g.exchange.Settled() && g.clock.Now()-g.startedAt < maxStartTime
+	return len(g.settings.Peers) > 0 && !g.exchange.FleetSizeKnown() && g.clock.Now()-g.startedAt < maxStartTime
 }
 
 // maxStartTime is how long a daemon takes at most to know a fleet that starts with it: 300
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -100,7 +100,7 @@
 		g.logDroppedLines()
 		daemons := len(g.peers.list.Live())
 		g.liveDaemons.Store(int64(daemons))
-		g.router.SetFleet(daemons, g.exchange.AggregationRounds(), g.exchange.Settled())
+		g.router.SetFleet(daemons, g.exchange.AggregationRounds(), g.exchange.FleetSizeKnown())
 		g.router.SetStarting(g.isStarting() && g.clock.Now()-g.startedAt < callerReturnTime)
 		g.router.SetDemand(g.budgets.Demand())
 		select {
