--- a/coordination/ratelimit/limiter.go
+++ b/coordination/ratelimit/limiter.go
@@ -54,9 +54,9 @@
 }
 
 const (
-	// askWait is the timeout for asking a daemon for a permit: many times the round trip
+	// askTimeout is the timeout for asking a daemon for a permit: many times the round trip
 	// between availability zones.
-	askWait spanrill.Millis = 50
+	askTimeout spanrill.Millis = 50
 	// noAnswerRetryAfter is how long requests to an upstream are deferred if no daemon answers.
 	noAnswerRetryAfter spanrill.Millis = 100
 )
@@ -99,7 +99,7 @@
 }
 
 func (l *Limiter) askPeer(ctx context.Context, addr string, asked *peermsg.PermitRequest) (*peermsg.Permit, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
 	sent := l.clock.Now()
 	permit, err := l.peers.AskPermit(ctx, addr, asked)
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	if permit.Limit.Upstream == asked.Limit.Upstream {
-		TakeNews(l.table, []peermsg.UpstreamLimit{permit.Limit}, sent)
+		MergeNews(l.table, []peermsg.UpstreamLimit{permit.Limit}, sent)
 	}
 	permit.RetryAfter = min(max(1, permit.RetryAfter), maxRetryAfter)
 	return permit, nil
@@ -115,7 +115,7 @@
 
 // HandleAskPermit grants or denies a permit to a daemon.
 func (l *Limiter) HandleAskPermit(asked *peermsg.PermitRequest) *peermsg.Permit {
-	TakeNews(l.table, []peermsg.UpstreamLimit{asked.Limit}, l.clock.Now())
+	MergeNews(l.table, []peermsg.UpstreamLimit{asked.Limit}, l.clock.Now())
 	known := asked.Limit
 	if u := l.table.View().ByKey(asked.Limit.Upstream); u != nil {
 		known = limitMessage(l.table.LimitOf(u), l.clock.Now())
