--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -27,7 +27,7 @@
 //	rests.go          upstreams that have asked for rest
 //	limits.go         upstreams whose rate limit is exhausted
 //	retrytimes.go     retry times of callers that find all chains full
-//	brokenattempts.go upstreams that terminate while they run a request
+//	brokenattempts.go upstreams that crash while they run a request
 //	log.go            log lines about requests
 //
 // # Usage
@@ -67,10 +67,10 @@
 	Codec   spanrill.HeaderCodec
 	HTTP    *httpcall.Client
 	Budgets *retry.Budgets
-	// Suspects records the requests under which upstreams have terminated.
+	// Suspects records the requests under which upstreams have crashed.
 	Suspects *suspect.Ledger
-	// OnSuspected is called when a request is withheld from upstreams from now on, so that other
-	// daemons learn of it immediately.
+	// OnSuspected is called when a request begins to be withheld from upstreams or is sent as a
+	// trial, so that other daemons learn of it immediately.
 	OnSuspected func(suspect.Content)
 	// Permit returns nil if the rate limit of an upstream allows a request now.
 	Permit func(context.Context, *fleet.Upstream) error
--- a/coordination/relay/rests.go
+++ b/coordination/relay/rests.go
@@ -10,9 +10,9 @@
 	"spanrill/transport/httpcall"
 )
 
-// isWithheld reports whether a call was ended before its first byte because its upstream rests,
-// leaves, or has exhausted its rate limit. Such a call is not a failure of the upstream.
-func isWithheld(err error) bool {
+// failedPresendCheck reports whether a call was ended before its first byte because its upstream
+// rests, leaves, or has exhausted its rate limit. Such a call is not a failure of the upstream.
+func failedPresendCheck(err error) bool {
 	return errors.Is(err, fleet.ErrResting) || errors.Is(err, fleet.ErrLeaving) || errors.Is(err, fleet.ErrLimited)
 }
 
