--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -67,7 +67,7 @@
 // mayRetry reports whether another attempt is allowed. A request that did not run may always be
 // sent to another upstream. One that may have run may only if the route allows repeats.
 func (q *request) mayRetry(a *attempt) bool {
-	if isWithheld(a.err) {
+	if failedPresendCheck(a.err) {
 		return true
 	}
 	if !a.reached {
@@ -79,11 +79,11 @@
 	if a.outcome != spanrill.OutcomeNotRun && q.route.Repeat != spanrill.RepeatSafe {
 		return false
 	}
-	use := retry.PriorityWaiting
+	retryPriority := retry.PriorityWaiting
 	if a.outcome == spanrill.OutcomeNotRun {
-		use = retry.PriorityRefusable
+		retryPriority = retry.PriorityRefusable
 	}
-	if q.relay.Budgets.Of(q.service.Name).TakeOrBorrow(q.ctx, use) {
+	if q.relay.Budgets.Of(q.service.Name).TakeOrBorrow(q.ctx, retryPriority) {
 		return true
 	}
 	q.relay.Meters.CountRefusal(spanrill.ReasonRetryBudget)
@@ -250,7 +250,7 @@
 	if a.reached {
 		a.sends++
 	}
-	if isWithheld(err) {
+	if failedPresendCheck(err) {
 		a.retry = meter.RetryWithheld
 		return
 	}
