--- a/coordination/chainrouting/load_test.go
+++ b/coordination/chainrouting/load_test.go
@@ -206,7 +206,7 @@
 			return
 		}
 		sim.result.refusedSends++
-		path.First().Refused(now, sim.daemons[i].HasRoom(loadModel, path.First()))
+		path.First().RecordRefusal(now, sim.daemons[i].HasRoom(loadModel, path.First()))
 		need.Avoid[path.First().ID()] = true
 		path.Release()
 	}
@@ -234,7 +234,7 @@
 	sim.calls[first]++
 	ms := requestMillis(stages, float64(sim.calls[first]))
 	sim.result.served++
-	p.First().Accepted(now)
+	p.First().RecordAccepted(now)
 	heap.Push(&sim.running, runningRequest{ends: now + spanrill.Millis(math.Ceil(ms)), path: p})
 }
 
--- a/coordination/chainrouting/router_test.go
+++ b/coordination/chainrouting/router_test.go
@@ -132,7 +132,7 @@
 			f.table.View().ByID("b1").Reserve(1e7)
 		}, needFrom("za"), "a1=0-4 a2=4-8 a3=8-12 ", nil},
 		{"an engine that refuses requests is skipped even when all else is full", func(f *testFleet) {
-			f.table.View().ByID("a1").Refused(f.clock.Now(), true)
+			f.table.View().ByID("a1").RecordRefusal(f.clock.Now(), true)
 			f.table.View().ByID("b1").Reserve(1e7)
 		}, needFrom("za"), "", ErrNoRoom},
 		{"no path begins at an engine that rests", func(f *testFleet) {
--- a/coordination/exchange/apply.go
+++ b/coordination/exchange/apply.go
@@ -132,7 +132,7 @@
 	view := e.state.Fleet.View()
 	for key := range refusing {
 		if u := view.ByKey(key); u != nil {
-			u.RefusalReported(now)
+			u.RecordReportedRefusal(now)
 		}
 	}
 }
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -233,7 +233,7 @@
 	if err := e.syncConfig(ctx, m, news.Revision); err != nil {
 		return err
 	}
-	e.state.Config.ConfirmUnchanged(news.Revision, sent-news.ProofAge)
+	e.state.Config.ConfirmUnchanged(news.Revision, sent-news.ConfigAge)
 	return e.syncEntries(ctx, m, &news, sent)
 }
 
@@ -276,7 +276,7 @@
 // News answers a peer's request for news.
 func (e *Exchange) News(req *peermsg.NewsRequest) *peermsg.News {
 	reply := &peermsg.News{
-		Name: e.state.Name, Revision: e.state.Config.Revision(), ProofAge: e.state.Config.Age(),
+		Name: e.state.Name, Revision: e.state.Config.Revision(), ConfigAge: e.state.Config.Age(),
 		Placement: e.placementNews(knownOrders{req.Holder, req.Sequence}), Leaving: e.state.Leaving(), StoreSilent: e.state.StoreSilent(),
 	}
 	reply.UpstreamsRevision, reply.UpstreamsLastChange, reply.UpstreamsAge = e.state.Fleet.Freshness()
--- a/coordination/layoutrun/verify_test.go
+++ b/coordination/layoutrun/verify_test.go
@@ -67,7 +67,7 @@
 				engine.used, engine.silent = s.used, s.silent
 				u.SetDead(s.dead)
 				if s.refuses {
-					u.Refused(manual.Now(), true)
+					u.RecordRefusal(manual.Now(), true)
 				}
 				for range 2 { // the second call returns the result of the first
 					p.mu.Lock()
--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -93,7 +93,7 @@
 	g.refusals++
 	g.relay.Meters.UpstreamRefusals.Inc()
 	g.avoid[atFault.ID()] = true
-	atFault.Refused(now, g.relay.Router.HasRoom(g.service.Model, atFault))
+	atFault.RecordRefusal(now, g.relay.Router.HasRoom(g.service.Model, atFault))
 	if failure.misdirected {
 		atFault.Avoid(now + misdirectedAvoidTime)
 	}
--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -310,14 +310,14 @@
 	case head.NotRun:
 		a.notRun, a.outcome, a.retry = true, spanrill.OutcomeNotRun, meter.RetryRefused
 		a.err = errors.Errorf("refused with status %d", a.resp.StatusCode())
-		a.upstream.Refused(now, false)
+		a.upstream.RecordRefusal(now, false)
 	case a.resp.StatusCode() >= fasthttp.StatusInternalServerError:
 		a.retry = meter.RetryStageLost
 		a.err = errors.Errorf("status %d", a.resp.StatusCode())
 		a.upstream.RecordFailure(now)
 	default:
 		a.upstream.RecordSuccess(now)
-		a.upstream.Accepted(a.sentAt)
+		a.upstream.RecordAccepted(a.sentAt)
 	}
 }
 
--- a/coordination/relay/stream.go
+++ b/coordination/relay/stream.go
@@ -94,7 +94,7 @@
 		g.firstEngine.RecordLag(now, float64(now-g.sentAt)/g.expectedFirstEvent()/slowFirstEventFactor)
 		g.begun = true
 		for _, p := range g.path.Parts() {
-			p.Upstream.Accepted(g.sentAt)
+			p.Upstream.RecordAccepted(g.sentAt)
 		}
 	}
 	if g.firstEventAt == 0 {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -73,7 +73,7 @@
 		return
 	}
 	g.reportedTable = table
-	for _, value := range table.ImplausibleValues() {
+	for _, value := range table.IgnoredValues() {
 		events.ConfigImplausible.Log(g.log, logrus.Fields{"value": value, "config": table.Version()})
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -198,7 +198,7 @@
 func (g *Gateway) build(connect Connect) error {
 	g.http = httpcall.New(httpcall.WithDialTimeout(dialTimeout), httpcall.WithLogger(g.log), httpcall.WithMeters(g.meters),
 		httpcall.WithOnHeaders(g.handleHeaders), httpcall.WithMaxIdle(g.maxIdle),
-		httpcall.WithMaxTotal(conncap.IdleTotal(g.settings.Descriptors)))
+		httpcall.WithMaxIdleTotal(conncap.IdleTotal(g.settings.Descriptors)))
 	g.config = routes.NewCurrent(g.clock)
 	g.adapter = connect(g.settings.Platform, g.http, g.recordStoreCall)
 	g.fleet = fleet.New(g.clock, g.adapter.DecodeEntry, fleet.WithLogger(g.log), fleet.WithDrain(g.settings.Bounds.Drain),
--- a/gateway/ready.go
+++ b/gateway/ready.go
@@ -45,10 +45,10 @@
 		return
 	}
 	if err != nil {
-		events.AcceptFailed.Log(g.log, logrus.Fields{"error": err, "connections": g.callers.Open()})
+		events.AcceptFailed.Log(g.log, logrus.Fields{"error": err, "connections": g.callers.OpenConnections()})
 		return
 	}
-	events.AcceptRecovered.Log(g.log, logrus.Fields{"connections": g.callers.Open()})
+	events.AcceptRecovered.Log(g.log, logrus.Fields{"connections": g.callers.OpenConnections()})
 }
 
 // serveCallers serves callers' connections. It returns an error if it ends before a stop.
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -24,7 +24,7 @@
 	start := g.clock.Now()
 	g.draining.Store(true)
 	g.relay.CloseConnections()
-	events.DaemonDraining.Log(g.log, logrus.Fields{"in_flight": g.relay.InFlight(), "connections": g.callers.Open()})
+	events.DaemonDraining.Log(g.log, logrus.Fields{"in_flight": g.relay.InFlight(), "connections": g.callers.OpenConnections()})
 	g.peers.leave()
 	limit := start + g.settings.Bounds.Grace - graceMargin
 	for g.clock.Now() < limit {
--- a/state/fleet/active_test.go
+++ b/state/fleet/active_test.go
@@ -42,7 +42,7 @@
 		{"tokens are reserved", func(u *Upstream, _ spanrill.Millis) { u.Reserve(7) }, func(u *Upstream) { u.Reserve(-7) }, 0},
 		{"it doesn't answer probes", func(u *Upstream, _ spanrill.Millis) { u.SetDead(true) }, func(u *Upstream) { u.SetDead(false) }, 0},
 		{"it is slow", func(u *Upstream, _ spanrill.Millis) { u.SetPace(3) }, func(u *Upstream) { u.SetPace(0) }, 0},
-		{"it refuses", func(u *Upstream, now spanrill.Millis) { u.Refused(now, true) }, func(*Upstream) {}, refusalWithRoomWait},
+		{"it refuses", func(u *Upstream, now spanrill.Millis) { u.RecordRefusal(now, true) }, func(*Upstream) {}, refusalWithRoomWait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, now := manyUpstreams(200)
--- a/state/fleet/fleet_test.go
+++ b/state/fleet/fleet_test.go
@@ -144,7 +144,7 @@
 	u := newTestUpstream(spanrill.EngineEntry{}, 0)
 	var now, last spanrill.Millis
 	for range maxCountedRefusals {
-		u.Refused(now, false)
+		u.RecordRefusal(now, false)
 		wait := spanrill.Millis(0)
 		for u.Avoided(now + wait) {
 			wait += 10
@@ -154,10 +154,10 @@
 		}
 		last, now = wait, now+wait
 	}
-	if u.Accepted(now - last - 1); !u.RefusesPersistently(now - 1) {
+	if u.RecordAccepted(now - last - 1); !u.RefusesPersistently(now - 1) {
 		t.Fatal("a request sent before the last refusal ended the avoidance")
 	}
-	if u.Accepted(now); u.RefusesPersistently(now-1) || u.Avoided(now-1) {
+	if u.RecordAccepted(now); u.RefusesPersistently(now-1) || u.Avoided(now-1) {
 		t.Fatal("the upstream is still avoided after it accepted a request")
 	}
 }
@@ -166,7 +166,7 @@
 // of its running streams.
 func TestProgressDoesNotEndRefusal(t *testing.T) {
 	u := newTestUpstream(spanrill.EngineEntry{}, 0)
-	u.Refused(100, true)
+	u.RecordRefusal(100, true)
 	if u.RecordProgress(110); !u.Avoided(120) {
 		t.Fatal("a running stream ended the avoidance")
 	}
@@ -175,7 +175,7 @@
 // Guards against a short first wait for an upstream that refuses although it has room.
 func TestRefusalWithRoom(t *testing.T) {
 	u := newTestUpstream(spanrill.EngineEntry{}, 0)
-	u.Refused(0, true)
+	u.RecordRefusal(0, true)
 	if !u.Avoided(refusalWithRoomWait-1) || u.Avoided(refusalWithRoomWait) {
 		t.Fatal("the upstream is not avoided for exactly refusalWithRoomWait")
 	}
--- a/state/fleet/incarnation_test.go
+++ b/state/fleet/incarnation_test.go
@@ -33,7 +33,7 @@
 	u.Reserve(900)
 	u.Begin()
 	u.SetPeerLoad(500, 2)
-	u.Refused(c.Now(), true)
+	u.RecordRefusal(c.Now(), true)
 	u.RecordFailure(c.Now())
 	u.Avoid(c.Now() + spanrill.Minute)
 	u.SetPace(3)
--- a/state/fleet/refusal.go
+++ b/state/fleet/refusal.go
@@ -38,11 +38,11 @@
 	r.until.Store(int64(now + wait))
 }
 
-// Refused records that the upstream has refused a new request, and keeps new requests from it for a
+// RecordRefusal records that the upstream has refused a new request, and keeps new requests from it for a
 // time that grows with each consecutive refusal. An upstream that refuses although it has room
 // leaves without notice or gives up layers. It still serves its running requests, and the wait is
 // longer from the first refusal on.
-func (u *Upstream) Refused(now spanrill.Millis, hasRoom bool) {
+func (u *Upstream) RecordRefusal(now spanrill.Millis, hasRoom bool) {
 	times := min(u.refusal.consecutive.Add(1), maxCountedRefusals)
 	u.refusal.lastHereAt.Store(int64(now))
 	wait := firstRefusalWait << (times - 1)
@@ -54,8 +54,8 @@
 	u.addToActive()
 }
 
-// RefusalReported records that another daemon has reported that the upstream refuses new requests.
-func (u *Upstream) RefusalReported(now spanrill.Millis) {
+// RecordReportedRefusal records that another daemon has reported that the upstream refuses new requests.
+func (u *Upstream) RecordReportedRefusal(now spanrill.Millis) {
 	if !u.Avoided(now) {
 		u.refusal.unexplained.Store(true)
 		u.refusal.avoidFor(now, reportedRefusalWait)
@@ -82,9 +82,9 @@
 	return u.refusal.consecutive.Load() > 0 && u.RefusesPersistently(now) || u.Resting(now) || u.AnnouncedLeaving()
 }
 
-// Accepted records that the upstream processes a request that was sent at the given time. If that
+// RecordAccepted records that the upstream processes a request that was sent at the given time. If that
 // was not before the last refusal, the avoidance because of refusals ends.
-func (u *Upstream) Accepted(sentAt spanrill.Millis) {
+func (u *Upstream) RecordAccepted(sentAt spanrill.Millis) {
 	r := &u.refusal
 	if int64(sentAt) < r.lastAt.Load() {
 		return
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -53,8 +53,8 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// ImplausibleValues describes the implausible values of the configuration, which were ignored.
-func (t *Table) ImplausibleValues() []string { return t.config.IgnoredValues }
+// IgnoredValues describes the implausible values of the configuration, which were ignored.
+func (t *Table) IgnoredValues() []string { return t.config.IgnoredValues }
 
 // Limits returns the limits on what callers may send.
 func (t *Table) Limits() spanrill.CallerLimits { return t.config.Limits }
--- a/transport/callerhttp/server.go
+++ b/transport/callerhttp/server.go
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// Open returns how many connections are open.
-func (s *Server) Open() int64 { return s.open.Load() }
+// OpenConnections returns how many connections are open.
+func (s *Server) OpenConnections() int64 { return s.open.Load() }
 
 // CloseIdle stops listening and closes the connections on which no request is
 // being served. It does not wait, and may be called again.
--- a/transport/httpcall/client.go
+++ b/transport/httpcall/client.go
@@ -94,8 +94,8 @@
 	return func(c *Client) { c.maxIdle = f }
 }
 
-// WithMaxTotal sets how many idle connections are kept in total.
-func WithMaxTotal(n int) Option {
+// WithMaxIdleTotal sets how many idle connections are kept in total.
+func WithMaxIdleTotal(n int) Option {
 	return func(c *Client) { c.maxTotal = n }
 }
 
