--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -249,7 +249,7 @@
 	_msgpack  struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Name      string
 	Revision  uint64          // of the newest configuration known, or 0
-	ConfigAge  spanrill.Millis // time since that configuration was confirmed as the newest, when the answer was made
+	ConfigAge spanrill.Millis // time since that configuration was confirmed as the newest, when the answer was made
 	Uses      []UpstreamUse   // what the sender's own requests hold, in a small fleet
 	Placement *Placement      // last statement of the placement lease's holder, or nil
 	Leaving   bool
