--- a/coordination/exchange/apply.go
+++ b/coordination/exchange/apply.go
@@ -21,7 +21,7 @@
 	}
 	others, known := e.peerSum(now)
 	e.state.Budgets.StartRound(others.retries, retry.Fleet{
-		Known: known, Daemons: max(known, 1+int(e.otherCount.Load())), Rounds: e.AggregationRounds(), Complete: e.Settled(),
+		Known: known, Daemons: max(known, 1+int(e.otherCount.Load())), Rounds: e.AggregationRounds(), Complete: e.FleetSizeKnown(),
 	})
 	e.dropReportedTargets()
 	e.applyPaces()
@@ -132,7 +132,7 @@
 	view := e.state.Fleet.View()
 	for key := range refusing {
 		if u := view.ByKey(key); u != nil {
-			u.RefusalReported(now)
+			u.RecordReportedRefusal(now)
 		}
 	}
 }
--- a/coordination/ratelimit/limiter_test.go
+++ b/coordination/ratelimit/limiter_test.go
@@ -214,7 +214,7 @@
 }
 
 // Guards against older or invalid messages that replace a newer limit.
-func TestTakeNews(t *testing.T) {
+func TestMergeNews(t *testing.T) {
 	message := func(age spanrill.Millis, perSecond float64) peermsg.UpstreamLimit {
 		return peermsg.UpstreamLimit{Upstream: fleet.KeyOf(upstreamID), Set: true, PerSecond: perSecond, Age: age}
 	}
@@ -233,7 +233,7 @@
 			n := newNetwork(1, 3, 1)
 			m := n.daemons[0]
 			n.clock.Advance(1000)
-			TakeNews(m.table, []peermsg.UpstreamLimit{c.news}, n.clock.Now())
+			MergeNews(m.table, []peermsg.UpstreamLimit{c.news}, n.clock.Now())
 			if got := m.upstream().Limit().PerSecond; got != c.want {
 				t.Errorf("limit %v, want %v", got, c.want)
 			}
@@ -247,7 +247,7 @@
 	from, to := n.daemons[0], n.newMember("new")
 	exchange := func() {
 		n.clock.Advance(100)
-		TakeNews(to.table, News(from.table, n.clock, to.table.LimitsDigest()), n.clock.Now())
+		MergeNews(to.table, News(from.table, n.clock, to.table.LimitsDigest()), n.clock.Now())
 	}
 	exchange()
 	if got := to.upstream().Limit().PerSecond; got != 3 {
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -47,12 +47,12 @@
 	return ok
 }
 
-// contends reports whether this daemon should try to take the lease: it is not stopping, has a
-// configuration, and no peer reports that it holds the lease.
+// isLeaseCandidate reports whether this daemon should try to take the lease: it is not stopping,
+// has a configuration, and no peer reports that it holds the lease.
 //
 // Only the first in rank try at once, and of daemons that have just started only the seeds. The
 // others try when the lease has been free for so long that the first ones must be unreachable.
-func (g *Gateway) contends() bool {
+func (g *Gateway) isLeaseCandidate() bool {
 	now := int64(g.clock.Now())
 	if g.exchange.PlacementHeld() || g.leaseFreeSince.Load() < 0 {
 		g.leaseFreeSince.Store(now)
@@ -70,12 +70,13 @@
 	return contends
 }
 
-// yields reports whether this daemon, as the holder of the placement lease, hands it to a daemon
-// with a larger CPU share. When all daemons start, a seed takes the lease whatever its share.
-// Running orders continue, and the next holder reads from the engines which layers they hold.
-func (g *Gateway) yields() bool {
+// shouldYieldLease reports whether this daemon, as the holder of the placement lease, hands it to a
+// daemon with a larger CPU share. When all daemons start, a seed takes the lease whatever its
+// share. Running orders continue, and the next holder reads from the engines which layers they
+// hold.
+func (g *Gateway) shouldYieldLease() bool {
 	contendedLate := g.clock.Now()-spanrill.Millis(g.lateContentionAt.Load()) < holderGrace
-	if contendedLate || g.isStarting() || !g.exchange.Settled() {
+	if contendedLate || g.isStarting() || !g.exchange.FleetSizeKnown() {
 		return false // those first in rank did not take the lease when it was free
 	}
 	first := g.peers.list.Ranked("placement")[0]
@@ -196,8 +197,8 @@
 // askersForOthers daemons ask at first, however many there are; if no news follows, all ask
 // within allAskAfter.
 func askForOthersChance(late spanrill.Millis, daemons int, spread spanrill.Millis) float64 {
-	looksPerBroadcast := float64(max(spread, newsRound)) / float64(refreshPoll)
-	first := askersForOthers / (looksPerBroadcast * float64(max(1, daemons)))
+	checksPerBroadcast := float64(max(spread, newsRound)) / float64(refreshPoll)
+	first := askersForOthers / (checksPerBroadcast * float64(max(1, daemons)))
 	return min(1, first+math.Pow(float64(late)/float64(allAskAfter), askChanceExponent))
 }
 
@@ -275,7 +276,7 @@
 // rank among the few peers that it knows is too high then. A daemon that has run for a
 // while uses its rank even while others join, because the seeds may be gone.
 func (g *Gateway) isStarting() bool {
-	return len(g.settings.Peers) > 0 && !g.exchange.Settled() && g.clock.Now()-g.startedAt < maxStartTime
+	return len(g.settings.Peers) > 0 && !g.exchange.FleetSizeKnown() && g.clock.Now()-g.startedAt < maxStartTime
 }
 
 // maxStartTime is how long a daemon takes at most to know a fleet that starts with it: 300
@@ -336,8 +337,9 @@
 	return max(g.configs.UnresponsiveFor(), g.upstreams.UnresponsiveFor()) > storeSilence
 }
 
-// storeSilence is how long store calls fail or hang before other daemons are told: 75 times the
-// usual answer time of 4 ms, and more than an answer takes from a store that is 60 times slower.
+// storeSilence is how long store calls fail or hang before this daemon reports it to others: 75
+// times the usual answer time of 4 ms, and more than an answer takes from a store that is 60 times
+// slower.
 const storeSilence spanrill.Millis = 300
 
 // maxRetryPause returns the longest pause between failed store calls. In a fleet where news
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -111,7 +111,7 @@
 	draining            atomic.Bool
 	wasFresh            atomic.Bool
 	reportedTable       *routes.Table // whose ignored values were logged; used by upkeep only
-	storeEra            uint64        // last era seen by noteEra
+	storeEra            uint64        // last era seen by logEraChange
 	liveDaemons         atomic.Int64  // number of daemons known to be alive, including this one
 	wasAccepting        atomic.Bool   // result of the last check in logAccepting
 	leaseHeldAt         atomic.Int64  // when this daemon last held the placement lease
@@ -198,7 +198,7 @@
 func (g *Gateway) build(connect Connect) error {
 	g.http = httpcall.New(httpcall.WithDialTimeout(dialTimeout), httpcall.WithLogger(g.log), httpcall.WithMeters(g.meters),
 		httpcall.WithOnHeaders(g.handleHeaders), httpcall.WithMaxIdle(g.maxIdle),
-		httpcall.WithMaxTotal(conncap.IdleTotal(g.settings.Descriptors)))
+		httpcall.WithMaxIdleTotal(conncap.IdleTotal(g.settings.Descriptors)))
 	g.config = routes.NewCurrent(g.clock)
 	g.adapter = connect(g.settings.Platform, g.http, g.recordStoreCall)
 	g.fleet = fleet.New(g.clock, g.adapter.DecodeEntry, fleet.WithLogger(g.log), fleet.WithDrain(g.settings.Bounds.Drain),
@@ -218,7 +218,7 @@
 	}
 	g.limiter = ratelimit.New(g.fleet, g.clock, g.peers)
 	g.lease = lease.New(g.adapter.Store, g.clock, "placement", g.peers.name, lease.WithDuration(leaseTime),
-		lease.WithLogger(g.log), lease.WithCandidate(g.contends), lease.WithYield(g.yields), lease.WithEra(g.adapter.Era))
+		lease.WithLogger(g.log), lease.WithCandidate(g.isLeaseCandidate), lease.WithYield(g.shouldYieldLease), lease.WithEra(g.adapter.Era))
 	g.keeper = suspect.NewKeeper(g.suspects, g.adapter.Store, g.clock, g.log, func() bool { _, ok := g.lease.Held(); return ok },
 		suspect.WithEra(g.adapter.Era))
 	g.exchange = exchange.New(g.peers, exchange.State{
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -66,7 +66,7 @@
 		"exchange":      g.exchange.Run,
 		"placement":     g.placer.Run,
 		"suspects":      g.keeper.Run,
-		"callers gone":  g.relay.Run,
+		"relay":         g.relay.Run,
 		"upkeep":        g.upkeep,
 		"readiness":     g.serveReady,
 		"callers":       g.serveCallers,
@@ -100,7 +100,7 @@
 		g.logDroppedLines()
 		daemons := len(g.peers.list.Live())
 		g.liveDaemons.Store(int64(daemons))
-		g.router.SetFleet(daemons, g.exchange.AggregationRounds(), g.exchange.Settled())
+		g.router.SetFleet(daemons, g.exchange.AggregationRounds(), g.exchange.FleetSizeKnown())
 		g.router.SetStarting(g.isStarting() && g.clock.Now()-g.startedAt < callerReturnTime)
 		g.router.SetDemand(g.budgets.Demand())
 		select {
--- a/transport/peernet/silence_test.go
+++ b/transport/peernet/silence_test.go
@@ -44,7 +44,7 @@
 func ask(n *Net, addr string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	_, err := n.Ask(ctx, addr, testKind, nil)
+	_, err := n.Request(ctx, addr, testKind, nil)
 	return err
 }
 
@@ -86,7 +86,7 @@
 		t.Fatalf("%d connections were made for a link that works", proxy.Accepted())
 	}
 	wantSilences(t, a, hook, 0)
-	proxy.Set(faultproxy.Faults{Silence: true})
+	proxy.SetFaults(faultproxy.Faults{Silence: true})
 	for range silentTimeouts {
 		if err := ask(a, addr); !errors.Is(err, context.DeadlineExceeded) {
 			t.Fatalf("request on a silent link: %v, want a timeout", err)
@@ -114,7 +114,7 @@
 	slow := make(chan error, 2*silentTimeouts)
 	for range cap(slow) {
 		go func() {
-			_, err := a.Ask(ctx, addr, oneWay, nil)
+			_, err := a.Request(ctx, addr, oneWay, nil)
 			slow <- err
 		}()
 	}
@@ -148,7 +148,7 @@
 	}
 	<-received
 	for _, p := range proxies {
-		p.Set(faultproxy.Faults{Silence: true})
+		p.SetFaults(faultproxy.Faults{Silence: true})
 	}
 	for range silentTimeouts {
 		_, _ = ask(a, addrs[0]), ask(a, addrs[1])
