--- a/cli/spanrillcmd/soak.go
+++ b/cli/spanrillcmd/soak.go
@@ -51,7 +51,7 @@
 			return fmt.Errorf("create a directory for the daemon: %w", err)
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
-		if program, err = soak.Build(ctx, dir); err != nil {
+		if program, err = soak.BuildDaemon(ctx, dir); err != nil {
 			return err
 		}
 	}
@@ -81,7 +81,7 @@
 // soakSeed runs one seed. It removes the logs and settings of a run without violations.
 func soakSeed(ctx context.Context, o soak.Options) (*soak.Report, error) {
 	var err error
-	if o.Dir, err = soak.Dir(o.Seed); err != nil {
+	if o.Dir, err = soak.MakeDir(o.Seed); err != nil {
 		return nil, err
 	}
 	report, err := soak.Run(ctx, o)
@@ -114,7 +114,7 @@
 		fmt.Fprintf(w, "  %6d  %s\n", r.Statuses[s], s)
 	}
 	for _, v := range r.Violations {
-		fmt.Fprintf(w, "  %s: %s at %v on %s: %s\n", v.Rule, v.Request, v.At, v.Daemon, v.What)
+		fmt.Fprintf(w, "  %s: %s at %v on %s: %s\n", v.Rule, v.Request, v.At, v.Daemon, v.Description)
 	}
 	if r.Logs != "" {
 		fmt.Fprintf(w, "  logs and settings: %s\n", r.Logs)
--- a/soak/check.go
+++ b/soak/check.go
@@ -17,7 +17,7 @@
 	Request string        `json:"request,omitempty"`
 	Daemon  string        `json:"daemon,omitempty"`
 	At      time.Duration `json:"at"` // since the callers started
-	What    string        `json:"what"`
+	Description    string        `json:"what"`
 }
 
 // The rules. Their texts appear in the report.
@@ -87,7 +87,7 @@
 	var all []Violation
 	addViolation := func(s callRecord, rule, what string) {
 		if what != "" {
-			all = append(all, Violation{Rule: rule, Request: s.id, Daemon: s.daemon.name, At: s.sent.Sub(r.startTime).Round(time.Millisecond), What: what})
+			all = append(all, Violation{Rule: rule, Request: s.id, Daemon: s.daemon.name, At: s.sent.Sub(r.startTime).Round(time.Millisecond), Description: what})
 		}
 	}
 	for _, s := range r.records.list() {
@@ -114,12 +114,12 @@
 		}
 	}
 	for _, what := range r.env.fleet.Violations() {
-		all = append(all, Violation{Rule: ruleLayers, What: what})
+		all = append(all, Violation{Rule: ruleLayers, Description: what})
 	}
 	for _, p := range r.daemons {
 		p.mu.Lock()
 		for _, what := range p.failures {
-			all = append(all, Violation{Rule: ruleUnexpectedEnd, Daemon: p.name, What: what})
+			all = append(all, Violation{Rule: ruleUnexpectedEnd, Daemon: p.name, Description: what})
 		}
 		p.mu.Unlock()
 	}
--- a/soak/process.go
+++ b/soak/process.go
@@ -135,7 +135,7 @@
 
 // BuildDaemon builds the daemon from the module in the current directory and returns the path of the
 // program.
-func Build(ctx context.Context, dir string) (string, error) {
+func BuildDaemon(ctx context.Context, dir string) (string, error) {
 	file := filepath.Join(dir, "spanrilld")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", file, "spanrill/cmd/spanrilld").CombinedOutput()
 	if err != nil {
--- a/soak/run.go
+++ b/soak/run.go
@@ -273,7 +273,7 @@
 	if float64(served) < minServedShare*recoveryCalls && ctx.Err() == nil {
 		r.recoveryViolations = append(r.recoveryViolations, Violation{
 			Rule: ruleRecovers, At: time.Since(r.startTime).Round(time.Millisecond),
-			What: fmt.Sprintf("%d of %d requests were served %v after the last fault; the last failure: status %d, error %v, body %s", served, recoveryCalls, recoveryTime, last.Status, last.Err, last.Body),
+			Description: fmt.Sprintf("%d of %d requests were served %v after the last fault; the last failure: status %d, error %v, body %s", served, recoveryCalls, recoveryTime, last.Status, last.Err, last.Body),
 		})
 	}
 }
@@ -302,7 +302,7 @@
 }
 
 // MakeDir creates a temporary directory for the settings and logs of a run.
-func Dir(seed uint64) (string, error) {
+func MakeDir(seed uint64) (string, error) {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("spanrill-soak-%d-", seed))
 	if err != nil {
 		return "", fmt.Errorf("create log directory: %w", err)
