--- a/soak/check.go
+++ b/soak/check.go
@@ -13,11 +13,11 @@
 
 // Violation is one breach of a rule.
 type Violation struct {
-	Rule    string        `json:"rule"`
-	Request string        `json:"request,omitempty"`
-	Daemon  string        `json:"daemon,omitempty"`
-	At      time.Duration `json:"at"` // since the callers started
-	Description    string        `json:"what"`
+	Rule        string        `json:"rule"`
+	Request     string        `json:"request,omitempty"`
+	Daemon      string        `json:"daemon,omitempty"`
+	At          time.Duration `json:"at"` // since the callers started
+	Description string        `json:"what"`
 }
 
 // The rules. Their texts appear in the report.
