--- a/coordination/membership/gossip.go
+++ b/coordination/membership/gossip.go
@@ -37,17 +37,17 @@
 // not copy the pool, because n is small and the fleet may be large.
 func (l *List) sample(picked, pool []int, n int) []int {
 	remaining := 0
-	for _, at := range pool {
-		if !slices.Contains(picked, at) {
+	for _, index := range pool {
+		if !slices.Contains(picked, index) {
 			remaining++
 		}
 	}
 	for ; remaining > 0 && len(picked) < n; remaining-- {
-		at := pool[l.random.IntN(len(pool))]
-		for slices.Contains(picked, at) {
-			at = pool[l.random.IntN(len(pool))]
+		index := pool[l.random.IntN(len(pool))]
+		for slices.Contains(picked, index) {
+			index = pool[l.random.IntN(len(pool))]
 		}
-		picked = append(picked, at)
+		picked = append(picked, index)
 	}
 	return picked
 }
@@ -108,8 +108,8 @@
 }
 
 // withReceiver adds the receiver's entry to gossip. The receiver answers when it sees that its
-// heartbeat is outdated or unknown to the sender. Without this entry, a daemon that no message
-// happens to name would stay unknown: see docs/FINDINGS.md, 30.
+// heartbeat is outdated or unknown to the sender. Without this entry, a daemon that appears in no
+// other gossip would stay unknown: see docs/FINDINGS.md, 30.
 func withReceiver(g *peermsg.Gossip, receiver peermsg.Member) *peermsg.Gossip {
 	return &peermsg.Gossip{Members: append(slices.Clone(g.Members), receiver)}
 }
@@ -130,8 +130,8 @@
 // appendRandom adds random entries until the message is full.
 func (l *List) appendRandom(members []peermsg.Member, entries []*entry) []peermsg.Member {
 	for i := 0; i < len(entries) && len(members) < maxMembers; i++ {
-		k := i + l.random.IntN(len(entries)-i)
-		entries[i], entries[k] = entries[k], entries[i]
+		j := i + l.random.IntN(len(entries)-i)
+		entries[i], entries[j] = entries[j], entries[i]
 		members = append(members, entries[i].member)
 	}
 	return members
@@ -140,20 +140,20 @@
 // Merge updates the list from the gossip of a peer.
 func (l *List) Merge(g *peermsg.Gossip) {
 	var newer *peermsg.Member
-	own := l.revision()
-	isNew := len(g.Members) > 0 && !g.Answer && !l.knows(g.Members[0])
+	ownRevision := l.revision()
+	senderIsNew := len(g.Members) > 0 && !g.Answer && !l.knows(g.Members[0])
 	for i := range g.Members {
 		m := &g.Members[i]
 		if m.Name == l.self.Name {
 			l.refute(g.Members[0], *m)
 			continue
 		}
-		if l.updateMember(*m) && m.Revision > own && (newer == nil || m.Revision > newer.Revision) {
+		if l.updateMember(*m) && m.Revision > ownRevision && (newer == nil || m.Revision > newer.Revision) {
 			newer = m
 		}
 	}
 	l.publishThrottled()
-	if isNew {
+	if senderIsNew {
 		l.sendIntroduction(g.Members[0])
 	}
 	if newer != nil {
@@ -169,10 +169,11 @@
 	return m.Name == l.self.Name || e != nil && e.member.Incarnation >= m.Incarnation
 }
 
-// sendIntroduction answers the first message of a daemon with some live members. A new daemon
-// may know only box names, while daemon names change with each start, so that refute does not
-// answer it. Without this answer, 300 daemons that started together with three known addresses
-// discovered no other daemon for 1.5 to 5 s.
+// sendIntroduction answers the first message of a daemon with some live members. A new daemon may
+// know the other daemons only by the names of their boxes. Daemon names change with each start, so
+// that Merge does not find its own name in such a message and refute is not called. Without this
+// answer, 300 daemons that started together with three known addresses discovered no other daemon
+// for 1.5 to 5 s.
 func (l *List) sendIntroduction(m peermsg.Member) {
 	if m.Leaving {
 		return
@@ -183,7 +184,7 @@
 }
 
 // introduction returns this daemon's entry and those of random live members without the
-// receiver. The selection is made anew for each receiver.
+// receiver. Each call makes a new random selection.
 func (l *List) introduction(to string) *peermsg.Gossip {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -91,7 +91,7 @@
 	f.runRounds(10)
 	for name := range f.lists {
 		if f.liveCount(name) != 8 {
-			t.Fatalf("%s sees %d daemons", name, f.liveCount(name))
+			t.Fatalf("%s sees %d daemons, want 8", name, f.liveCount(name))
 		}
 	}
 }
@@ -102,13 +102,13 @@
 	f.runRounds(deadRounds+4, "d3")
 	for name := range f.lists {
 		if name != "d3" && f.liveCount(name) != 7 {
-			t.Fatalf("%s sees %d daemons while d3 is frozen", name, f.liveCount(name))
+			t.Fatalf("%s sees %d daemons while d3 is frozen, want 7", name, f.liveCount(name))
 		}
 	}
 	f.runRounds(6)
 	for name := range f.lists {
 		if f.liveCount(name) != 8 {
-			t.Fatalf("%s sees %d daemons after d3 was thawed", name, f.liveCount(name))
+			t.Fatalf("%s sees %d daemons after d3 was thawed, want 8", name, f.liveCount(name))
 		}
 	}
 }
@@ -120,14 +120,14 @@
 	f.runRounds(deadRounds + 4)
 	for name := range f.lists {
 		if f.liveCount(name) != 4 {
-			t.Fatalf("%s sees %d daemons during the partition", name, f.liveCount(name))
+			t.Fatalf("%s sees %d daemons during the partition, want 4", name, f.liveCount(name))
 		}
 	}
 	f.blocked = func(string, string) bool { return false }
 	f.runRounds(12)
 	for name := range f.lists {
 		if f.liveCount(name) != 8 {
-			t.Fatalf("%s sees %d daemons after the partition", name, f.liveCount(name))
+			t.Fatalf("%s sees %d daemons after the partition, want 8", name, f.liveCount(name))
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	f.runRounds(6)
 	for name := range f.lists {
 		if f.liveCount(name) != 4 {
-			t.Fatalf("%s sees %d daemons", name, f.liveCount(name))
+			t.Fatalf("%s sees %d daemons after d2 was restarted, want 4", name, f.liveCount(name))
 		}
 	}
 }
@@ -170,7 +170,7 @@
 	t.Helper()
 	for _, from := range f.boxes {
 		if round >= convergenceRound && f.liveCount(from.Name) != len(f.boxes) {
-			t.Errorf("round %d: %s sees %d daemons", round, from.Name, f.liveCount(from.Name))
+			t.Errorf("round %d: %s sees %d daemons, want all", round, from.Name, f.liveCount(from.Name))
 		}
 		for _, of := range f.boxes {
 			e := f.lists[from.Name].entries[of.Name]
@@ -198,7 +198,7 @@
 			for _, of := range f.boxes {
 				a, b := f.lists[from.Name].entries[of.Name], g.lists[from.Name].entries[of.Name]
 				if (a == nil) != (b == nil) || a != nil && *a != *b {
-					t.Fatalf("round %d: what %s knows of %s differs", round, from.Name, of.Name)
+					t.Fatalf("round %d: the entry that %s has of %s differs between two runs with the same seed", round, from.Name, of.Name)
 				}
 			}
 		}
@@ -210,7 +210,7 @@
 	f := newFleet(2)
 	f.runRoundOf("d0")
 	if f.liveCount("d0") != 2 {
-		t.Fatalf("d0 sees %d daemons after it asked d1", f.liveCount("d0"))
+		t.Fatalf("d0 sees %d daemons after its first round, want 2", f.liveCount("d0"))
 	}
 }
 
@@ -221,12 +221,12 @@
 	f.blocked = func(string, string) bool { return true }
 	f.runRounds(deadRounds + 4)
 	if f.liveCount("d0") != 1 {
-		t.Fatalf("d0 sees %d daemons while messages are blocked", f.liveCount("d0"))
+		t.Fatalf("d0 sees %d daemons while messages are blocked, want 1", f.liveCount("d0"))
 	}
 	f.blocked = func(string, string) bool { return false }
 	f.runRoundOf("d0")
 	if f.liveCount("d0") != 2 {
-		t.Fatalf("d0 sees %d daemons after it asked d1", f.liveCount("d0"))
+		t.Fatalf("d0 sees %d daemons after messages are no longer blocked, want 2", f.liveCount("d0"))
 	}
 }
 
@@ -255,7 +255,7 @@
 	f.runRounds(deadRounds+4, "d5")
 	for key, owner := range before {
 		if now := l.Owners(key, 1)[0].Name; owner != "d5" && now != owner {
-			t.Fatalf("key %s moved from %s to %s", key, owner, now)
+			t.Fatalf("key %s moved from %s to %s, want it to stay because only d5 was lost", key, owner, now)
 		}
 	}
 }
@@ -268,6 +268,6 @@
 	f.lists["new"].SetBoxes([]spanrill.Box{{Name: "other", Role: spanrill.RoleEntry, PeerAddr: "d0"}})
 	f.runRoundOf("new")
 	if f.liveCount("new") != 9 {
-		t.Fatalf("the new daemon sees %d daemons after its first message", f.liveCount("new"))
+		t.Fatalf("the new daemon sees %d daemons after its first message, want 9", f.liveCount("new"))
 	}
 }
--- a/coordination/membership/owners.go
+++ b/coordination/membership/owners.go
@@ -51,7 +51,7 @@
 func rankMembers(key string, members []peermsg.Member) []peermsg.Member {
 	type scored struct {
 		score uint64
-		at    int
+		index int
 	}
 	scores := make([]scored, len(members))
 	for i, m := range members {
@@ -60,7 +60,7 @@
 	slices.SortFunc(scores, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 	out := make([]peermsg.Member, len(members))
 	for i, s := range scores {
-		out[i] = members[s.at]
+		out[i] = members[s.index]
 	}
 	return out
 }
--- a/coordination/membership/state.go
+++ b/coordination/membership/state.go
@@ -55,8 +55,8 @@
 
 // insert adds the entry of an unknown member. The caller holds the lock.
 func (l *List) insert(name string, e *entry) {
-	at, _ := slices.BinarySearchFunc(l.sorted, name, func(e *entry, name string) int { return strings.Compare(e.member.Name, name) })
-	l.sorted = slices.Insert(l.sorted, at, e)
+	index, _ := slices.BinarySearchFunc(l.sorted, name, func(e *entry, name string) int { return strings.Compare(e.member.Name, name) })
+	l.sorted = slices.Insert(l.sorted, index, e)
 	l.entries[name] = e
 }
 
@@ -94,7 +94,8 @@
 }
 
 // maxEventsPerSecond bounds the log lines of each event. When a fleet starts or loses power,
-// each daemon sees all others join or leave at once. A line tells how many were omitted before.
+// each daemon sees all others join or leave at once. Each line contains the number of lines that
+// were omitted before it.
 const maxEventsPerSecond = 50
 
 func newEventLimiters(clock spanrill.Clock) map[events.Event]*events.Limiter {
@@ -112,12 +113,12 @@
 	round := l.scaledRound()
 	l.sorted = slices.DeleteFunc(l.sorted, func(e *entry) bool { return l.forgetIfExpired(e, now, round) })
 	for _, e := range l.sorted {
-		silent := now - e.heartbeatAt
+		sinceHeartbeat := now - e.heartbeatAt
 		switch {
 		case e.state == left:
-		case silent > round*deadRounds:
+		case sinceHeartbeat > round*deadRounds:
 			l.setState(e, dead)
-		case silent > round*suspectRounds:
+		case sinceHeartbeat > round*suspectRounds:
 			l.setState(e, suspected)
 		}
 	}
