--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -7,10 +7,10 @@
 // for the duration of the lease plus a margin, by its own clock. Clocks of different daemons are
 // never compared.
 //
-// A holder must call Held before each action: a holder that was frozen then finds that its lease
-// has expired. It can also be frozen between that call and the action. Therefore each order
-// carries the term, and an upstream that checks fencing tokens refuses a lower one. For an
-// upstream that does not check them, see HeldFor.
+// A holder must call Held before each action, so that it notices when its lease expired while it
+// was frozen. It can also be frozen between that call and the action. Therefore each order carries
+// the term as a fencing token, and an upstream that checks these tokens refuses a lower term. For
+// an upstream that does not check them, see HeldFor.
 //
 // # Usage
 //
@@ -122,7 +122,7 @@
 	return l
 }
 
-// Duty returns the name of the lease.
+// Duty returns the name of the duty that the lease assigns.
 func (l *Lease) Duty() string { return l.duty }
 
 func (l *Lease) key() string { return "leases/" + l.duty }
@@ -226,9 +226,9 @@
 	if !held {
 		return false
 	}
-	until := l.expiry()
+	oldExpiry := l.expiry()
 	l.write(ctx, r, v)
-	return l.expiry() > until
+	return l.expiry() > oldExpiry
 }
 
 func (l *Lease) expiry() spanrill.Millis {
@@ -242,7 +242,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	l.noteRestore(r, v, now)
+	l.detectRestore(r, v, now)
 	if v != l.seenVersion {
 		l.seenVersion, l.seenAt = v, now
 	}
@@ -250,7 +250,7 @@
 	if l.term != 0 && l.term == r.Term && r.Holder == l.holder {
 		return true
 	}
-	if l.restore.noticedAt > 0 && now-l.restore.noticedAt <= l.duration+l.duration/marginDivisor {
+	if l.restore.detectedAt > 0 && now-l.restore.detectedAt <= l.duration+l.duration/marginDivisor {
 		return l.term != 0 && now < l.expiresAt // another daemon may hold a lease that the restored store lacks
 	}
 	if v == "" || r.Holder == "" {
@@ -322,7 +322,7 @@
 	l.seenVersion, l.seenAt, l.current = v, sent, r
 }
 
-// dropIfExpired drops the term of an expired lease.
+// dropIfExpired clears the term and logs the loss if the held lease has expired.
 func (l *Lease) dropIfExpired() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -32,10 +32,10 @@
 	return &testPlatform{t: t, platform: p, addr: addr}
 }
 
-func (w *testPlatform) lease(name string, c spanrill.Clock) *Lease {
+func (p *testPlatform) lease(name string, c spanrill.Clock) *Lease {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	store := objectapi.New(w.addr, httpcall.New())
+	store := objectapi.New(p.addr, httpcall.New())
 	return New(store, c, "placement/quebec", name, WithDuration(testDuration), WithLogger(log))
 }
 
@@ -49,8 +49,8 @@
 }
 
 func TestOneHolderAtATime(t *testing.T) {
-	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
-	a, b := w.lease("a", c), w.lease("b", c)
+	p, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
+	a, b := p.lease("a", c), p.lease("b", c)
 	a.RenewOrAcquire(ctx)
 	b.RenewOrAcquire(ctx)
 	checkHeld(t, a, true)
@@ -67,8 +67,8 @@
 // Guards against a holder that still holds its lease after it was frozen beyond its expiry, and
 // against a next holder with the same or a lower term.
 func TestFrozenHolderLosesLease(t *testing.T) {
-	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
-	a, b := w.lease("a", c), w.lease("b", c)
+	p, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
+	a, b := p.lease("a", c), p.lease("b", c)
 	a.RenewOrAcquire(ctx)
 	old := checkHeld(t, a, true)
 	b.RenewOrAcquire(ctx)
@@ -90,8 +90,8 @@
 // Guards against two holders because of a slow platform: the duration counts from before the write
 // is sent, so that a slow write shortens the lease.
 func TestSlowWriteDoesNotExtendTheLease(t *testing.T) {
-	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
-	a := w.lease("a", c)
+	p, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
+	a := p.lease("a", c)
 	slow := &slowStore{ObjectStore: a.store, clock: c, delay: testDuration}
 	a.store = slow
 	a.RenewOrAcquire(ctx)
@@ -113,30 +113,30 @@
 }
 
 func TestLostAnswerIsResolvedByReading(t *testing.T) {
-	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
-	a, b := w.lease("a", c), w.lease("b", c)
-	w.platform.SetFaults(platform.Faults{LoseAnswers: 1})
+	p, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
+	a, b := p.lease("a", c), p.lease("b", c)
+	p.platform.SetFaults(platform.Faults{LoseAnswers: 1})
 	a.RenewOrAcquire(ctx)
 	checkHeld(t, a, true)
-	w.platform.SetFaults(platform.Faults{LoseRequests: 1})
+	p.platform.SetFaults(platform.Faults{LoseRequests: 1})
 	c.Advance(testDuration / renewalsPerDuration)
 	a.RenewOrAcquire(ctx)
 	b.RenewOrAcquire(ctx)
-	checkHeld(t, a, true) // because of its first write
+	checkHeld(t, a, true) // its first write is still valid
 	checkHeld(t, b, false)
 }
 
 func TestLeaseExpiresDuringAnOutage(t *testing.T) {
-	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
-	a := w.lease("a", c)
+	p, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
+	a := p.lease("a", c)
 	a.RenewOrAcquire(ctx)
-	w.platform.SetFaults(platform.Faults{Down: true})
+	p.platform.SetFaults(platform.Faults{Down: true})
 	for range renewalsPerDuration + 1 {
 		c.Advance(testDuration / renewalsPerDuration)
 		a.RenewOrAcquire(ctx)
 	}
 	checkHeld(t, a, false)
-	w.platform.SetFaults(platform.Faults{})
+	p.platform.SetFaults(platform.Faults{})
 	for range renewalsPerDuration + 2 {
 		c.Advance(testDuration / renewalsPerDuration)
 		a.RenewOrAcquire(ctx)
@@ -145,8 +145,8 @@
 }
 
 func TestHandedBackLeaseIsAvailableAtOnce(t *testing.T) {
-	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
-	a, b := w.lease("a", c), w.lease("b", c)
+	p, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
+	a, b := p.lease("a", c), p.lease("b", c)
 	a.RenewOrAcquire(ctx)
 	a.handBack()
 	checkHeld(t, a, false)
@@ -154,9 +154,9 @@
 	checkHeld(t, b, true)
 }
 
-// A daemon that was frozen after it checked its lease sends an order with an old term. Guards
-// against an engine that checks fencing tokens and accepts it. An engine that does not check them
-// accepts it, which is why a new holder waits and reads back.
+// Guards against an engine that checks fencing tokens but accepts an order with an old term. A
+// daemon that was frozen after it checked its lease sends such an order. An engine that does not
+// check fencing tokens accepts it, which is why a new holder waits and reads back.
 func TestFenceRefusesTheOrderOfAFrozenHolder(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		e := engine.New("e1")
@@ -177,29 +177,29 @@
 			t.Fatal(err)
 		}
 		if err := order(1, 4); (err == nil) != ignores {
-			t.Errorf("ignores fences: %v, error of the order with the old term: %v", ignores, err)
+			t.Errorf("IgnoreFences %v: the order with the old term returned error %v, want an error only if fences are checked", ignores, err)
 		}
 	}
 }
 
 func TestNewHolderWaitsForEarlierOrders(t *testing.T) {
-	w, c := newTestPlatform(t), clock.NewManual()
-	a := w.lease("a", c)
+	p, c := newTestPlatform(t), clock.NewManual()
+	a := p.lease("a", c)
 	a.RenewOrAcquire(context.Background())
 	if a.HeldFor(3 * spanrill.Second) {
-		t.Fatal("HeldFor is true at once")
+		t.Fatal("HeldFor(3 s) is true immediately after the lease was acquired")
 	}
 	c.Advance(3 * spanrill.Second)
 	if !a.HeldFor(3 * spanrill.Second) {
-		t.Fatal("HeldFor is false after the longest order")
+		t.Fatal("HeldFor(3 s) is false 3 s after the lease was acquired")
 	}
 }
 
 // Guards against acquiring a lease before the expiry that its holder reported, and against waiting
 // for the whole duration after that expiry.
 func TestReportedLeaseIsAcquiredWhenItExpires(t *testing.T) {
-	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
-	a, b := w.lease("a", c), w.lease("b", c)
+	p, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
+	a, b := p.lease("a", c), p.lease("b", c)
 	a.RenewOrAcquire(ctx)
 	c.Advance(testDuration / 2)
 	v, left := a.Remaining()
@@ -217,8 +217,8 @@
 
 // Guards against acquiring a lease that was renewed after its holder reported the expiry.
 func TestRenewedReportedLeaseIsNotAcquired(t *testing.T) {
-	w, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
-	a, b := w.lease("a", c), w.lease("b", c)
+	p, c, ctx := newTestPlatform(t), clock.NewManual(), context.Background()
+	a, b := p.lease("a", c), p.lease("b", c)
 	a.RenewOrAcquire(ctx)
 	v, left := a.Remaining()
 	b.RecordExpiry(v, left)
--- a/coordination/lease/restore.go
+++ b/coordination/lease/restore.go
@@ -7,17 +7,17 @@
 // holder.
 type restoreState struct {
 	era         uint64
-	noticedAt   spanrill.Millis // when the last restore was noticed, or 0
+	detectedAt  spanrill.Millis // when the last restore was detected, or 0
 	highestTerm uint64          // highest term seen
 }
 
-// noteRestore records a restore of the store, detected by a higher era or by a lease record older
-// than the last one seen. The caller holds the lock.
-func (l *Lease) noteRestore(r record, v spanrill.Version, now spanrill.Millis) {
+// detectRestore records when a restore of the store is detected: by a higher era, or by a lease
+// record older than the last one seen. The caller holds the lock.
+func (l *Lease) detectRestore(r record, v spanrill.Version, now spanrill.Millis) {
 	era := l.era()
-	wentBack := v == "" || r.Term < l.restore.highestTerm || r.Term == l.current.Term && r.Beat < l.current.Beat
-	if l.restore.era > 0 && era > l.restore.era || l.seenVersion != "" && v != l.seenVersion && wentBack {
-		l.restore.noticedAt = now
+	isOlder := v == "" || r.Term < l.restore.highestTerm || r.Term == l.current.Term && r.Beat < l.current.Beat
+	if l.restore.era > 0 && era > l.restore.era || l.seenVersion != "" && v != l.seenVersion && isOlder {
+		l.restore.detectedAt = now
 	}
 	l.restore.era = era
 	l.restore.highestTerm = max(l.restore.highestTerm, r.Term)
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -15,34 +15,34 @@
 	writes uint64
 }
 
-func (c *fakeStore) Get(context.Context, string) (spanrill.Object, error) {
-	if c.object.Version == "" {
-		return c.object, spanrill.ErrNotFound
+func (s *fakeStore) Get(context.Context, string) (spanrill.Object, error) {
+	if s.object.Version == "" {
+		return s.object, spanrill.ErrNotFound
 	}
-	return c.object, nil
+	return s.object, nil
 }
 
-func (c *fakeStore) Put(_ context.Context, _ string, value []byte, expect spanrill.Version) (spanrill.Version, error) {
-	if expect != c.object.Version {
+func (s *fakeStore) Put(_ context.Context, _ string, value []byte, expect spanrill.Version) (spanrill.Version, error) {
+	if expect != s.object.Version {
 		return "", spanrill.ErrConflict
 	}
-	c.writes++
-	c.object = spanrill.Object{Value: value, Version: spanrill.Version(rune('a' + c.writes))}
-	return c.object.Version, nil
+	s.writes++
+	s.object = spanrill.Object{Value: value, Version: spanrill.Version(rune('a' + s.writes))}
+	return s.object.Version, nil
 }
 
-func (c *fakeStore) Watch(ctx context.Context, key string, _ spanrill.Version, _ spanrill.Millis) (spanrill.Object, error) {
-	return c.Get(ctx, key)
+func (s *fakeStore) Watch(ctx context.Context, key string, _ spanrill.Version, _ spanrill.Millis) (spanrill.Object, error) {
+	return s.Get(ctx, key)
 }
 
 // restore replaces the object with an older one and begins a new era.
-func (c *fakeStore) restore(o spanrill.Object) {
-	c.object = o
-	c.era++
+func (s *fakeStore) restore(o spanrill.Object) {
+	s.object = o
+	s.era++
 }
 
-// Guards against two concurrent holders, a decreasing term, and a lease that is never taken after
-// the store was restored from an older copy.
+// Guards against two concurrent holders, a decreasing term, and a lease that is never acquired
+// after the store was restored from an older copy.
 func TestTakeoverAfterRestore(t *testing.T) {
 	for _, test := range []struct {
 		name       string
