--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -31,7 +31,7 @@
 	"spanrill/state/record"
 )
 
-// Owners finds the daemon that writes the claims of a slot.
+// Owners determines which daemon writes the claims of a slot.
 type Owners interface {
 	// Owner returns the peer address of the daemon that owns a slot, or "" for this daemon.
 	Owner(slot int) string
@@ -106,7 +106,7 @@
 		return nil, spanrill.NewRefusal(spanrill.ReasonPlatformDown, "claiming the idempotency key took too long").WithRetryAfter(platformRetryAfter)
 	}
 	answer, refusal := run()
-	c.settle(r, answer, refusal)
+	c.recordOutcome(r, answer, refusal)
 	return answer, refusal
 }
 
@@ -181,31 +181,31 @@
 		WithOutcome(spanrill.OutcomeUnknown).WithRetryAfter(pendingRetryAfter)
 }
 
-// HeaderReplayed marks an answer recorded from an earlier call.
+// HeaderReplayed is the header of an answer that was recorded for an earlier call with the same key.
 const HeaderReplayed = "Idempotent-Replayed"
 
 // release frees a key that may have been claimed for a call that was not made.
 func (c *Claims) release(r record.Record) {
-	c.settle(r, nil, spanrill.NewRefusal(spanrill.ReasonPlatformDown, "not claimed"))
+	c.recordOutcome(r, nil, spanrill.NewRefusal(spanrill.ReasonPlatformDown, "not claimed"))
 }
 
-// settle records the outcome of a call, at the slot's owner or directly.
-func (c *Claims) settle(r record.Record, answer *spanrill.ServiceAnswer, refusal *spanrill.Refusal) {
+// recordOutcome records the outcome of a call, at the slot's owner or directly.
+func (c *Claims) recordOutcome(r record.Record, answer *spanrill.ServiceAnswer, refusal *spanrill.Refusal) {
 	outcome := spanrill.OutcomeRan
 	if refusal != nil {
 		outcome = refusal.Outcome()
 	}
 	r.End(answer, outcome)
 	slot := record.SlotOf(r.Key)
-	if addr := c.owners.Owner(slot); addr != "" && c.settleAtOwner(addr, slot, r) == nil {
+	if addr := c.owners.Owner(slot); addr != "" && c.sendOutcomeToOwner(addr, slot, r) == nil {
 		return
 	}
-	if !c.keeper.Settle(slot, r) {
+	if !c.keeper.RecordOutcome(slot, r) {
 		events.ClaimUnsettled.Log(c.log, logrus.Fields{"slot": slot, "outcome": outcome.String()})
 	}
 }
 
-func (c *Claims) settleAtOwner(addr string, slot int, r record.Record) error {
+func (c *Claims) sendOutcomeToOwner(addr string, slot int, r record.Record) error {
 	value, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("encode record: %w", err)
@@ -236,6 +236,6 @@
 func (c *Claims) HandleSettle(m *peermsg.Settlement) {
 	var r record.Record
 	if json.Unmarshal(m.Record, &r) == nil {
-		c.keeper.Settle(m.Slot, r)
+		c.keeper.RecordOutcome(m.Slot, r)
 	}
 }
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -79,7 +79,7 @@
 			wg.Go(func() {
 				answer, refusal := do(c, key, count.run(key))
 				if refusal != nil && refusal.Outcome() == spanrill.OutcomeNotRun {
-					t.Errorf("%s: %v", key, refusal)
+					t.Errorf("%s was refused with outcome not-run: %v", key, refusal)
 				}
 				if answer != nil && string(answer.Body) != key {
 					t.Errorf("%s got the answer of %s", key, answer.Body)
@@ -90,7 +90,7 @@
 	wg.Wait()
 	for key, n := range count.runs {
 		if n != 1 {
-			t.Errorf("%s ran %d times", key, n)
+			t.Errorf("%s ran %d times, want once", key, n)
 		}
 	}
 	if len(count.runs) != 60 {
@@ -111,13 +111,13 @@
 			before := count.runs[key]
 			_, refusal := do(c, key, count.run(key))
 			if refusal != nil && refusal.Outcome() == spanrill.OutcomeNotRun && count.runs[key] != before {
-				t.Errorf("%s ran, but its outcome is not-run", key)
+				t.Errorf("%s ran, but the outcome of its call is not-run", key)
 			}
 		}
 	}
 	for key, n := range count.runs {
 		if n != 1 {
-			t.Errorf("%s ran %d times", key, n)
+			t.Errorf("%s ran %d times, want once", key, n)
 		}
 	}
 }
@@ -126,19 +126,19 @@
 func TestKeyOfACallThatDidNotRunIsReleased(t *testing.T) {
 	_, store := startPlatform(t)
 	c := newClaims(t, store, 1)
-	refused := func() (*spanrill.ServiceAnswer, *spanrill.Refusal) {
+	refuse := func() (*spanrill.ServiceAnswer, *spanrill.Refusal) {
 		return nil, spanrill.NewRefusal(spanrill.ReasonNoUpstream, "none")
 	}
-	if _, refusal := do(c, "k", refused); refusal.Outcome() != spanrill.OutcomeNotRun {
-		t.Fatalf("the outcome is %v", refusal.Outcome())
+	if _, refusal := do(c, "k", refuse); refusal.Outcome() != spanrill.OutcomeNotRun {
+		t.Fatalf("the outcome of a refused call is %v, want not-run", refusal.Outcome())
 	}
 	count := &counter{runs: map[string]int{}}
-	limit := time.Now().Add(5 * time.Second)
-	for time.Now().Before(limit) && count.runs["k"] == 0 {
+	deadline := time.Now().Add(5 * time.Second)
+	for time.Now().Before(deadline) && count.runs["k"] == 0 {
 		_, _ = do(c, "k", count.run("k"))
 	}
 	if count.runs["k"] != 1 {
-		t.Fatalf("the key ran %d times, want 1", count.runs["k"])
+		t.Fatalf("the key of a call that did not run ran %d times when it was claimed again, want 1", count.runs["k"])
 	}
 }
 
@@ -153,7 +153,7 @@
 		wg.Go(func() {
 			r := record.Record{Key: fmt.Sprint(i), Attempt: fmt.Sprint(i)}
 			if granted, _, err := k.Claim(ctx, 0, r); err != nil || !granted {
-				t.Errorf("claim %d: %v, %v", i, granted, err)
+				t.Errorf("claim %d: granted %v with error %v, want it granted", i, granted, err)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 				t.Fatal("the first attempt was not granted")
 			}
 			if !c.running {
-				k.Settle(0, ended)
+				k.RecordOutcome(0, ended)
 				claim("written with the end", "1")
 			}
 			if err := p.Restore(record.ObjectKey(0), c.lostWrites); err != nil {
@@ -206,10 +206,10 @@
 			}
 			claim("after the restore", "1")
 			if c.running {
-				k.Settle(0, ended)
+				k.RecordOutcome(0, ended)
 			}
 			if claim("call", "2") {
-				t.Error("a second attempt was granted")
+				t.Error("a second attempt was granted after the restore")
 			}
 		})
 	}
--- a/coordination/claim/keeper.go
+++ b/coordination/claim/keeper.go
@@ -11,7 +11,7 @@
 	"spanrill/task"
 )
 
-// Errors of a claim. With each of them the call has not run.
+// Errors of a claim that was not written. The call has not run.
 var (
 	// ErrBusy means that the queue of claims for the slot is full.
 	ErrBusy = errors.New("too many claims are waiting")
@@ -19,10 +19,10 @@
 	ErrFull = errors.New("slot is full")
 )
 
-// Keeper writes the records of slots in batches. Every daemon has one. It is safe to use the
-// keeper of any daemon, and only cheaper to use the same one: each write is conditional on the
-// object's version, so that neither two keepers of a slot nor one that was frozen can grant a key
-// twice.
+// Keeper writes the records of slots in batches. Every daemon has one, and any of them may write
+// any slot: each write is conditional on the object's version, so that neither two keepers of a
+// slot nor one that was frozen can grant a key twice. Using the same keeper for a slot only saves
+// writes.
 type Keeper struct {
 	store         spanrill.ObjectStore
 	clock         spanrill.Clock
@@ -45,8 +45,8 @@
 const (
 	// defaultWriteInterval limits the fleet to 40 writes a second over all record.Slots slots.
 	defaultWriteInterval = 400 * spanrill.Millis(1)
-	maxWaiting           = 4096 // claims and settlements queued for a slot
-	maxBatch             = 1024 // claims and settlements in one write
+	maxWaiting           = 4096 // claims and outcomes queued for a slot
+	maxBatch             = 1024 // claims and outcomes in one write
 	// maxSlotBytes is below the maximum size of a value in the platform.
 	maxSlotBytes = 1<<20 - 1<<12
 	// failFastDuration is how long claims fail without a write after a write has failed.
@@ -67,11 +67,11 @@
 // Wait waits for the keeper's goroutines to end.
 func (k *Keeper) Wait() error { return k.tasks.Wait() }
 
-// request is a claim or a settlement to be written.
+// request is a claim, or the outcome of a claimed call, to be written.
 type request struct {
-	record       record.Record
-	isSettlement bool
-	answer       chan result
+	record    record.Record
+	isOutcome bool
+	answer    chan result
 }
 
 // result is the result of a claim.
@@ -96,10 +96,10 @@
 	}
 }
 
-// Settle queues the outcome of a claimed call to be written, and reports whether the queue had
-// room. The record of a call that did not run is removed, so that its key can be claimed again.
-func (k *Keeper) Settle(slot int, r record.Record) bool {
-	return k.slot(slot).enqueue(request{record: r, isSettlement: true, answer: make(chan result, 1)})
+// RecordOutcome queues the outcome of a claimed call to be written, and reports whether the queue
+// had room. The record of a call that did not run is removed, so that its key can be claimed again.
+func (k *Keeper) RecordOutcome(slot int, r record.Record) bool {
+	return k.slot(slot).enqueue(request{record: r, isOutcome: true, answer: make(chan result, 1)})
 }
 
 func (k *Keeper) slot(number int) *slotKeeper {
--- a/coordination/claim/slot.go
+++ b/coordination/claim/slot.go
@@ -18,8 +18,8 @@
 	slot          *record.Slot // as last read or written, or nil if unknown
 	version       spanrill.Version
 	writtenAt     spanrill.Millis // when the slot was last written
-	failFastUntil spanrill.Millis // until when claims fail without a write
-	settlements   []request       // settlements not written yet
+	failFastUntil spanrill.Millis // time until which claims fail without a write
+	outcomes      []request       // outcomes of calls not written yet
 
 	lastWritten *record.Slot // as last written or found up to date, also after a reload, or nil
 	recovered   bool         // whether slot contains recovered records not written yet
@@ -48,9 +48,9 @@
 	}
 }
 
-// retryTimer fires when settlements are to be written again after a failure.
+// retryTimer fires when outcomes are to be written again after a failure.
 func (s *slotKeeper) retryTimer() <-chan spanrill.Millis {
-	if len(s.settlements) == 0 {
+	if len(s.outcomes) == 0 {
 		return nil
 	}
 	return s.keeper.clock.After(s.keeper.writeInterval)
@@ -81,8 +81,8 @@
 func (s *slotKeeper) processBatch(ctx context.Context, batch []request) {
 	claims := batch[:0:0]
 	for _, r := range batch {
-		if r.isSettlement {
-			s.settlements = append(s.settlements, r)
+		if r.isOutcome {
+			s.outcomes = append(s.outcomes, r)
 			continue
 		}
 		claims = append(claims, r)
@@ -105,7 +105,7 @@
 	}
 }
 
-// write adds the claims and settlements to the slot and then answers the claims. If it returns an
+// write adds the claims and outcomes to the slot and then answers the claims. If it returns an
 // error, no claim was answered.
 func (s *slotKeeper) write(ctx context.Context, claims []request) error {
 	for ctx.Err() == nil {
@@ -137,7 +137,7 @@
 }
 
 func (s *slotKeeper) commit(next *record.Slot, claims []request, changed bool) {
-	s.slot, s.lastWritten, s.settlements, s.recovered = next, next, nil, false
+	s.slot, s.lastWritten, s.outcomes, s.recovered = next, next, nil, false
 	if changed {
 		s.writtenAt = s.keeper.clock.Now()
 	}
@@ -168,12 +168,12 @@
 	return nil
 }
 
-// applyRequests returns the slot with the settlements and claims applied, and whether it has
+// applyRequests returns the slot with the outcomes and claims applied, and whether it has
 // changed. A claimed key stays with the attempt that claimed it first.
 func (s *slotKeeper) applyRequests(claims []request) (next *record.Slot, changed bool) {
 	next, changed = s.slot.Clone(), s.recovered
 	next.Expire(s.keeper.clock.Unix())
-	for _, r := range s.settlements {
+	for _, r := range s.outcomes {
 		old, ok := next.Find(r.record.Key)
 		if !ok && r.record.Outcome != spanrill.OutcomeNotRun {
 			// The claim may be missing because an older copy of the slot was
@@ -201,8 +201,8 @@
 }
 
 // putValue writes the slot's value. A write whose effect is unknown is repeated; because it is
-// conditional, it takes effect at most once. After a conflict the caller reads the slot again and
-// looks for its attempts.
+// conditional, it takes effect at most once. After a conflict the caller reads the slot again, and
+// finds there whether its attempts were written.
 func (s *slotKeeper) putValue(ctx context.Context, value []byte) error {
 	for try := 1; ; try++ {
 		version, err := s.keeper.store.Put(ctx, s.key, value, s.version)
