--- a/coordination/admission/account.go
+++ b/coordination/admission/account.go
@@ -84,7 +84,7 @@
 // inFlightRetryAfter is the time after which to retry when too many requests are in flight.
 const inFlightRetryAfter = 200 * spanrill.Millis(1)
 
-func atLeastOne(x float64) int { return max(1, int(math.Round(x))) }
+func atLeastOne(n float64) int { return max(1, int(math.Round(n))) }
 
 // release removes a request from the account and charges its tokens.
 func (a *account) release(l config.GrantLimits, share float64, tokens int, now spanrill.Millis) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// isIdle reports whether the account has had no request for a minute.
+// isIdle reports whether the account has no request in flight and has had none for a minute.
 func (a *account) isIdle(now spanrill.Millis) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -59,11 +59,11 @@
 	}
 	_, refusal := admit(g, s, "a")
 	if refusal == nil || refusal.Reason() != spanrill.ReasonAccountRate || refusal.Outcome() != spanrill.OutcomeNotRun {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v, want ReasonAccountRate with outcome not-run", refusal)
 	}
 	c.Advance(refusal.RetryAfter())
 	if _, refusal := admit(g, s, "a"); refusal != nil {
-		t.Fatalf("after the Retry-After time: %v", refusal)
+		t.Fatalf("refused after the Retry-After time: %v", refusal)
 	}
 }
 
@@ -77,7 +77,7 @@
 	release(50)
 	_, refusal = admit(g, s, "a")
 	if refusal == nil || refusal.Reason() != spanrill.ReasonAccountTokens {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v, want ReasonAccountTokens", refusal)
 	}
 	if want := 3 * spanrill.Second; refusal.RetryAfter() != want {
 		t.Fatalf("retry after %d ms, want %d", refusal.RetryAfter(), want)
@@ -92,7 +92,7 @@
 		}
 	}
 	if _, refusal := admit(g, s, "a"); refusal == nil || refusal.Reason() != spanrill.ReasonAccountInFlight {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v of the third request, want ReasonAccountInFlight", refusal)
 	}
 }
 
@@ -131,7 +131,7 @@
 	t.Helper()
 	q := newQueue(c, func() int { return 1 })
 	if w, refusal := q.join("first", 1, 100, spanrill.Minute); w != nil || refusal != nil {
-		t.Fatal("the first request must start at once")
+		t.Fatal("the first request did not start at once")
 	}
 	return q
 }
@@ -226,10 +226,10 @@
 	}
 	_, refusal := q.join("x", 1, 100, spanrill.Second)
 	if refusal == nil || refusal.Reason() != spanrill.ReasonQueueDeadline || refusal.RetryAfter() < minRetryAfter {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v of a request whose expected wait is too long, want ReasonQueueDeadline and a retry time of at least minRetryAfter", refusal)
 	}
 	if _, refusal := q.join("x", 1, 2, spanrill.Minute); refusal == nil || refusal.Reason() != spanrill.ReasonQueueFull {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v of a request to a full queue, want ReasonQueueFull", refusal)
 	}
 }
 
@@ -247,6 +247,6 @@
 	c.AwaitTimers(1)
 	c.Advance(2 * spanrill.Second)
 	if refusal := <-refused; refusal == nil || refusal.Reason() != spanrill.ReasonQueueDeadline {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v after the maximum wait, want ReasonQueueDeadline", refusal)
 	}
 }
--- a/coordination/admission/demand.go
+++ b/coordination/admission/demand.go
@@ -110,12 +110,12 @@
 		own = r.valueAt(now)
 	}
 	total := own
-	for name, o := range d.peers {
-		if now-o.receivedAt > maxPeerDemandAge {
+	for name, peer := range d.peers {
+		if now-peer.receivedAt > maxPeerDemandAge {
 			delete(d.peers, name)
 			continue
 		}
-		total += o.accounts[account]
+		total += peer.accounts[account]
 	}
 	if total <= 0 {
 		return 1 / float64(d.liveDaemons)
--- a/coordination/admission/gate.go
+++ b/coordination/admission/gate.go
@@ -24,13 +24,13 @@
 
 // Gate admits requests within the limits of their accounts and the capacity of their model.
 type Gate struct {
-	clock      spanrill.Clock
-	table      *load.Table
-	meters     *meter.Meters
-	demand     *demand
-	maxWaiting int
-	maxWait    spanrill.Millis
-	perSlot    float64
+	clock           spanrill.Clock
+	table           *load.Table
+	meters          *meter.Meters
+	demand          *demand
+	maxWaiting      int
+	maxWait         spanrill.Millis
+	requestsPerSlot float64
 
 	mu       sync.Mutex
 	accounts map[string]*account
@@ -51,23 +51,23 @@
 }
 
 // WithPerSlot sets how many requests may run at once for each slot in the batches of the engines.
-// More than one is needed: a request is at one stage at a time, and a batch is full only if as many
-// requests wait for it as run in it.
+// More than one is needed because a request occupies one stage of its chain at a time: to keep a
+// batch full, as many requests must wait for it as run in it.
 func WithPerSlot(n int) Option {
-	return func(g *Gate) { g.perSlot = float64(n) }
+	return func(g *Gate) { g.requestsPerSlot = float64(n) }
 }
 
 const (
-	defaultMaxWaiting = 1024
-	defaultMaxWait    = 2 * spanrill.Second
-	defaultPerSlot    = 4
+	defaultMaxWaiting      = 1024
+	defaultMaxWait         = 2 * spanrill.Second
+	defaultRequestsPerSlot = 4
 )
 
-// New returns a gate without requests.
+// New returns a gate that has admitted no requests yet.
 func New(clock spanrill.Clock, table *load.Table, opts ...Option) *Gate {
 	g := &Gate{
 		clock: clock, table: table, meters: meter.New(), demand: newDemand(),
-		maxWaiting: defaultMaxWaiting, maxWait: defaultMaxWait, perSlot: defaultPerSlot,
+		maxWaiting: defaultMaxWaiting, maxWait: defaultMaxWait, requestsPerSlot: defaultRequestsPerSlot,
 		accounts: map[string]*account{}, queues: map[load.ModelKey]*queue{},
 	}
 	for _, o := range opts {
@@ -167,7 +167,7 @@
 		others += u.PeerRequests(now)
 	}
 	stages := float64(index.MinStages(layers))
-	total := g.perSlot * slots
+	total := g.requestsPerSlot * slots
 	return max(1, int(max(total/float64(g.demand.daemons()), total-others/max(1, stages))))
 }
 
--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -38,17 +38,17 @@
 func (w waiters) Len() int { return len(w) }
 
 // Less orders requests by virtual finish time, then by arrival.
-func (w waiters) Less(i, k int) bool {
-	if w[i].finish != w[k].finish {
-		return w[i].finish < w[k].finish
+func (w waiters) Less(i, j int) bool {
+	if w[i].finish != w[j].finish {
+		return w[i].finish < w[j].finish
 	}
-	return w[i].seq < w[k].seq
+	return w[i].seq < w[j].seq
 }
 
 // Swap swaps two requests.
-func (w waiters) Swap(i, k int) {
-	w[i], w[k] = w[k], w[i]
-	w[i].index, w[k].index = i, k
+func (w waiters) Swap(i, j int) {
+	w[i], w[j] = w[j], w[i]
+	w[i].index, w[j].index = i, j
 }
 
 // Push adds a request.
@@ -119,9 +119,9 @@
 
 // pruneFinish removes accounts whose virtual finish time has passed.
 func (q *queue) pruneFinish() {
-	for a, f := range q.finish {
-		if f <= q.virtualTime {
-			delete(q.finish, a)
+	for account, finish := range q.finish {
+		if finish <= q.virtualTime {
+			delete(q.finish, account)
 		}
 	}
 }
@@ -129,8 +129,8 @@
 // countBefore returns how many requests start before w.
 func (q *queue) countBefore(w *waiter) int {
 	n := 0
-	for _, o := range q.waiting {
-		if o != w && (o.finish < w.finish || o.finish == w.finish && o.seq < w.seq) {
+	for _, other := range q.waiting {
+		if other != w && (other.finish < w.finish || other.finish == w.finish && other.seq < w.seq) {
 			n++
 		}
 	}
