--- a/coordination/ratelimit/bucket.go
+++ b/coordination/ratelimit/bucket.go
@@ -35,7 +35,7 @@
 // take consumes a token. If none is available, it returns how long to wait before the next
 // attempt. Successive denials return successive retry times, so that daemons do not all retry
 // at once.
-func (b *bucket) take(now spanrill.Millis, perSecond float64) (after spanrill.Millis, ok bool) {
+func (b *bucket) take(now spanrill.Millis, perSecond float64) (wait spanrill.Millis, ok bool) {
 	perMillisecond := perSecond / float64(spanrill.Second)
 	capacity := max(minCapacity, perMillisecond*burstSeconds*float64(spanrill.Second))
 	b.tokens = min(capacity, b.tokens+perMillisecond*float64(now-b.updatedAt))
@@ -74,7 +74,7 @@
 // Take consumes a token of an upstream. If none is available, it returns how long to wait before
 // the next attempt. A standby bucket is separate and fills at standbyShare of the limit. A new bucket
 // is empty, because the daemon that held the bucket before may just have granted its tokens.
-func (b *Buckets) Take(upstream uint32, perSecond float64, standby bool) (after spanrill.Millis, ok bool) {
+func (b *Buckets) Take(upstream uint32, perSecond float64, standby bool) (wait spanrill.Millis, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, key := b.clock.Now(), bucketKey{upstream, standby}
--- a/coordination/ratelimit/limiter.go
+++ b/coordination/ratelimit/limiter.go
@@ -6,7 +6,7 @@
 // carries the time of the next attempt, and until then the denied daemon uses other upstreams. If
 // the granting daemon does not answer, the next one is asked as a standby. The standby grants
 // a fraction of the limit, or all of it if the granting daemon did not answer the standby either.
-// Each question and each answer carries the sender's latest value of the limit.
+// Each request for a permit and each answer carries the sender's latest value of the limit.
 //
 //	limiter.go  permits for requests of this daemon and of other daemons
 //	news.go     exchange of limits between daemons
@@ -35,7 +35,7 @@
 	// Unresponsive reports whether a daemon did not answer when this daemon last asked it for news.
 	Unresponsive(daemon string) bool
 	// AskPermit asks a daemon for a permit.
-	AskPermit(ctx context.Context, addr string, asked *peermsg.PermitRequest) (*peermsg.Permit, error)
+	AskPermit(ctx context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error)
 }
 
 // Limiter obtains permits for requests of this daemon, and grants permits to other daemons.
@@ -85,28 +85,28 @@
 
 // ask asks the granting daemons in order until one answers.
 func (l *Limiter) ask(ctx context.Context, u *fleet.Upstream) *peermsg.Permit {
-	asked := &peermsg.PermitRequest{Limit: limitMessage(l.table.LimitOf(u), l.clock.Now())}
+	req := &peermsg.PermitRequest{Limit: limitMessage(l.table.LimitOf(u), l.clock.Now())}
 	for i, m := range l.peers.Granters(u.Key()) {
-		asked.Standby = i > 0
+		req.Standby = i > 0
 		if m.PeerAddr == "" {
-			return l.HandleAskPermit(asked)
+			return l.HandleAskPermit(req)
 		}
-		if permit, err := l.askPeer(ctx, m.PeerAddr, asked); err == nil {
+		if permit, err := l.askPeer(ctx, m.PeerAddr, req); err == nil {
 			return permit
 		}
 	}
 	return &peermsg.Permit{RetryAfter: noAnswerRetryAfter}
 }
 
-func (l *Limiter) askPeer(ctx context.Context, addr string, asked *peermsg.PermitRequest) (*peermsg.Permit, error) {
+func (l *Limiter) askPeer(ctx context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
 	sent := l.clock.Now()
-	permit, err := l.peers.AskPermit(ctx, addr, asked)
+	permit, err := l.peers.AskPermit(ctx, addr, req)
 	if err != nil {
 		return nil, err
 	}
-	if permit.Limit.Upstream == asked.Limit.Upstream {
+	if permit.Limit.Upstream == req.Limit.Upstream {
 		MergeNews(l.table, []peermsg.UpstreamLimit{permit.Limit}, sent)
 	}
 	permit.RetryAfter = min(max(1, permit.RetryAfter), maxRetryAfter)
@@ -114,21 +114,21 @@
 }
 
 // HandleAskPermit grants or denies a permit to a daemon.
-func (l *Limiter) HandleAskPermit(asked *peermsg.PermitRequest) *peermsg.Permit {
-	MergeNews(l.table, []peermsg.UpstreamLimit{asked.Limit}, l.clock.Now())
-	known := asked.Limit
-	if u := l.table.View().ByKey(asked.Limit.Upstream); u != nil {
+func (l *Limiter) HandleAskPermit(req *peermsg.PermitRequest) *peermsg.Permit {
+	MergeNews(l.table, []peermsg.UpstreamLimit{req.Limit}, l.clock.Now())
+	known := req.Limit
+	if u := l.table.View().ByKey(req.Limit.Upstream); u != nil {
 		known = limitMessage(l.table.LimitOf(u), l.clock.Now())
 	}
 	if !known.Set {
 		return &peermsg.Permit{Granted: true, Limit: known}
 	}
-	after, ok := l.buckets.Take(known.Upstream, known.PerSecond, asked.Standby && l.isStandby(known.Upstream))
-	return &peermsg.Permit{Granted: ok, RetryAfter: after, Limit: known}
+	wait, ok := l.buckets.Take(known.Upstream, known.PerSecond, req.Standby && l.isStandby(known.Upstream))
+	return &peermsg.Permit{Granted: ok, RetryAfter: wait, Limit: known}
 }
 
 // isStandby reports whether another daemon is preferred for granting permits for an upstream and
-// is not unresponsive.
+// is not known to be unresponsive.
 func (l *Limiter) isStandby(upstream uint32) bool {
 	granters := l.peers.Granters(upstream)
 	return len(granters) > 0 && granters[0].PeerAddr != "" && !l.peers.Unresponsive(granters[0].Name)
--- a/coordination/ratelimit/limiter_test.go
+++ b/coordination/ratelimit/limiter_test.go
@@ -37,7 +37,7 @@
 	table      *fleet.Table
 	limiter    *Limiter
 	down       bool
-	unanswered float64 // fraction of questions that time out
+	unanswered float64 // fraction of permit requests that time out
 	granters   []int   // indices of the granting daemons, in order of preference
 }
 
@@ -89,12 +89,12 @@
 
 var errNoAnswer = errors.New("no answer")
 
-func (m *member) AskPermit(_ context.Context, addr string, asked *peermsg.PermitRequest) (*peermsg.Permit, error) {
+func (m *member) AskPermit(_ context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error) {
 	var i int
 	if _, err := fmt.Sscan(addr, &i); err != nil || m.network.daemons[i].down || m.network.random.Float64() < m.network.daemons[i].unanswered {
 		return nil, errNoAnswer
 	}
-	return m.network.daemons[i].limiter.HandleAskPermit(asked), nil
+	return m.network.daemons[i].limiter.HandleAskPermit(req), nil
 }
 
 // simulate generates requests at a mean rate for each daemon, and returns the times at which
@@ -151,10 +151,10 @@
 			const duration = 20 * spanrill.Second
 			sent := n.simulate(duration, c.perSecond)
 			if got := maxInWindow(sent); got > allowedInWindow(c.limit) {
-				t.Errorf("%d requests in a window, allowed %d", got, allowedInWindow(c.limit))
+				t.Errorf("%d requests in a window, want at most %d", got, allowedInWindow(c.limit))
 			}
 			if used := float64(len(sent)) / duration.Duration().Seconds(); used < 0.8*c.limit {
-				t.Errorf("%.2f requests a second with a limit of %v", used, c.limit)
+				t.Errorf("%.2f requests a second with a limit of %v, want at least 0.8 of it", used, c.limit)
 			}
 		})
 	}
@@ -172,17 +172,17 @@
 	restarted := n.simulate(6*spanrill.Second, 6)
 	all := append(append(sent, failed...), restarted...)
 	if got := maxInWindow(all); got > allowedInWindow(5) {
-		t.Errorf("%d requests in a window, allowed %d", got, allowedInWindow(5))
+		t.Errorf("%d requests in a window, want at most %d", got, allowedInWindow(5))
 	}
 	for _, part := range [][]spanrill.Millis{sent, failed, restarted} {
 		if used := float64(len(part)) / 6; used < 0.7*5 {
-			t.Errorf("%.2f requests a second with a limit of 5", used)
+			t.Errorf("%.2f requests a second with a limit of 5, want at least 0.7 of it", used)
 		}
 	}
 }
 
 // Guards against exceeding the limit when two daemons grant permits, because the preferred one
-// answers only some questions in time.
+// answers only some permit requests in time.
 func TestRateWithASlowGranter(t *testing.T) {
 	for _, c := range []struct {
 		limit, unanswered float64
@@ -192,7 +192,7 @@
 			n.daemons[0].unanswered = c.unanswered
 			sent := n.simulate(20*spanrill.Second, 100)
 			if got := maxInWindow(sent); got > allowedInWindow(c.limit) {
-				t.Errorf("%d requests in a window, allowed %d", got, allowedInWindow(c.limit))
+				t.Errorf("%d requests in a window, want at most %d", got, allowedInWindow(c.limit))
 			}
 		})
 	}
@@ -209,7 +209,7 @@
 		t.Fatal(err)
 	}
 	if asker.upstream().Limit().Set {
-		t.Error("the limit is still set")
+		t.Error("the asking daemon still has the limit after the granting one answered without it")
 	}
 }
 
@@ -254,11 +254,11 @@
 		t.Errorf("limit %v, want 3", got)
 	}
 	if news := News(from.table, n.clock, to.table.LimitsDigest()); news != nil {
-		t.Errorf("unchanged limits are sent again: %v", news)
+		t.Errorf("limits %v were sent to a daemon with the same digest, want none", news)
 	}
 	from.table.HandleNotice("1:1", spanrill.Notice{}, n.clock.Now())
 	exchange()
 	if to.upstream().Limit().Set {
-		t.Error("the limit is still set after the removal was sent")
+		t.Error("the receiving daemon still has the limit after the removal was sent")
 	}
 }
--- a/coordination/ratelimit/news.go
+++ b/coordination/ratelimit/news.go
@@ -19,14 +19,14 @@
 	return news
 }
 
-// MergeNews stores the limits in a message of another daemon. Their ages are subtracted from the
-// given time.
-func MergeNews(table *fleet.Table, limits []peermsg.UpstreamLimit, at spanrill.Millis) {
+// MergeNews stores the limits in a message of another daemon. Their ages count back from the time
+// asOf. Pass the time at which the limits were requested, or received if they were not requested.
+func MergeNews(table *fleet.Table, limits []peermsg.UpstreamLimit, asOf spanrill.Millis) {
 	for _, m := range limits {
 		if m.Age < 0 {
 			continue // a timestamp in the future would override later answers of the upstream
 		}
-		table.MergeLimit(fleet.KnownLimit{Upstream: m.Upstream, Limit: spanrill.RateLimit{Set: m.Set, PerSecond: m.PerSecond}, At: at - m.Age})
+		table.MergeLimit(fleet.KnownLimit{Upstream: m.Upstream, Limit: spanrill.RateLimit{Set: m.Set, PerSecond: m.PerSecond}, At: asOf - m.Age})
 	}
 }
 
