--- a/coordination/conncap/conncap.go
+++ b/coordination/conncap/conncap.go
@@ -16,7 +16,7 @@
 
 const (
 	// idleFraction is the fraction of an upstream's cap that all daemons together keep idle. The
-	// other half is for calls in progress. Each call that must not be repeated uses a new
+	// other half is for calls in progress. Each call that must not be repeated opens a new
 	// connection. When each daemon kept up to 64 of these connections idle, 283 connections were
 	// reset in 34 s and 149 callers received status 502, at an upstream with a cap of 49 and two
 	// concurrent calls (seven daemons, one class of calls at six times its usual rate for 9 s).
@@ -31,7 +31,7 @@
 )
 
 // IdlePerUpstream returns how many idle connections a daemon keeps to an upstream. The limit is the
-// upstream's cap for all callers, or at most 0 if it reports none. In a fleet of more daemons than
+// upstream's cap for all callers, or 0 or less if it reports none. In a fleet of more daemons than
 // three quarters of the cap the result is 0: connections are closed after each call.
 func IdlePerUpstream(limit, daemons int) int {
 	if limit <= 0 {
@@ -57,7 +57,7 @@
 )
 
 // IdleTotal returns how many idle connections a daemon with that many descriptors keeps to all
-// upstreams together. The number of descriptors is at most 0 if it is unknown.
+// upstreams together. The number of descriptors is 0 or less if it is unknown.
 func IdleTotal(descriptors int) int {
 	if descriptors <= 0 {
 		descriptors = defaultDescriptors
--- a/coordination/conncap/conncap_test.go
+++ b/coordination/conncap/conncap_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestIdle(t *testing.T) {
+func TestIdlePerUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		limit, daemons, want int
@@ -20,7 +20,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := IdlePerUpstream(c.limit, c.daemons)
 			if got != c.want {
-				t.Errorf("%d idle connections, want %d", got, c.want)
+				t.Errorf("%d idle connections per upstream, want %d", got, c.want)
 			}
 			if c.limit > 0 && got*max(1, c.daemons) > c.limit {
 				t.Errorf("%d daemons keep %d idle connections each, which exceeds the cap of %d", c.daemons, got, c.limit)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestIdleOfAll(t *testing.T) {
+func TestIdleTotal(t *testing.T) {
 	for _, c := range []struct{ descriptors, want int }{{4100, 1025}, {0, 256}, {-3, 256}, {1, 1}, {1 << 20, 1 << 18}} {
 		if got := IdleTotal(c.descriptors); got != c.want {
 			t.Errorf("with %d descriptors: %d idle connections, want %d", c.descriptors, got, c.want)
