--- a/coordination/observe/observe.go
+++ b/coordination/observe/observe.go
@@ -73,12 +73,13 @@
 	return func(o *Observer) { o.share = s }
 }
 
-// WithOnBoxes sets a function that is called with each box list.
+// WithOnBoxes sets the function that is called with each box list that was read.
 func WithOnBoxes(f func([]spanrill.Box)) Option {
 	return func(o *Observer) { o.onBoxes = f }
 }
 
-// WithFallback sets the source of the first box list for as long as the platform returns an error.
+// WithFallback sets the source of box lists that is read when the platform returns an error before
+// any list was read.
 func WithFallback(b spanrill.BoxLister) Option {
 	return func(o *Observer) { o.fallback = b }
 }
@@ -122,14 +123,14 @@
 }
 
 func (o *Observer) runBoxList(ctx context.Context, listed chan<- struct{}) error {
-	first := true
+	noListYet := true
 	for ctx.Err() == nil {
 		boxes, err := o.boxes.Boxes(ctx)
-		if err != nil && first && o.fallback != nil {
+		if err != nil && noListYet && o.fallback != nil {
 			boxes, err = o.fallback.Boxes(ctx)
 		}
 		if err == nil {
-			first = false
+			noListYet = false
 			o.table.SetBoxes(boxes)
 			o.onBoxes(boxes)
 			select {
@@ -177,14 +178,14 @@
 	var mu sync.Mutex
 	var reports []spanrill.UpstreamStatus
 	var tasks task.Group
-	slots := make(chan struct{}, maxConcurrentPolls)
+	semaphore := make(chan struct{}, maxConcurrentPolls)
 	for _, u := range o.table.Upstreams() {
 		if !match(u) {
 			continue
 		}
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		tasks.Start(ctx, "report", func(ctx context.Context) error {
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			if s, ok := o.poll(ctx, u); ok {
 				mu.Lock()
 				defer mu.Unlock()
@@ -243,11 +244,11 @@
 func (o *Observer) poll(ctx context.Context, u *load.Upstream) (spanrill.UpstreamStatus, bool) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout.Duration())
 	defer cancel()
-	status := o.engines.Status
+	getStatus := o.engines.Status
 	if u.Service() != "" {
-		status = o.services.Status
+		getStatus = o.services.Status
 	}
-	s, err := status(ctx, u.Addr())
+	s, err := getStatus(ctx, u.Addr())
 	if err != nil {
 		o.recordMiss(u, err)
 		return s, false
@@ -267,8 +268,8 @@
 // unreachable.
 func (o *Observer) recordMiss(u *load.Upstream, err error) {
 	v, _ := o.misses.LoadOrStore(u.Name(), new(atomic.Int64))
-	n := v.(*atomic.Int64).Add(1) // atomic, because two polls of an upstream may run concurrently
-	if (n >= maxMisses || unreachable(err)) && u.RecordFailure(o.clock.Now()) {
+	count := v.(*atomic.Int64).Add(1) // atomic, because two polls of an upstream may run concurrently
+	if (count >= maxMisses || unreachable(err)) && u.RecordFailure(o.clock.Now()) {
 		events.UpstreamEjected.Log(o.log, logrus.Fields{"upstream": u.Name(), "cause": err})
 	}
 }
