--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -27,7 +27,7 @@
 	ID     string
 	Zone   string
 	Layers spanrill.LayerRange
-	Used   int64   // of holders of the same layers, the most used one is a part and the others are spares
+	ReservedTokens   int64   // of holders of the same layers, the most used one is a part and the others are spares
 	Pace   float64 // time factor of its kind, lower is faster; of series that cover as much, the fastest becomes the chain
 }
 
