--- a/coordination/chainrouting/best.go
+++ b/coordination/chainrouting/best.go
@@ -27,8 +27,8 @@
 	return best
 }
 
-// decideByFlow returns the index of the option that a request takes by the flows, and whether the
-// flows decide.
+// decideByFlow returns the index of the option that a request takes if it is chosen by flow or, on
+// a daemon that has just started, by room. It returns false if the estimates have to decide.
 func (r *Router) decideByFlow(service string, options []option, staleness float64) (index int, ok bool) {
 	switch {
 	case staleness <= 0:
@@ -60,10 +60,10 @@
 const minDraw = 0.01
 
 // startsFewRequests reports whether this daemon starts so few requests within propagationTime
-// that its own requests tell it next to nothing of the load of the chains.
+// that its own requests are no measure of the current load of the chains.
 func (r *Router) startsFewRequests(service string) bool {
-	own := r.Demand(service) / float64(max(1, r.pipes.daemons.Load()))
-	return own*float64(propagationTime)/float64(spanrill.Second) < fewRequests
+	ownRate := r.Demand(service) / float64(max(1, r.pipes.daemons.Load()))
+	return ownRate*float64(propagationTime)/float64(spanrill.Second) < fewRequests
 }
 
 const (
--- a/coordination/chainrouting/candidate.go
+++ b/coordination/chainrouting/candidate.go
@@ -26,15 +26,15 @@
 
 // candidate describes, for logs, a path that was compared or a chain that is incomplete.
 type candidate struct {
-	first                  *fleet.Upstream
+	first                  *fleet.Upstream // first engine of the path, or nil for an incomplete chain
 	estimate, base         float64
 	hasRoom, pipesHaveRoom bool
 	now                    spanrill.Millis
 	fullUpstreams          []*fleet.Upstream // engines of the path without room for the request
 
-	lenient bool   // engines were allowed that have recently failed a request
-	zone    string // of an incomplete chain
-	faults  []fault
+	lenient bool    // engines were allowed that have recently failed a request
+	zone    string  // of an incomplete chain
+	faults  []fault // of an incomplete chain
 }
 
 // fault is a part of a chain that cannot be used, or a hole if upstream is nil.
@@ -71,7 +71,7 @@
 	return result
 }
 
-// String returns the figures by which the path was judged.
+// String returns the figures by which the path was compared, or the faults of an incomplete chain.
 func (c candidate) String() string {
 	if c.first == nil {
 		return fmt.Sprintf("%s incomplete%s", c.zone, c.describeFaults())
--- a/coordination/chainrouting/flow.go
+++ b/coordination/chainrouting/flow.go
@@ -7,12 +7,12 @@
 	"spanrill/coordination/cost"
 )
 
-// In a large fleet, the load that a daemon knows of the others' requests is several exchange
-// rounds old, which is longer than a request takes on a fast chain. If every daemon takes the
-// chain that looks best from such figures, they all fill it, all leave it, and fill it again.
-// Each daemon therefore sends a chain no more than its share of what the chain can serve,
-// whatever the others do: the shares of all daemons add up to what the chains can take at the
-// planned fill. The load figures only exclude a chain that is filling up beyond that.
+// In a large fleet, a daemon's figures of the load from other daemons are several exchange rounds
+// old, which is longer than a request takes on a fast chain. If every daemon takes the chain that
+// looks best from such figures, they all fill it, all leave it, and fill it again. Each daemon
+// therefore sends a chain no more than its share of what the chain can serve, whatever the others
+// do: the shares of all daemons add up to what the chains can take at the planned fill. The load
+// figures only exclude a chain that fills up beyond that.
 //
 // In a simulation of 300 daemons with figures six rounds old, four fast chains and eight slow
 // ones (TestFlowsServeSimulatedLoad), at 0.7 of what the chains can serve, engines refused 0.479
@@ -29,44 +29,44 @@
 }
 
 const (
-	// plannedFill is the fraction of a chain's room that flows are planned for. Where 40 to 80
-	// requests run on a chain, random variation (Poisson) adds up to 0.4 of that in one of a
-	// hundred moments, which fits into the rest.
+	// plannedFill is the fraction of a chain's room that flows are planned for. With 40 to 80
+	// requests on a chain, random (Poisson) variation reaches 0.4 above the mean one time in a
+	// hundred, which fits into the rest.
 	plannedFill = 0.7
 	// stopFill is the fraction of its room at which a chain gets no more requests.
 	stopFill = 1.0
-	// demandGrowth allows for growth of the demand since it was counted: over two seconds that
-	// ended one to three seconds ago.
+	// demandGrowth is the factor by which demand may have grown since it was counted. It is counted
+	// over two seconds that ended one to three seconds ago.
 	demandGrowth = 1.3
-	// maxOvercommit bounds the demand that flows serve, relative to the planned flow: chains are
-	// filled to 0.88 of their room.
+	// maxOvercommit is the highest ratio of the demand to the sum of the flows at which requests
+	// are chosen by flow. Chains are then filled to 0.88 of their room.
 	maxOvercommit = 1.25
-	// minFilledShare is the share of all flows that is used whatever the demand: when daemons or
+	// minFilledShare is the least share of the sum of all flows that is used: when daemons or
 	// traffic have just started, the counted demand is too low.
 	minFilledShare = 0.5
 )
 
-// newOption describes a path by the usual requests a second that it can serve at the planned
-// fill. The flow falls to 0 as the path's fill rises from plannedFill to stopFill.
+// newOption returns a path as an option, with its flow and room in requests of mean size. Both
+// fall to 0 as the path's fill rises from plannedFill to stopFill.
 func (s *search) newOption(parts []Part, estimate float64) option {
-	room, fullest := math.Inf(1), 0.0
+	maxRequests, fullest := math.Inf(1), 0.0
 	for _, p := range parts {
 		capacity := max(1, s.capacityTokens(p.Upstream))
-		room = min(room, capacity/p.share()/cost.MeanTokens(s.model))
+		maxRequests = min(maxRequests, capacity/p.share()/cost.MeanTokens(s.model))
 		fullest = max(fullest, float64(p.Upstream.Tokens())/capacity)
 	}
 	if slots := parts[0].Upstream.Entry().Slots; slots > 0 {
-		room = min(room, float64(slots))
+		maxRequests = min(maxRequests, float64(slots))
 		fullest = max(fullest, float64(parts[0].Upstream.Calls())/float64(slots))
 	}
 	remaining := 1 - ramp(fullest, plannedFill, stopFill)
-	stages, requests := s.costStages(parts), plannedFill*room
-	millis := cost.PromptMillis(s.model, stages, s.model.MeanPromptTokens) + s.model.MeanAnswerTokens*cost.TokenMillis(s.model, stages, requests)
-	flow := requests * remaining / max(1, millis) * millisPerSecond
+	stages, plannedRequests := s.costStages(parts), plannedFill*maxRequests
+	millis := cost.PromptMillis(s.model, stages, s.model.MeanPromptTokens) + s.model.MeanAnswerTokens*cost.TokenMillis(s.model, stages, plannedRequests)
+	flow := plannedRequests * remaining / max(1, millis) * millisPerSecond
 	if limit := parts[0].Upstream.Limit(); limit.Set {
 		flow = min(flow, limit.PerSecond)
 	}
-	return option{parts: parts, estimate: estimate, flow: flow, room: requests * remaining}
+	return option{parts: parts, estimate: estimate, flow: flow, room: plannedRequests * remaining}
 }
 
 const millisPerSecond = 1000
@@ -77,11 +77,11 @@
 // the demand.
 //
 // Where the flows do not serve the demand, the load figures have to decide, stale as they are:
-// the cost model is not accurate enough to divide what is short. On a fleet of 59 daemons whose
-// chains ran at 0.7 to 0.9 of their room, callers got 0.843 of the value of a simulated day when
-// flows decided there too, and 0.972 without.
+// the cost model is not accurate enough to divide chains that are nearly full. On a fleet of 59
+// daemons whose chains ran at 0.7 to 0.9 of their room, callers got 0.843 of the value of a
+// simulated day when flows decided there too, and 0.972 when they did not.
 func chooseByFlow(options []option, demand, draw float64) (index int, ok bool) {
-	sort.SliceStable(options, func(i, k int) bool { return options[i].estimate < options[k].estimate })
+	sort.SliceStable(options, func(i, j int) bool { return options[i].estimate < options[j].estimate })
 	total := 0.0
 	for _, o := range options {
 		total += o.flow
@@ -100,14 +100,14 @@
 
 // chooseByRoom returns the index of the option that a request takes at a daemon that has just
 // started and does not know the load of the others, for a random draw from 0 to 1. When all
-// daemons restart together, the callers that waited for them return all at once and room is what
-// is short: each option gets requests in proportion to its room.
+// daemons restart together, the callers that waited for them return at once, and room becomes
+// scarce before flow does: each option gets requests in proportion to its room.
 //
 // In a simulation of 73 daemons that know nothing of one another, with callers that fill 0.3 and
 // 0.6 of all room within 250 ms (TestCallersReturningAtOnceAreServed), engines refused 0.279 and
 // 0.480 of what was sent when the faster half of the flows was filled, as for an unknown demand;
-// 0.035 and 0.244 when each option got requests in proportion to its flow; and 0.000 when in
-// proportion to its room.
+// 0.035 and 0.244 when each option got requests in proportion to its flow; and 0.000 of both when
+// each got them in proportion to its room.
 func chooseByRoom(options []option, draw float64) (index int, ok bool) {
 	total := 0.0
 	for _, o := range options {
--- a/coordination/chainrouting/load_test.go
+++ b/coordination/chainrouting/load_test.go
@@ -28,17 +28,18 @@
 	},
 }
 
-// simulation is a fleet of daemons and of engines of limited room, on a manual clock. Each daemon
-// knows its own requests, and those of the others as of some exchange rounds ago.
+// simulation is a fleet of daemons, and of engines with limited memory and slots, on a manual
+// clock. Each daemon knows its own current requests, and those of the others as of some exchange
+// rounds ago.
 type simulation struct {
 	clock       *clock.Manual
 	random      *rng.Source
 	daemons     []*Router
 	tables      []*fleet.Table
 	history     []map[string]usage // load of all engines at each round, the latest last
-	delayRounds int
-	held        map[string]int64 // tokens, by engine
-	calls       map[string]int64 // requests, by first engine
+	delayRounds int                // exchange rounds after which a daemon has been heard from
+	held        map[string]int64   // tokens, by engine
+	calls       map[string]int64   // requests, by first engine
 	running     runningQueue
 	rate        float64 // requests a second
 	chains      [][]spanrill.EngineEntry
@@ -62,8 +63,8 @@
 type runningQueue []runningRequest
 
 func (r runningQueue) Len() int           { return len(r) }
-func (r runningQueue) Less(i, k int) bool { return r[i].ends < r[k].ends }
-func (r runningQueue) Swap(i, k int)      { r[i], r[k] = r[k], r[i] }
+func (r runningQueue) Less(i, j int) bool { return r[i].ends < r[j].ends }
+func (r runningQueue) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
 func (r *runningQueue) Push(x any)        { *r = append(*r, x.(runningRequest)) }
 func (r *runningQueue) Pop() any {
 	old := *r
@@ -72,8 +73,7 @@
 	return last
 }
 
-// chainEntries returns the entries of a chain whose engines are of one kind and hold that many
-// layers each.
+// chainEntries returns the entries of a chain of engines of one kind, with that many layers each.
 func chainEntries(name, zone, kind string, layers int) []spanrill.EngineEntry {
 	var all []spanrill.EngineEntry
 	for from := 0; from < loadModel.Layers; from += layers {
@@ -99,26 +99,26 @@
 	return all
 }
 
-// maxRate returns how many usual requests a second the chains can serve when their memory is
-// full.
+// maxRate returns how many requests of mean size the chains can serve per second when their memory
+// is full.
 func maxRate(chains [][]spanrill.EngineEntry) (perSecond float64) {
 	for _, c := range chains {
 		var stages []cost.Stage
 		for _, e := range c {
 			stages = append(stages, cost.Stage{Kind: loadModel.Kinds[e.Kind], Zone: e.Zone, Layers: e.Layers.Len()})
 		}
-		n := min(cost.MinCapacity(loadModel, stages)/cost.MeanTokens(loadModel), float64(loadModel.Slots))
-		perSecond += n / requestMillis(stages, n) * 1000
+		requests := min(cost.MinCapacity(loadModel, stages)/cost.MeanTokens(loadModel), float64(loadModel.Slots))
+		perSecond += requests / requestMillis(stages, requests) * 1000
 	}
 	return perSecond
 }
 
-func requestMillis(stages []cost.Stage, n float64) float64 {
-	return cost.PromptMillis(loadModel, stages, loadModel.MeanPromptTokens) + loadModel.MeanAnswerTokens*cost.TokenMillis(loadModel, stages, n)
+func requestMillis(stages []cost.Stage, requests float64) float64 {
+	return cost.PromptMillis(loadModel, stages, loadModel.MeanPromptTokens) + loadModel.MeanAnswerTokens*cost.TokenMillis(loadModel, stages, requests)
 }
 
-// newSimulation returns a fleet whose load figures are that many rounds old and that is sent that
-// share of the requests that the chains can serve.
+// newSimulation returns a fleet in which each daemon is heard from after that many exchange rounds.
+// It is sent that share of the requests that its chains can serve.
 func newSimulation(daemons, rounds int, share float64) *simulation {
 	sim := &simulation{clock: clock.NewManual(), random: rng.New(1), delayRounds: rounds, held: map[string]int64{}, calls: map[string]int64{}, chains: simulatedChains()}
 	sim.clock.Advance(100_000)
@@ -142,9 +142,9 @@
 	for _, c := range chains {
 		entries = append(entries, c...)
 	}
-	at := uint64(sim.clock.Now())
+	revision := uint64(sim.clock.Now())
 	for _, t := range sim.tables {
-		t.Merge(fleet.Update{Entries: entries, Revision: at, LastChange: at}, sim.clock.Now())
+		t.Merge(fleet.Update{Entries: entries, Revision: revision, LastChange: revision}, sim.clock.Now())
 	}
 }
 
@@ -167,7 +167,7 @@
 	}
 }
 
-// exchangeLoad sets at each daemon the load of all others as of some rounds ago.
+// exchangeLoad sets at each daemon the load of all others as of delayRounds/2 rounds ago.
 func (sim *simulation) exchangeLoad() {
 	current := map[string]usage{}
 	for id, tokens := range sim.held {
@@ -175,8 +175,8 @@
 	}
 	sim.history = append(sim.history, current)
 	stale := map[string]usage{}
-	if at := len(sim.history) - 1 - sim.delayRounds/2; at >= 0 {
-		stale = sim.history[at]
+	if index := len(sim.history) - 1 - sim.delayRounds/2; index >= 0 {
+		stale = sim.history[index]
 	}
 	for i, t := range sim.tables {
 		sim.daemons[i].SetDemand(map[string]float64{service: sim.rate})
@@ -212,18 +212,19 @@
 	}
 }
 
-// accepts reports whether all engines of a path have memory and the first has a free slot.
+// accepts reports whether all engines of a path have memory for its request and the first one has
+// a free slot.
 func (sim *simulation) accepts(p *Path) bool {
 	for i, part := range p.Parts() {
-		k := loadModel.Kinds[part.Upstream.Entry().Kind]
-		if float64(sim.held[part.Upstream.ID()]+p.reserved[i]) > cost.Capacity(loadModel, k, part.Upstream.Layers().Len()) {
+		kind := loadModel.Kinds[part.Upstream.Entry().Kind]
+		if float64(sim.held[part.Upstream.ID()]+p.reserved[i]) > cost.Capacity(loadModel, kind, part.Upstream.Layers().Len()) {
 			return false
 		}
 	}
 	return sim.calls[p.First().ID()] < int64(loadModel.Slots)
 }
 
-// start runs a request on a path.
+// start takes memory and a slot for a request on a path until its estimated end.
 func (sim *simulation) start(now spanrill.Millis, p *Path) {
 	var stages []cost.Stage
 	for i, part := range p.Parts() {
@@ -263,26 +264,26 @@
 // and 0.479 of the sends; with flows 1.000 and 1.000 were served and none refused.
 func TestFlowsServeSimulatedLoad(t *testing.T) {
 	for _, c := range []struct {
-		times, served, refusedSends float64
+		share, minServed, maxRefusedSends float64 // share is of the requests that the chains can serve
 	}{{0.4, 1, 0}, {0.6, 0.99, 0.01}, {0.7, 0.99, 0.01}} {
-		t.Run(fmt.Sprint(c.times), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.share), func(t *testing.T) {
 			t.Parallel()
-			l := newSimulation(300, 6, c.times)
-			l.advance(spanrill.Second)
-			l.result = simulationResult{}
-			l.advance(3 * spanrill.Second)
-			r := l.result
+			sim := newSimulation(300, 6, c.share)
+			sim.advance(spanrill.Second)
+			sim.result = simulationResult{}
+			sim.advance(3 * spanrill.Second)
+			r := sim.result
 			served, refused := float64(r.served)/float64(r.requested), float64(r.refusedSends)/float64(max(1, r.sent))
-			t.Logf("%d requests, %.3f served, %.3f of sends refused by engines, highest fill %.2f", r.requested, served, refused, l.highestFill())
-			if served < c.served || refused > c.refusedSends {
-				t.Fatalf("%.3f served, want at least %.2f; %.3f of sends refused by engines, want at most %.2f", served, c.served, refused, c.refusedSends)
+			t.Logf("%d requests, %.3f served, %.3f of sends refused by engines, highest fill %.2f", r.requested, served, refused, sim.highestFill())
+			if served < c.minServed || refused > c.maxRefusedSends {
+				t.Fatalf("%.3f served, want at least %.2f; %.3f of sends refused by engines, want at most %.2f", served, c.minServed, refused, c.maxRefusedSends)
 			}
 		})
 	}
 }
 
-// roomRequests returns how many usual requests fill the memory of all chains, or the slots of
-// their first engines.
+// roomRequests returns how many requests of mean size fill all chains: a chain is full when one of
+// its engines has no memory left or its first engine has no free slot.
 func (sim *simulation) roomRequests() (requests float64) {
 	for _, c := range sim.chains {
 		least := float64(loadModel.Slots)
@@ -300,23 +301,23 @@
 func TestCallersReturningAtOnceAreServed(t *testing.T) {
 	const window spanrill.Millis = 250
 	for _, c := range []struct {
-		part                        float64 // of all room that the requests need
-		served, refusedSends, first float64 // first bounds the fill of the fullest engine
+		share                                      float64 // of the room of all chains that the requests need
+		minServed, maxRefusedSends, maxHighestFill float64
 	}{{0.3, 1, 0, 0.5}, {0.6, 1, 0, 0.9}} {
-		t.Run(fmt.Sprint(c.part), func(t *testing.T) {
-			l := newSimulation(73, 6, 0)
-			for _, d := range l.daemons {
+		t.Run(fmt.Sprint(c.share), func(t *testing.T) {
+			sim := newSimulation(73, 6, 0)
+			for _, d := range sim.daemons {
 				d.SetFleet(1, 1, false)
 				d.SetStarting(true)
 			}
-			l.rate = c.part * l.roomRequests() * float64(spanrill.Second) / float64(window)
-			l.isolated = true
-			l.advance(window)
-			r := l.result
+			sim.rate = c.share * sim.roomRequests() * float64(spanrill.Second) / float64(window)
+			sim.isolated = true
+			sim.advance(window)
+			r := sim.result
 			served, refused := float64(r.served)/float64(r.requested), float64(r.refusedSends)/float64(max(1, r.sent))
-			t.Logf("%d requests, %.3f served, %.3f of sends refused by engines, highest fill %.2f", r.requested, served, refused, l.highestFill())
-			if served < c.served || refused > c.refusedSends || l.highestFill() > c.first {
-				t.Fatalf("%.3f served, want at least %.2f; %.3f of sends refused, want at most %.2f; highest fill %.2f, want at most %.2f", served, c.served, refused, c.refusedSends, l.highestFill(), c.first)
+			t.Logf("%d requests, %.3f served, %.3f of sends refused by engines, highest fill %.2f", r.requested, served, refused, sim.highestFill())
+			if served < c.minServed || refused > c.maxRefusedSends || sim.highestFill() > c.maxHighestFill {
+				t.Fatalf("%.3f served, want at least %.2f; %.3f of sends refused, want at most %.2f; highest fill %.2f, want at most %.2f", served, c.minServed, refused, c.maxRefusedSends, sim.highestFill(), c.maxHighestFill)
 			}
 		})
 	}
--- a/coordination/chainrouting/path.go
+++ b/coordination/chainrouting/path.go
@@ -15,8 +15,8 @@
 	Layers   spanrill.LayerRange
 }
 
-// share is the fraction of the engine's layers that the path runs, and so of the memory that a
-// token takes there.
+// share returns the fraction of the engine's layers that the path runs. Of the memory that a token
+// takes in all layers of the engine, the path needs that fraction.
 func (p Part) share() float64 {
 	held := p.Upstream.Layers().Len()
 	if held <= 0 || p.Layers.Len() >= held {
@@ -27,20 +27,20 @@
 
 // Path is the engines that a request crosses, with tokens reserved at each.
 type Path struct {
-	parts      []Part
-	reserved   []int64 // tokens, for each part
-	tokens     atomic.Int64
-	released   atomic.Bool
-	expected   float64 // milliseconds that the request is expected to take
-	pipes      *pipes
-	candidates []candidate
+	parts          []Part
+	reserved       []int64 // tokens, for each part
+	tokens         atomic.Int64
+	released       atomic.Bool
+	expectedMillis float64 // time that the request is expected to take
+	pipes          *pipes
+	candidates     []candidate
 }
 
 // DescribeCandidates describes, for logs, the paths that were compared.
 func (p *Path) DescribeCandidates() []string { return describeAll(p.candidates) }
 
-func (r *Router) newPath(parts []Part, tokens int64, expected float64) *Path {
-	p := &Path{parts: parts, reserved: make([]int64, len(parts)), expected: expected, pipes: &r.pipes}
+func (r *Router) newPath(parts []Part, tokens int64, expectedMillis float64) *Path {
+	p := &Path{parts: parts, reserved: make([]int64, len(parts)), expectedMillis: expectedMillis, pipes: &r.pipes}
 	p.pipes.add(parts, 1)
 	p.tokens.Store(tokens)
 	for i, part := range parts {
@@ -66,16 +66,16 @@
 // First returns the engine that the request is sent to.
 func (p *Path) First() *fleet.Upstream { return p.parts[0].Upstream }
 
-// Grow raises the reservation to that many tokens, for a request that has grown. Only the
-// goroutine of the request may call it.
+// Grow raises the reservation to that many tokens. It does nothing if as many are reserved or the
+// path is released. Only the goroutine of the request may call it.
 func (p *Path) Grow(tokens int64) {
-	more := tokens - p.tokens.Load()
-	if more <= 0 || p.released.Load() {
+	increase := tokens - p.tokens.Load()
+	if increase <= 0 || p.released.Load() {
 		return
 	}
 	p.tokens.Store(tokens)
 	for i, part := range p.parts {
-		added := int64(float64(more) * part.share())
+		added := int64(float64(increase) * part.share())
 		p.reserved[i] += added
 		part.Upstream.Reserve(added)
 	}
@@ -115,7 +115,7 @@
 }
 
 // LosesLayers reports whether an engine of the path is ordered to drop layers that the path runs
-// there. The engine serves running requests to their end, and the order waits for that.
+// there. The engine carries out the order after its running requests have ended.
 func (p *Path) LosesLayers() bool {
 	for _, part := range p.parts {
 		target := part.Upstream.Target()
@@ -135,8 +135,8 @@
 	return wire
 }
 
-// Covers reports whether the path runs each of that many layers once and in order, and no engine
-// twice. It is checked before a request is sent.
+// Covers reports whether the path runs each of that many layers once and in order, and uses no
+// engine twice. Callers check it before they send a request.
 func (p *Path) Covers(layers int) bool {
 	next := 0
 	seen := make(map[string]bool, len(p.parts))
--- a/coordination/chainrouting/router.go
+++ b/coordination/chainrouting/router.go
@@ -57,18 +57,17 @@
 // tokens is how many tokens are reserved: the prompt, and the part of the answer that a running
 // request holds on average.
 func (n Need) tokens() float64 {
-	return float64(n.Prompt) + reservedAnswer*float64(n.Answer)
+	return float64(n.Prompt) + reservedAnswerShare*float64(n.Answer)
 }
 
 const (
-	// reservedAnswer is the fraction of its answer that a request holds on average over its run
+	// reservedAnswerShare is the fraction of its answer that a request holds on average over its run
 	// time. With 0.75, 0.88 of the memory was accounted as used where engines reported 0.55 to
 	// 0.67.
-	reservedAnswer = 0.5
-	// maxFill and maxFillUrgent are the fractions of an engine's memory that are used. A
-	// twentieth to a tenth of a chain's requests start in the quarter of a second by which the
-	// load figures of other daemons are old, and half of these are this daemon's own or go to
-	// another chain.
+	reservedAnswerShare = 0.5
+	// maxFill and maxFillUrgent are the fractions of an engine's memory that are used. The load
+	// figures of other daemons are a quarter of a second old. A twentieth to a tenth of a chain's
+	// requests start in that time, and half of these are this daemon's own or go to another chain.
 	maxFill       = 0.95
 	maxFillUrgent = 1.0
 	// staleFillReduction lowers maxFill where the load figures of other daemons are stale: a
@@ -76,27 +75,27 @@
 	staleFillReduction = 0.15
 	// staleRounds is the number of exchange rounds at which load figures count as fully stale.
 	staleRounds = 8
-	// fullnessWeight weighs how full a chain is against its speed: the estimate of a half-full
-	// chain is half as long again.
+	// fullnessWeight is the weight of the square of a path's fill in its estimate: the estimate of
+	// a half-full path is half as long again.
 	fullnessWeight = 2.0
 	// otherZoneFactor lengthens the estimate of a path whose first engine is in another
 	// availability zone, so that nearly equal paths stay inside the zone: traffic between zones
 	// is paid for.
 	otherZoneFactor = 1.15
-	// riskWeight lengthens the estimate of a path by the failure rates of its engines.
+	// riskWeight is the weight of the failure rate of each engine in the estimate of a path.
 	riskWeight = 3.0
-	// spreadJitter is the range of the random factor for choices that all daemons make at once,
-	// which would take the same path otherwise.
+	// spreadJitter is the range of the random factor for choices that many daemons make at the same
+	// moment, and which would all take the same path otherwise.
 	spreadJitter = 1.0
-	// bridgeFlowShare is the fraction of its flow that a path with bridges adds: the engines of a
-	// bridge mostly serve chains of their own, whose flows are counted already.
+	// bridgeFlowShare is the fraction of the flow of a path with bridges that counts: the engines
+	// of a bridge mostly serve chains of their own, whose flows are counted already.
 	bridgeFlowShare = 0.25
 	// bridgeFactor lengthens the estimate of a path with bridges, so that complete chains are
 	// preferred.
 	bridgeFactor = 1.3
 )
 
-// Router chooses paths and keeps count of their reservations.
+// Router chooses paths and reserves the tokens of requests on them.
 type Router struct {
 	table *fleet.Table
 	clock spanrill.Clock
@@ -110,7 +109,7 @@
 
 	demand atomic.Pointer[map[string]float64] // requests a second of all daemons, by service
 
-	starting atomic.Bool // this daemon has just started and does not know the others
+	starting atomic.Bool // this daemon has just started and does not know the load of the others
 
 	staleness atomic.Int64 // of the load figures of other daemons, in thousandths
 }
@@ -145,19 +144,19 @@
 			holders = append(holders, chain.Holder{ID: u.ID(), Zone: e.Zone, Layers: l, Pace: m.Kinds[e.Kind].StepFactor})
 		}
 	}
-	next := &serviceChains{version: v.Version(), model: m}
+	rebuilt := &serviceChains{version: v.Version(), model: m}
 	if cached != nil && cached.model.Layers == m.Layers {
-		next.builder = cached.builder
+		rebuilt.builder = cached.builder
 	} else {
-		next.builder = chain.NewBuilder(m.Layers)
+		rebuilt.builder = chain.NewBuilder(m.Layers)
 	}
-	next.chains, _ = next.builder.Build(holders)
-	next.summary = summarize(next.chains)
-	if cached == nil || cached.summary != next.summary {
-		events.ChainsChanged.Log(r.log, logrus.Fields{"service": service, "chains": next.summary, "view": v.Version()})
+	rebuilt.chains, _ = rebuilt.builder.Build(holders)
+	rebuilt.summary = summarize(rebuilt.chains)
+	if cached == nil || cached.summary != rebuilt.summary {
+		events.ChainsChanged.Log(r.log, logrus.Fields{"service": service, "chains": rebuilt.summary, "view": v.Version()})
 	}
-	r.cache[service] = next
-	return next.chains
+	r.cache[service] = rebuilt
+	return rebuilt.chains
 }
 
 // slowAndReplaceable reports whether an engine is slow and other engines of its availability zone
@@ -176,8 +175,8 @@
 }
 
 // summarize describes chains for logs by their availability zone, number of engines and holes.
-// Complete chains come first; if there are more than maxListedChains of them, only their number
-// is given.
+// Complete chains come first. If there are more than maxListedChains of them, it gives only their
+// number.
 func summarize(chains []*chain.Chain) string {
 	complete := 0
 	for complete < len(chains) && chains[complete].Complete() {
@@ -201,7 +200,7 @@
 const maxListedChains = 40
 
 // Pick returns the path with the lowest estimated time, or one chosen by flow where the load
-// figures are stale. The caller releases it. The error is a *NoPathError.
+// figures are stale. The caller releases the path. The error is a *NoPathError.
 //
 // If no path has room, Pick tries again with engines that are avoided only because they have
 // failed a request recently: most failures concern one request, and refusing the request would be
@@ -211,7 +210,7 @@
 	if err == nil {
 		return path, nil
 	}
-	if path, lenient := r.pick(service, m, need, true); lenient == nil {
+	if path, lenientErr := r.pick(service, m, need, true); lenientErr == nil {
 		return path, nil
 	}
 	return nil, err
@@ -293,17 +292,18 @@
 const roomyFill = 0.7
 
 // SetFleet sets how many daemons share the pipes between availability zones, after how many
-// exchange rounds each of them has been heard from, and whether that many are known to be all.
-func (r *Router) SetFleet(daemons, rounds int, complete bool) {
+// exchange rounds each of them has been heard from, and whether the size of the fleet is known. If
+// it is not, load figures count as fully stale.
+func (r *Router) SetFleet(daemons, rounds int, sizeKnown bool) {
 	r.pipes.daemons.Store(int64(max(1, daemons)))
-	if !complete {
+	if !sizeKnown {
 		r.staleness.Store(stalenessUnit)
 		return
 	}
 	r.staleness.Store(int64(stalenessUnit * min(1, float64(rounds-1)/staleRounds)))
 }
 
-// SetStarting sets whether this daemon has just started and does not know the others.
+// SetStarting sets whether this daemon has just started and does not know the load of the others.
 func (r *Router) SetStarting(starting bool) { r.starting.Store(starting) }
 
 // stalenessUnit is the value of Router.staleness that stands for 1.
@@ -314,11 +314,11 @@
 func (r *Router) Staleness() float64 { return float64(r.staleness.Load()) / stalenessUnit }
 
 // Replace returns a path that keeps the first engine and every other engine of p that can be
-// used, and bridges the rest. Engines that leave, or that are ordered to hold other layers, serve
-// what runs on them but refuse moved requests, so they are bridged too. With near, a bridge uses
-// only engines in the availability zone of the part that it replaces, because every token so far
-// has to be sent to an engine that takes over a part. The caller releases both paths.
-func (r *Router) Replace(service string, m *spanrill.EngineModel, p *Path, need Need, near bool) (*Path, error) {
+// used, and bridges the rest. Engines that leave, or that are ordered to hold other layers, finish
+// the requests that run on them but refuse moved requests, so they are bridged too. With sameZone,
+// a bridge uses only engines in the availability zone of the part that it replaces: every token so
+// far has to be sent to an engine that takes over a part. The caller releases both paths.
+func (r *Router) Replace(service string, m *spanrill.EngineModel, p *Path, need Need, sameZone bool) (*Path, error) {
 	s := &search{view: r.table.View(), service: service, model: m, need: need, now: r.clock.Now(), pipes: &r.pipes, random: r.random.Float64}
 	s.need.Urgent = true
 	parts := p.Parts()
@@ -329,28 +329,28 @@
 	for _, old := range parts {
 		used[old.Upstream.ID()] = true
 	}
-	next := []Part{parts[0]}
+	newParts := []Part{parts[0]}
 	for i := 1; i < len(parts); {
 		old := parts[i]
 		if s.acceptsMove(old) {
-			next = append(next, old)
+			newParts = append(newParts, old)
 			i++
 			continue
 		}
-		end := s.holeEnd(parts, i, near)
+		end := s.holeEnd(parts, i, sameZone)
 		s.zone = ""
-		if near {
+		if sameZone {
 			s.zone = old.Upstream.Zone()
 		}
 		bridge, err := s.bridge(spanrill.LayerRange{From: old.Layers.From, To: parts[end-1].Layers.To}, used)
 		if err != nil {
 			return nil, err
 		}
-		next = append(next, bridge...)
+		newParts = append(newParts, bridge...)
 		i = end
 	}
-	if len(next) > maxParts {
+	if len(newParts) > maxParts {
 		return nil, ErrNoPath
 	}
-	return r.newPath(next, p.tokens.Load(), p.expected), nil
+	return r.newPath(newParts, p.tokens.Load(), p.expectedMillis), nil
 }
--- a/coordination/chainrouting/router_test.go
+++ b/coordination/chainrouting/router_test.go
@@ -145,7 +145,7 @@
 			f.table.HandleNotice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
 			f.table.HandleNotice("b1:1", spanrill.Notice{Rest: 1000}, f.clock.Now())
 		}, needFrom("za"), "", ErrResting},
-		{"the rest of one of these engines has ended", func(f *testFleet) {
+		{"a path begins at an engine whose rest has ended", func(f *testFleet) {
 			f.table.HandleNotice("a1:1", spanrill.Notice{Rest: 3000}, f.clock.Now())
 			f.table.HandleNotice("b1:1", spanrill.Notice{Rest: 1000}, f.clock.Now())
 			f.clock.Advance(1000)
@@ -156,7 +156,7 @@
 			f.exhaustLimit("a1")
 			f.exhaustLimit("b1")
 		}, needFrom("za"), "", ErrLimited},
-		{"one of these engines accepts requests again", func(f *testFleet) {
+		{"a path begins at an engine whose rate limit is no longer exhausted", func(f *testFleet) {
 			f.exhaustLimit("a1")
 			f.exhaustLimit("b1")
 			f.clock.Advance(limitDelay)
@@ -165,7 +165,7 @@
 		{"an engine that has announced in an answer that it leaves is skipped", func(f *testFleet) {
 			f.table.HandleNotice("a2:1", spanrill.Notice{Leaving: true}, f.clock.Now())
 		}, needFrom("za"), "b1=0-6 b2=6-12 ", nil},
-		{"a path whose first events are slow is avoided", func(f *testFleet) {
+		{"a path whose first engine has answered late is avoided", func(f *testFleet) {
 			for range 8 {
 				f.table.View().ByID("a1").RecordLag(f.clock.Now(), 6)
 			}
@@ -182,7 +182,7 @@
 				return
 			}
 			if got := describePath(p); got != c.want || !p.Covers(model.Layers) {
-				t.Fatalf("path %s, want %s", got, c.want)
+				t.Fatalf("path %s, want %s, and every layer once", got, c.want)
 			}
 		})
 	}
@@ -207,11 +207,11 @@
 		}
 		found++
 		if !p.Covers(model.Layers) {
-			t.Fatalf("path %s over %v", p, entries)
+			t.Fatalf("path %s does not run every layer once, over the engines %v", p, entries)
 		}
 		for _, part := range p.Parts() {
 			if part.Upstream.Dead() || part.Layers.From < part.Upstream.Layers().From || part.Layers.To > part.Upstream.Layers().To {
-				t.Fatalf("path %s over %v", p, entries)
+				t.Fatalf("path %s uses a dead engine or layers that an engine does not hold, over the engines %v", p, entries)
 			}
 		}
 	}
@@ -229,20 +229,20 @@
 	}
 	u := p.First()
 	if u.Tokens() == 0 || u.Calls() != 1 {
-		t.Fatalf("%d tokens and %d calls reserved", u.Tokens(), u.Calls())
+		t.Fatalf("%d tokens and %d calls reserved, want some tokens and 1 call", u.Tokens(), u.Calls())
 	}
 	p.Grow(1000)
 	if u.Tokens() != 1000 {
-		t.Fatalf("%d tokens reserved after it grew, want 1000", u.Tokens())
+		t.Fatalf("%d tokens reserved after Grow(1000), want 1000", u.Tokens())
 	}
 	p.Release()
 	p.Release()
 	if u.Tokens() != 0 || u.Calls() != 0 {
-		t.Fatalf("%d tokens and %d calls still reserved after Release", u.Tokens(), u.Calls())
+		t.Fatalf("%d tokens and %d calls still reserved after Release, want none", u.Tokens(), u.Calls())
 	}
 }
 
-// A dead part is replaced by an engine of its own availability zone if near is set, and of any
+// A dead part is replaced by an engine of its own availability zone if sameZone is set, and of any
 // zone otherwise.
 func TestReplace(t *testing.T) {
 	f := newTestFleet(append(twoChains(), engine("a4", "za", 3, 9))...)
@@ -256,15 +256,15 @@
 		t.Fatal(err)
 	}
 	if got := describePath(next); got != "a1=0-4 a4=4-8 a3=8-12 " || !next.Covers(model.Layers) {
-		t.Fatalf("path %s", got)
+		t.Fatalf("path %s, want a1=0-4 a4=4-8 a3=8-12", got)
 	}
 	f.table.View().ByID("a4").SetDead(true)
 	if _, err := f.router.Replace(service, model, p, needFrom("za"), true); !errors.Is(err, ErrNoPath) {
-		t.Fatalf("near: error %v, want %v", err, ErrNoPath)
+		t.Fatalf("same zone: error %v, want %v", err, ErrNoPath)
 	}
 	far, err := f.router.Replace(service, model, p, needFrom("za"), false)
 	if err != nil || !far.Covers(model.Layers) {
-		t.Fatalf("anywhere: path %v, error %v", far, err)
+		t.Fatalf("any zone: path %v, error %v, want a path that covers all layers", far, err)
 	}
 }
 
@@ -286,7 +286,7 @@
 			f := newTestFleet(append(twoChains(), engine("a4", "za", 3, 9), engine("a5", "za", 9, 12))...)
 			p, err := f.router.Pick(service, model, needFrom("za"))
 			if err != nil || describePath(p) != "a1=0-4 a2=4-8 a3=8-12 " {
-				t.Fatalf("path %v, error %v", p, err)
+				t.Fatalf("path %v, error %v, want a1=0-4 a2=4-8 a3=8-12", p, err)
 			}
 			c.change(f)
 			f.table.View().ByID("a2").SetDead(true)
--- a/coordination/chainrouting/search.go
+++ b/coordination/chainrouting/search.go
@@ -9,7 +9,7 @@
 	"spanrill/state/fleet"
 )
 
-// search is the state of one choice of a path.
+// search is the state of the search for one request's path.
 type search struct {
 	view         *fleet.View
 	service      string
@@ -26,6 +26,7 @@
 	foundResting bool           // an engine with layer 0 was skipped because it rests
 }
 
+// usable reports whether the request may run on an engine, first or later in the path.
 func (s *search) usable(u *fleet.Upstream) bool {
 	if u == nil || !u.AcceptsRequestsAt(s.now) || u.Dead() || s.need.Avoid[u.ID()] {
 		return false
@@ -102,13 +103,13 @@
 	return s.bridge(hole, used)
 }
 
-// bridge covers a range with parts of what other engines hold. It skips engines in used and adds
-// those that it takes.
+// bridge covers a range with parts of what other engines hold. It skips engines in used, and adds
+// to it those that it takes.
 func (s *search) bridge(hole spanrill.LayerRange, used map[string]bool) ([]Part, error) {
 	var parts []Part
 	skippedFull := false
 	for next := hole.From; next < hole.To; {
-		best, bestTo, weight := (*fleet.Upstream)(nil), next, 0.0
+		best, bestTo, totalFree := (*fleet.Upstream)(nil), next, 0.0
 		for _, u := range s.view.ByService(s.service) {
 			l := u.Layers()
 			if used[u.ID()] || l.From > next || l.To <= next || s.zone != "" && u.Zone() != s.zone || !s.canRun(u, next) {
@@ -119,7 +120,7 @@
 				skippedFull = true
 				continue
 			}
-			if to > bestTo || to == bestTo && s.preferred(u, best, &weight) {
+			if to > bestTo || to == bestTo && s.preferred(u, best, &totalFree) {
 				best, bestTo = u, to
 			}
 		}
@@ -136,33 +137,33 @@
 	return parts, nil
 }
 
-// preferred reports whether an engine is preferred to another one that reaches as far. With a
-// random source, each engine is chosen with a probability in proportion to its free tokens: where
-// many requests move at the same moment they would all queue at the emptiest engine otherwise,
-// which reads their tokens one after the other. Weight is the sum of the free tokens of the
-// engines compared so far.
-func (s *search) preferred(u, other *fleet.Upstream, weight *float64) bool {
+// preferred reports whether an engine is preferred to another one that reaches as far. Without a
+// random source, the one with more free tokens is. With one, each engine is chosen with a
+// probability in proportion to its free tokens: requests that move at the same moment would
+// otherwise all queue at the emptiest engine, which reads their tokens one after the other.
+// TotalFree is the sum of the free tokens of the engines compared so far.
+func (s *search) preferred(u, other *fleet.Upstream, totalFree *float64) bool {
 	if s.random == nil {
 		return s.freeTokens(u) > s.freeTokens(other)
 	}
-	if *weight == 0 {
-		*weight = max(1, s.freeTokens(other))
+	if *totalFree == 0 {
+		*totalFree = max(1, s.freeTokens(other))
 	}
 	free := max(1, s.freeTokens(u))
-	*weight += free
-	return s.random()*(*weight) < free
+	*totalFree += free
+	return s.random()*(*totalFree) < free
 }
 
 func (s *search) kind(u *fleet.Upstream) spanrill.AcceleratorKind {
 	return s.model.Kinds[u.Entry().Kind]
 }
 
-// capacityTokens returns for how many tokens an engine has memory beside its layers.
+// capacityTokens returns how many tokens fit into an engine's memory beside its layers.
 func (s *search) capacityTokens(u *fleet.Upstream) float64 {
 	return cost.Capacity(s.model, s.kind(u), u.Layers().Len())
 }
 
-// freeTokens returns for how many more tokens an engine has usable memory.
+// freeTokens returns how many more tokens fit into the part of an engine's memory that may be used.
 func (s *search) freeTokens(u *fleet.Upstream) float64 {
 	if u == nil {
 		return 0
@@ -188,8 +189,8 @@
 	return true
 }
 
-// costStages returns the stages of a path for the cost model, with the pace that each engine now
-// reports.
+// costStages returns the stages of a path for the cost model, adjusted by the pace that each engine
+// currently reports.
 func (s *search) costStages(parts []Part) []cost.Stage {
 	stages := make([]cost.Stage, len(parts))
 	for i, p := range parts {
@@ -202,9 +203,9 @@
 	return stages
 }
 
-// estimate returns the time that the request is expected to take on a path, weighted by how full
-// the path is and by its recent delays and failures, and the same without these weights.
-func (s *search) estimate(parts []Part) (weighed, base float64) {
+// estimate returns the milliseconds that the request is expected to take on a path: weighted by how
+// full the path is, by recent delays and failures and by its zone, and without these weights.
+func (s *search) estimate(parts []Part) (weighted, base float64) {
 	stages := s.costStages(parts)
 	fullest, requests := 0.0, 0.0
 	for _, p := range parts {
@@ -225,8 +226,8 @@
 	return millis, base
 }
 
-// acceptsMove reports whether an engine can keep its part of a path to which a running request is
-// moved.
+// acceptsMove reports whether an engine can keep its part when a running request moves to a new
+// path.
 func (s *search) acceptsMove(p Part) bool {
 	u, held := p.Upstream, p.Upstream.Layers()
 	return u.AcceptsRequestsAt(s.now) && !u.Dead() && !s.need.Avoid[u.ID()] && held.From <= p.Layers.From && p.Layers.To <= held.To
@@ -234,10 +235,10 @@
 
 // holeEnd returns the end of the run of parts from start on that are bridged together: several
 // small adjacent holes may need one engine that spans them.
-func (s *search) holeEnd(parts []Part, start int, near bool) int {
+func (s *search) holeEnd(parts []Part, start int, sameZone bool) int {
 	zone := parts[start].Upstream.Zone()
 	end := start + 1
-	for end < len(parts) && !s.acceptsMove(parts[end]) && (!near || parts[end].Upstream.Zone() == zone) {
+	for end < len(parts) && !s.acceptsMove(parts[end]) && (!sameZone || parts[end].Upstream.Zone() == zone) {
 		end++
 	}
 	return end
