--- a/coordination/chain/best.go
+++ b/coordination/chain/best.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// The value of a series grows with its layers and falls by crossingCost for each change of the
-// availability zone: filling a hole from another zone takes two changes, and a series that takes
-// engines from two chains breaks both.
+// The value of a series grows with its layers and falls by crossingCost for each crossing between
+// availability zones. Filling a hole from another zone takes two crossings, and a series that
+// takes engines from two chains breaks both.
 const (
 	layerValue   = 1e6
 	crossingCost = 4 * layerValue
 )
 
-// paceWeight weighs the pace against the value of a layer. Paces differ by tenths.
+// paceWeight is what a unit of pace takes off the value of a layer. At 10, paces that differ by a
+// tenth give different values.
 const paceWeight = 10
 
-// holderValue is what a holder adds to the value of a series. The pace weighs less than one
-// layer, even over all layers of a model.
+// holderValue returns what a holder adds to the value of a series. Pace weighs less than one layer,
+// even over all layers of a model, so that it only decides between series that cover as much.
 func holderValue(h *Holder) int {
 	return h.Layers.Len() * (layerValue - int(paceWeight*h.Pace))
 }
@@ -44,11 +45,12 @@
 	return buildChain(layers, holders, last, previous), value
 }
 
-// recentHolders is the latest holders with the same layers. Of holders that also share pace and
-// availability zone, only the first is considered, because the others cannot improve a series.
+// recentHolders holds the holders of the current layer range that bestChain has considered. Of
+// holders that also share pace and availability zone, it considers only the first, because the
+// others cannot improve a series.
 type recentHolders []*Holder
 
-// containsOrAdd reports whether an equivalent holder is contained, and adds the holder if not.
+// containsOrAdd reports whether an equivalent holder was considered, and adds the holder if not.
 func (r *recentHolders) containsOrAdd(h *Holder) bool {
 	if len(*r) > 0 && (*r)[0].Layers != h.Layers {
 		*r = (*r)[:0]
@@ -72,14 +74,15 @@
 	return c
 }
 
-// seriesByZone is the best series so far, by the availability zone of the last holder.
+// seriesByZone holds the best series so far, by the availability zone of their last holder.
 type seriesByZone struct {
 	layers int
 	names  []string
 	zones  []seriesByEnd
 }
 
-// zoneIndex returns the index of an availability zone. There are few, so a linear search does.
+// zoneIndex returns the index of an availability zone, and adds the zone if it is new. There are few
+// zones, so a linear search is fast enough.
 func (s *seriesByZone) zoneIndex(name string) int {
 	index := slices.Index(s.names, name)
 	if index >= 0 {
@@ -91,28 +94,29 @@
 }
 
 // bestEndingWith returns the value of the best series that ends with a holder, and the index of
-// the holder before it, or -1. Of equal ones the first counts.
+// the holder before it, or -1 if there is none. Of series of equal value, it takes the one whose
+// previous holder has the lowest index.
 func (s *seriesByZone) bestEndingWith(h *Holder, zone int) (value, previous int) {
 	added := holderValue(h)
 	value, previous = added, -1
 	for i, z := range s.zones {
-		last := z[h.Layers.From]
-		if last.index < 0 {
+		end := z[h.Layers.From]
+		if end.index < 0 {
 			continue
 		}
-		v := last.value + added
+		v := end.value + added
 		if i != zone {
 			v -= crossingCost
 		}
-		if v > value || v == value && previous >= 0 && last.index < previous {
-			value, previous = v, last.index
+		if v > value || v == value && previous >= 0 && end.index < previous {
+			value, previous = v, end.index
 		}
 	}
 	return value, previous
 }
 
-// seriesByEnd is the best series of one availability zone that end at each layer or before it, so
-// that a holder need not be compared with all before it.
+// seriesByEnd holds, by layer, the best series that ends in one availability zone at that layer or
+// before it. It saves comparing each holder with all holders before it.
 type seriesByEnd []seriesEnd
 
 // seriesEnd is the value of a series and the index of its last holder.
@@ -126,7 +130,7 @@
 	return s
 }
 
-// record enters a series that ends at a layer.
+// record stores a series that ends at a layer where it is better than those recorded before.
 func (s seriesByEnd) record(layer, value, index int) {
 	for i := layer; i < len(s) && (s[i].index < 0 || value > s[i].value); i++ {
 		s[i] = seriesEnd{value, index}
--- a/coordination/chain/builder_test.go
+++ b/coordination/chain/builder_test.go
@@ -20,14 +20,14 @@
 }
 
 // A Builder that keeps chains between calls returns the same as a new one, whatever has changed.
-// It keeps chains because building all of them again after one change among 2,922 engines took
-// each daemon 82 ms of a core: 0.43 s on a machine with 0.192 of a core, where a caller wants the
-// first event within 0.6 s.
+// It keeps them because building all chains again after one change among 2,922 engines took each
+// daemon 82 ms of a core: 0.43 s on a machine with 0.192 of a core, of the 0.6 s within which a
+// caller wants the first event.
 func TestBuilderMatchesFreshBuild(t *testing.T) {
 	const engines, zones, layers = 120, 5, 24
 	for seed := range int64(20) {
 		r := rand.New(rand.NewSource(seed))
-		reader := NewBuilder(layers)
+		builder := NewBuilder(layers)
 		var holders []Holder
 		for i := range engines {
 			holders = append(holders, randomHolder(r, i, zones, layers))
@@ -41,10 +41,10 @@
 			default:
 				holders[i].Layers.To = min(layers, holders[i].Layers.To+1)
 			}
-			got, spare := reader.Build(holders)
-			want, wantSpare := Build(layers, holders)
-			if describe(got, spare) != describe(want, wantSpare) {
-				t.Fatalf("seed %d, step %d: built %s, want %s", seed, step, describe(got, spare), describe(want, wantSpare))
+			got, spares := builder.Build(holders)
+			want, wantSpares := Build(layers, holders)
+			if describe(got, spares) != describe(want, wantSpares) {
+				t.Fatalf("seed %d, step %d: built %s, want %s", seed, step, describe(got, spares), describe(want, wantSpares))
 			}
 		}
 	}
@@ -58,7 +58,8 @@
 	return fmt.Sprint(s, "spares ", spares)
 }
 
-// benchmarkHolders returns engines of five availability zones: chains of eight, and spares.
+// benchmarkHolders returns n engines in five availability zones that form chains of eight, and one
+// spare for every 16 of them.
 func benchmarkHolders(n int) []Holder {
 	var holders []Holder
 	for i := range n {
@@ -74,17 +75,17 @@
 	return holders
 }
 
-// One engine changes, and all chains are built again. With 2,922 engines it took 82 ms when each
-// chain was searched for among all engines, and takes 2.2 ms now; 6.1 ms with 5,844.
+// One engine changes, and the chains are built again. This takes 2.2 ms with 2,922 engines (82 ms
+// when each chain was searched for among all engines) and 6.1 ms with 5,844.
 func BenchmarkBuildAfterOneChange(b *testing.B) {
 	for _, n := range []int{975, 2922, 5844} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			holders := benchmarkHolders(n)
-			reader := NewBuilder(80)
-			reader.Build(holders)
+			builder := NewBuilder(80)
+			builder.Build(holders)
 			for i := 0; b.Loop(); i++ {
 				holders[1].Layers.To = holders[1].Layers.From + 5 + i%2*5
-				reader.Build(holders)
+				builder.Build(holders)
 			}
 		})
 	}
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -27,8 +27,8 @@
 	ID     string
 	Zone   string
 	Layers spanrill.LayerRange
-	Used   int64   // of holders of the same layers, the most used one is a part and the others are spares
-	Pace   float64 // time factor of its kind, lower is faster; of series that cover as much, the fastest becomes the chain
+	Used   int64   // tokens reserved by running requests; of holders of the same layers, the one with the most becomes a part
+	Pace   float64 // time factor of the engine's kind, lower is faster; of series that cover as much, the fastest becomes the chain
 }
 
 // Chain is a series of holders in the order of their layers.
@@ -52,7 +52,7 @@
 // Complete reports whether the chain covers every layer.
 func (c *Chain) Complete() bool { return c.Covered() == c.layers }
 
-// Holes returns the ranges that no engine of the chain holds.
+// Holes returns the ranges of layers that no engine of the chain holds.
 func (c *Chain) Holes() []spanrill.LayerRange {
 	var holes []spanrill.LayerRange
 	next := 0
@@ -68,7 +68,7 @@
 	return holes
 }
 
-// Zone returns the availability zone whose engines hold most layers of the chain.
+// Zone returns the availability zone whose engines hold the most layers of the chain.
 func (c *Chain) Zone() string {
 	count := map[string]int{}
 	best := ""
--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -31,14 +31,14 @@
 			holder("a", "z1", 0, 4), holder("c", "z1", 7, 12),
 			holder("d", "z2", 0, 4), holder("e", "z2", 4, 9),
 		}, "z2:2[{9 12}] z1:2[{4 7}] ", 0},
-		{"the fastest of series that cover the same layers", []Holder{
+		{"the fastest of series that cover the same layers becomes the chain", []Holder{
 			holder("a", "z1", 0, 6), holder("b", "z1", 6, 8), holder("c", "z1", 8, 10), holder("d", "z1", 10, 12),
 			{ID: "slow", Zone: "z1", Layers: spanrill.LayerRange{From: 6, To: 10}, Pace: 4},
 		}, "z1:4[] ", 1},
 		{"spares of several zones do not form a chain with holes", []Holder{
 			holder("a", "z1", 0, 12), holder("b", "z1", 0, 4), holder("c", "z2", 4, 8), holder("d", "z3", 9, 11),
 		}, "z1:1[] ", 3},
-		{"spares", []Holder{holder("a", "z1", 0, 12), holder("b", "z1", 3, 6)}, "z1:1[] ", 1},
+		{"a holder of layers that a complete chain covers is a spare", []Holder{holder("a", "z1", 0, 12), holder("b", "z1", 3, 6)}, "z1:1[] ", 1},
 		{"a range outside of the model is ignored", []Holder{holder("a", "z1", 0, 12), holder("b", "z1", 6, 14)}, "z1:1[] ", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -62,22 +62,22 @@
 	}
 	chains, _ := Build(40, holders)
 	if len(chains) == 0 {
-		t.Fatal("no chains")
+		t.Fatal("no chains, want at least one")
 	}
 	for _, c := range chains {
 		next := 0
 		for _, p := range c.Parts() {
 			if p.Layers.From < next {
-				t.Fatalf("part %v begins before layer %d", p, next)
+				t.Fatalf("part %v begins before layer %d, where the previous part ends", p, next)
 			}
 			next = p.Layers.To
 		}
 	}
 }
 
-// 975 engines in three availability zones. It took 97 ms when each holder was compared with all
-// before it, 7.9 ms when all zones were searched for each chain, and takes 1.4 ms with
-// seriesByEnd and zones built one by one.
+// Building the chains of 975 engines in three availability zones takes 1.4 ms. It took 97 ms when
+// each holder was compared with all before it, without seriesByEnd, and 7.9 ms when all zones were
+// searched for each chain.
 func BenchmarkBuild(b *testing.B) {
 	var holders []Holder
 	for i := range 975 {
--- a/coordination/chain/read.go
+++ b/coordination/chain/read.go
@@ -8,9 +8,10 @@
 	"strings"
 )
 
-// minCoverageDivisor divides the number of layers of a model: a series that covers less is left
-// as spares and not taken for a chain with holes. A chain with holes is built inside one
-// availability zone, because spares of several zones cover as many layers together.
+// minCoverageDivisor sets how many layers a chain with holes must cover: the layers of the model
+// divided by it. The holders of a series that covers less are spares. A chain with holes lies
+// inside one availability zone, because otherwise spares of several zones would together cover
+// enough layers to count as one.
 const minCoverageDivisor = 2
 
 // Build returns the chains of a model with that many layers, complete ones first, and the holders
@@ -20,8 +21,9 @@
 }
 
 // Builder builds the chains of a model repeatedly. It keeps the complete chains of each
-// availability zone until a holder of that zone changes: with 2,922 engines, one changes at a
-// time, and the chains of the other zones are not built again. It is not safe for concurrent use.
+// availability zone until a holder of that zone changes: in a fleet of 2,922 engines, one changes
+// at a time, and the chains of the other zones need not be built again. It is not safe for
+// concurrent use.
 type Builder struct {
 	layers int
 	zones  map[string]*zoneChains
@@ -29,7 +31,7 @@
 
 // zoneChains holds the complete chains inside one availability zone.
 type zoneChains struct {
-	input     []Holder // in the order of the caller
+	input     []Holder // the zone's holders, in the order of the caller
 	chains    []*Chain
 	remaining []*Holder // elements of input that are in no chain, sorted
 }
@@ -40,13 +42,13 @@
 }
 
 // Build returns the chains, complete ones first, and the holders that belong to none.
-func (r *Builder) Build(holders []Holder) (chains []*Chain, spares []Holder) {
-	chains, remaining := r.chainsInsideZones(r.groupByZone(holders))
-	crossing, remaining := extractComplete(r.layers, remaining)
+func (b *Builder) Build(holders []Holder) (chains []*Chain, spares []Holder) {
+	chains, remaining := b.chainsInsideZones(b.groupByZone(holders))
+	crossing, remaining := extractComplete(b.layers, remaining)
 	chains = append(chains, crossing...)
-	broken, remaining := r.extractIncomplete(remaining)
+	broken, remaining := b.extractIncomplete(remaining)
 	chains = append(chains, broken...)
-	sort.SliceStable(chains, func(i, k int) bool { return chains[i].Covered() > chains[k].Covered() })
+	sort.SliceStable(chains, func(i, j int) bool { return chains[i].Covered() > chains[j].Covered() })
 	for _, h := range remaining {
 		spares = append(spares, *h)
 	}
@@ -55,11 +57,11 @@
 
 // groupByZone returns the holders by availability zone, without those whose range is empty or
 // outside of the model.
-func (r *Builder) groupByZone(holders []Holder) map[string][]*Holder {
+func (b *Builder) groupByZone(holders []Holder) map[string][]*Holder {
 	zones := map[string][]*Holder{}
 	for i := range holders {
 		h := &holders[i]
-		if h.Layers.Len() > 0 && h.Layers.From >= 0 && h.Layers.To <= r.layers {
+		if h.Layers.Len() > 0 && h.Layers.From >= 0 && h.Layers.To <= b.layers {
 			zones[h.Zone] = append(zones[h.Zone], h)
 		}
 	}
@@ -68,13 +70,13 @@
 
 // chainsInsideZones returns the complete chains that lie inside one availability zone, and the
 // remaining holders, sorted.
-func (r *Builder) chainsInsideZones(zones map[string][]*Holder) (chains []*Chain, remaining []*Holder) {
-	maps.DeleteFunc(r.zones, func(zone string, _ *zoneChains) bool { return zones[zone] == nil })
+func (b *Builder) chainsInsideZones(zones map[string][]*Holder) (chains []*Chain, remaining []*Holder) {
+	maps.DeleteFunc(b.zones, func(zone string, _ *zoneChains) bool { return zones[zone] == nil })
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		z := r.zones[zone]
-		if z == nil || !slices.EqualFunc(z.input, zones[zone], func(a Holder, b *Holder) bool { return a == *b }) {
-			z = buildZone(r.layers, zones[zone])
-			r.zones[zone] = z
+		z := b.zones[zone]
+		if z == nil || !slices.EqualFunc(z.input, zones[zone], func(known Holder, current *Holder) bool { return known == *current }) {
+			z = buildZone(b.layers, zones[zone])
+			b.zones[zone] = z
 		}
 		chains = append(chains, z.chains...)
 		remaining = append(remaining, z.remaining...)
@@ -110,23 +112,23 @@
 
 // extractIncomplete takes chains with holes out of the holders, each from one availability zone,
 // the one with the best series first, and returns the remaining holders.
-func (r *Builder) extractIncomplete(holders []*Holder) (chains []*Chain, remaining []*Holder) {
+func (b *Builder) extractIncomplete(holders []*Holder) (chains []*Chain, remaining []*Holder) {
 	byZone, bestByZone := map[string][]*Holder{}, map[string]bestSeries{}
 	for _, h := range holders {
 		byZone[h.Zone] = append(byZone[h.Zone], h)
 	}
 	for zone, holders := range byZone {
-		bestByZone[zone] = findBestSeries(r.layers, holders)
+		bestByZone[zone] = findBestSeries(b.layers, holders)
 	}
 	for {
 		zone := bestZone(bestByZone)
 		s := bestByZone[zone]
-		if s.chain == nil || s.chain.Covered() < max(1, r.layers/minCoverageDivisor) {
+		if s.chain == nil || s.chain.Covered() < max(1, b.layers/minCoverageDivisor) {
 			break
 		}
 		chains = append(chains, s.chain)
 		byZone[zone] = without(byZone[zone], s.chain)
-		bestByZone[zone] = findBestSeries(r.layers, byZone[zone])
+		bestByZone[zone] = findBestSeries(b.layers, byZone[zone])
 	}
 	for _, holders := range byZone {
 		remaining = append(remaining, holders...)
@@ -135,7 +137,7 @@
 	return chains, remaining
 }
 
-// bestSeries is the best series of given holders.
+// bestSeries is the best series of the holders of an availability zone.
 type bestSeries struct {
 	chain *Chain // nil if there is no holder
 	value int
@@ -146,16 +148,16 @@
 	return bestSeries{chain: c, value: value}
 }
 
-// bestZone returns the availability zone with the best series, and of equal ones the one whose
-// last holder sorts first.
+// bestZone returns the availability zone with the best series. Of series of equal value, it takes
+// the one whose last holder sorts first.
 func bestZone(bestByZone map[string]bestSeries) string {
 	best := ""
 	for name, s := range bestByZone {
 		if s.chain == nil {
 			continue
 		}
-		first := bestByZone[best]
-		if first.chain == nil || s.value > first.value || s.value == first.value && compareHolders(s.chain.last(), first.chain.last()) < 0 {
+		leader := bestByZone[best]
+		if leader.chain == nil || s.value > leader.value || s.value == leader.value && compareHolders(s.chain.last(), leader.chain.last()) < 0 {
 			best = name
 		}
 	}
@@ -164,7 +166,8 @@
 
 func (c *Chain) last() *Holder { return &c.parts[len(c.parts)-1] }
 
-// without returns the holders that are not part of the chain, in the same order. Both are sorted.
+// without returns the holders that are not part of the chain, in the same order. Holders and parts
+// must be in the order of compareHolders.
 func without(holders []*Holder, c *Chain) []*Holder {
 	remaining := make([]*Holder, 0, len(holders)-len(c.parts))
 	next := 0
