--- a/coordination/routing/explain.go
+++ b/coordination/routing/explain.go
@@ -12,9 +12,9 @@
 	Zone           string  `json:"availability_zone"`
 	From           int     `json:"from"`
 	To             int     `json:"to"`
-	Load           float64 `json:"load"`           // requests expected on it
+	Load           float64 `json:"load"`           // requests expected on the engine
 	MicrosPerToken float64 `json:"micros_a_token"` // at a full batch
-	Slowdown       float64 `json:"slow"`           // factor by which it is slower than it reports
+	Slowdown       float64 `json:"slow"`           // factor by which steps take longer than the engine reports
 	LinkMicros     int64   `json:"link_micros"`
 	Score          float64 `json:"score"`             // lower is better
 	WhyNot         string  `json:"why_not,omitempty"` // why the engine cannot be used, if it cannot
@@ -27,7 +27,8 @@
 	Stages [][]Candidate `json:"stages"` // the best candidate first
 }
 
-// Explain chooses a chain and returns how the candidates of each of its stages compare.
+// Explain chooses a chain and returns it with the candidates of each of its stages. It sends no
+// request.
 func (r *Router) Explain(index *load.ModelIndex, q *Query) Explanation {
 	e := Explanation{Policy: r.policy.Name(), Chain: []string{}, Stages: [][]Candidate{}}
 	chain, _ := r.Choose(index, q, nil)
@@ -58,6 +59,6 @@
 		}
 		result = append(result, c)
 	}
-	sort.Slice(result, func(i, k int) bool { return result[i].Score < result[k].Score })
+	sort.Slice(result, func(i, j int) bool { return result[i].Score < result[j].Score })
 	return result
 }
--- a/coordination/routing/leastwork.go
+++ b/coordination/routing/leastwork.go
@@ -13,6 +13,7 @@
 	samples int
 }
 
+// defaultSamples is the number of random candidates that LeastWork compares.
 const defaultSamples = 16
 
 // NewLeastWork returns the default policy.
@@ -23,7 +24,8 @@
 // Name returns "least-work".
 func (p *LeastWork) Name() string { return "least-work" }
 
-// Pick returns the best of the preferred candidates and a few random ones that are usable.
+// Pick returns the usable candidate with the lowest score among the preferred ones and a few random
+// ones.
 func (p *LeastWork) Pick(candidates []*load.Upstream, q *Query) *load.Upstream {
 	n := len(candidates)
 	if n == 0 {
@@ -88,8 +90,7 @@
 	return a
 }
 
-// minCrossingMicros is the least time that is assumed for a hop into another availability
-// zone.
+// minCrossingMicros is the least time that Score assumes for a hop into another availability zone.
 const minCrossingMicros = 500
 
 // Score returns the time in microseconds that a step is expected to take on an upstream with one
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -40,10 +40,9 @@
 	return q.lastResort || !u.Ejected(q.Now) && !contains(q.Avoid, u)
 }
 
-// contains reports whether an upstream is in a list.
 func contains(list []*load.Upstream, u *load.Upstream) bool {
-	for _, x := range list {
-		if x == u {
+	for _, listed := range list {
+		if listed == u {
 			return true
 		}
 	}
@@ -54,7 +53,7 @@
 type Policy interface {
 	// Name returns the name by which settings choose the policy.
 	Name() string
-	// Pick returns one of the candidates that the query can use, or nil.
+	// Pick returns one of the candidates that are usable for the query, or nil if none is.
 	Pick(candidates []*load.Upstream, q *Query) *load.Upstream
 }
 
@@ -95,8 +94,8 @@
 	return nil, errors.Errorf("unknown routing policy %q: allowed are least-work, random, round-robin and least-in-flight", name)
 }
 
-// Choose appends the engines of a chain to dst and reports whether there is one. It does not
-// allocate if dst has capacity for the chain.
+// Choose appends the engines of a chain to dst and reports whether it found a complete one. It does
+// not allocate if dst has capacity for the chain.
 func (r *Router) Choose(index *load.ModelIndex, q *Query, dst []*load.Upstream) ([]*load.Upstream, bool) {
 	if index == nil {
 		return dst, false
@@ -116,8 +115,9 @@
 	return dst, true
 }
 
-// pick picks an upstream that is neither ejected nor avoided, or else any: if all upstreams of a
-// stage are ejected, trying one is better than refusing the request.
+// pick picks an upstream that is neither ejected nor avoided if there is one, and otherwise one of
+// the others: if all upstreams of a stage are ejected, trying one is better than refusing the
+// request.
 func (r *Router) pick(candidates []*load.Upstream, q *Query) *load.Upstream {
 	q.lastResort = false
 	if u := r.policy.Pick(candidates, q); u != nil {
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -68,7 +68,7 @@
 		for range 200 {
 			chain, ok := r.Choose(tab.View().Model(key), &Query{Layers: 24}, nil)
 			if !ok || !coversAllLayers(chain) {
-				t.Fatalf("%s chose %v", p.Name(), chain)
+				t.Fatalf("%s chose %v, want a chain of all 24 layers", p.Name(), chain)
 			}
 		}
 	}
@@ -113,7 +113,8 @@
 	}
 }
 
-// Each failure ejects for longer, up to a ceiling, and the share of requests recovers gradually.
+// Each further failure ejects an upstream for longer, up to a limit, and after an ejection its share
+// of the requests recovers gradually.
 func TestEjectionGrowsAndShareRecovers(t *testing.T) {
 	tab, c := newTable(6)
 	u := tab.Upstream("e00000")
@@ -135,17 +136,17 @@
 			previous = duration
 		}
 		if u.RampShare(c.Now()) > 0.2 {
-			t.Fatal("the full share returned at once")
+			t.Fatal("the share of requests exceeds 0.2 directly after the ejection")
 		}
 	}
 	c.Advance(10 * spanrill.Second)
 	u.RecordSuccess(c.Now())
 	if u.RampShare(c.Now()) != 1 {
-		t.Fatal("the full share did not return")
+		t.Fatal("the share of requests is not 1 within 10 s after the ejection")
 	}
 }
 
-func TestSlowEngineIsSkippedUntilSlownessDecays(t *testing.T) {
+func TestSlowEngineIsSkippedAndSlowdownDecays(t *testing.T) {
 	tab, c := newTable(6)
 	u := tab.Upstream("e00000")
 	r := New(c)
@@ -153,17 +154,17 @@
 		u.RecordStep(c.Now(), 80_000)
 	}
 	if u.Slowdown(c.Now()) < 5 {
-		t.Fatalf("slowness is %.1f, want at least 5", u.Slowdown(c.Now()))
+		t.Fatalf("slowdown is %.1f, want at least 5", u.Slowdown(c.Now()))
 	}
 	for range 20 {
 		chain, _ := r.Choose(tab.View().Model(key), &Query{Layers: 24}, nil)
 		if contains(chain, u) {
-			t.Fatal("the slow engine was chosen")
+			t.Fatal("the slow engine was chosen although another one is usable")
 		}
 	}
 	c.Advance(spanrill.Minute)
 	if u.Slowdown(c.Now()) > 1.1 {
-		t.Fatal("slowness did not decay within a minute")
+		t.Fatal("slowdown did not decay to 1.1 within a minute")
 	}
 }
 
@@ -174,7 +175,7 @@
 	q := &Query{Layers: 24}
 	buf := make([]*load.Upstream, 0, 8)
 	if n := testing.AllocsPerRun(100, func() { _, _ = r.Choose(index, q, buf) }); n != 0 {
-		t.Fatalf("%.0f allocations", n)
+		t.Fatalf("Choose made %.0f allocations, want 0", n)
 	}
 }
 
