--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -1,8 +1,8 @@
 // Package dispatch sends calls to plain services.
 //
-// A call that must not be repeated is tried again only if the failed attempt did not run, so that
-// it reaches a handler at most once. A repeatable call is tried again after any failure. A budget
-// limits the retries.
+// A call that must not be repeated is tried again only if the failed attempt certainly did not run,
+// so that a handler receives it at most once. A repeatable call is tried again after any failure. A
+// budget limits the retries.
 //
 // # Usage
 //
@@ -40,7 +40,7 @@
 // Option changes a default of New.
 type Option func(*Dispatcher)
 
-// WithLogger sets the logger of events.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(d *Dispatcher) { d.log = log }
 }
@@ -78,7 +78,8 @@
 	return d
 }
 
-// Do returns the answer of the service, or the refusal if every attempt failed.
+// Do sends a call to an upstream of the service and returns the answer. After a failure it tries
+// other upstreams; it returns a refusal if the call may not be tried again or no upstream is left.
 func (d *Dispatcher) Do(ctx context.Context, key load.ServiceKey, req *spanrill.ServiceRequest) (*spanrill.ServiceAnswer, *spanrill.Refusal) {
 	q := &routing.Query{}
 	requestOutcome := spanrill.OutcomeNotRun
@@ -123,7 +124,7 @@
 	return nil, err
 }
 
-// outcomeOf returns whether a failed attempt can have run at the upstream.
+// outcomeOf returns whether a failed attempt may have run at the upstream.
 func outcomeOf(err error) spanrill.Outcome {
 	var call *spanrill.CallError
 	if errors.As(err, &call) {
@@ -132,8 +133,8 @@
 	return spanrill.OutcomeUnknown
 }
 
-// afterFailure returns the refusal that ends a call after a failed attempt, or nil if it is to be
-// tried again.
+// afterFailure returns the refusal that ends a call after a failed attempt, or nil if the call is
+// to be tried again. A further attempt is taken from the budget.
 func (d *Dispatcher) afterFailure(ctx context.Context, req *spanrill.ServiceRequest, attempt int, requestOutcome, attemptOutcome spanrill.Outcome, err error) *spanrill.Refusal {
 	reason := spanrill.ReasonUpstreamFailed
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
