--- a/coordination/pipeline/failure.go
+++ b/coordination/pipeline/failure.go
@@ -31,8 +31,8 @@
 	return spanrill.ReasonUpstreamFailed
 }
 
-// excludeFailed keeps the stage that failed out of further attempts, and ejects it unless it only
-// refused the request.
+// excludeFailed excludes the stage that failed from further attempts, and ejects it unless it only
+// refused the request. A stage that refused because it leaves is marked as leaving.
 func (g *generation) excludeFailed(f *failure) {
 	if f.reason == meter.RetryStalled {
 		g.excludeStalled(f)
@@ -60,12 +60,12 @@
 	}
 }
 
-// probeTimeout bounds how long a stage of a stalled chain may take to answer a status request.
+// probeTimeout is how long a stage of a stalled chain may take to answer a status request.
 const probeTimeout = 250 * spanrill.Millis(1)
 
-// excludeStalled requests the status of each stage of a stalled chain. Stages that do not answer
-// are excluded and ejected. If all answer, the fault may be a link between them, and the next
-// chain avoids them all if it can.
+// excludeStalled requests the status of each stage of a stalled chain, and excludes and ejects those
+// that do not answer. If all answer, the fault may be a link between them, and further attempts
+// avoid them all if they can.
 func (g *generation) excludeStalled(f *failure) {
 	var probes task.Group
 	silent := make([]bool, len(f.chain))
@@ -92,7 +92,8 @@
 	}
 }
 
-// startFailure describes why a run did not start, and records whether an engine may have run it.
+// startFailure returns the failure of a run that did not start, and records whether an engine may
+// have run it.
 func (g *generation) startFailure(chain []*load.Upstream, err error) *failure {
 	f := &failure{cause: err, reason: meter.RetryStageLost, stage: chain[0]}
 	var call *spanrill.CallError
@@ -112,7 +113,8 @@
 	return f
 }
 
-// attributeRefusal sets the stage that refused or could not be reached.
+// attributeRefusal sets the reason of a refused run, and the stage that refused it or could not be
+// reached.
 func (g *generation) attributeRefusal(f *failure, chain []*load.Upstream) {
 	var refusal *spanrill.RunError
 	if !errors.As(f.cause, &refusal) {
@@ -136,6 +138,7 @@
 	return nil
 }
 
+// streamFailure returns the failure of a stream that could not be read to its end.
 func (g *generation) streamFailure(chain []*load.Upstream, err error) *failure {
 	switch {
 	case errors.Is(err, io.EOF):
@@ -146,6 +149,7 @@
 	return &failure{cause: fmt.Errorf("read stream: %w", err), reason: meter.RetryStageLost, stage: chain[0]}
 }
 
+// reportedFailure returns the failure that an engine has reported in the stream.
 func (g *generation) reportedFailure(chain []*load.Upstream, reported *spanrill.RunError) *failure {
 	f := &failure{cause: reported, reason: meter.RetryStageLost, stage: findStage(chain, reported.Engine)}
 	if reported.Code == spanrill.CodeBusy || reported.Code == spanrill.CodeLeaving {
@@ -156,8 +160,8 @@
 
 // mismatchedStage returns the first stage whose reported engine or layers differ from the chain,
 // or the first stage of the chain if none does.
-func mismatchedStage(ran []spanrill.StageRun, chain []*load.Upstream) *load.Upstream {
-	for i, r := range ran {
+func mismatchedStage(runs []spanrill.StageRun, chain []*load.Upstream) *load.Upstream {
+	for i, r := range runs {
 		if i < len(chain) && (r.Engine != chain[i].Name() || r.Layers != chain[i].Layers()) {
 			return chain[i]
 		}
--- a/coordination/pipeline/generation.go
+++ b/coordination/pipeline/generation.go
@@ -24,13 +24,13 @@
 	ctx        context.Context
 	result     *Result
 	generated  []uint32         // tokens delivered to the sink
-	failed     []*load.Upstream // upstreams that have failed this request
+	failed     []*load.Upstream // upstreams that have failed or refused this request
 	avoid      []*load.Upstream // stages of stalled chains whose faulty stage is not known
 	started    spanrill.Millis
 	mayHaveRun bool // an engine may have run the request
 }
 
-// Causes of a failure. After errCallerLeft there is no further attempt.
+// Causes of a failure. After errCallerLeft, there is no further attempt.
 var (
 	errCallerLeft  = errors.New("caller left")
 	errStreamEnded = errors.New("stream ended before the answer was complete")
@@ -39,7 +39,7 @@
 func (g *generation) run() (*Result, *spanrill.Refusal) {
 	g.started = g.runner.clock.Now()
 	for {
-		chain, ok := g.choose()
+		chain, ok := g.chooseChain()
 		if !ok {
 			return nil, g.refuse(spanrill.ReasonNoChain, "no chain of engines covers all layers of %s", g.req.Key.Model)
 		}
@@ -55,18 +55,18 @@
 	}
 }
 
-// inlineStages is the number of stages up to which choosing a chain allocates only once.
+// inlineStages is the number of stages up to which chooseChain allocates only once.
 const inlineStages = 8
 
-func (g *generation) choose() ([]*load.Upstream, bool) {
+func (g *generation) chooseChain() ([]*load.Upstream, bool) {
 	q := &routing.Query{Layers: g.req.Layers, Exclude: g.failed, Avoid: g.avoid}
 	q.Prefer, q.SavedShare = g.runner.affinity.Lookup(g.req.Body)
 	index := g.runner.table.View().Model(g.req.Key)
 	return g.runner.router.Choose(index, q, make([]*load.Upstream, 0, inlineStages))
 }
 
-// afterFailure returns the refusal that ends the request after a failed attempt, or nil if it is
-// to be tried again.
+// afterFailure returns the refusal that ends the request after a failed attempt, or nil if the
+// request is to be tried again. A further attempt is taken from the budget.
 func (g *generation) afterFailure(f *failure) *spanrill.Refusal {
 	if errors.Is(f.cause, errCallerLeft) || g.ctx.Err() != nil {
 		g.runner.meters.CallersLeft.Inc()
@@ -105,7 +105,7 @@
 	}
 	ctx, cancel := context.WithCancel(g.ctx)
 	defer cancel()
-	run := g.runRequest(chain)
+	run := g.newRunRequest(chain)
 	timer := time.AfterFunc(g.runner.firstTokenTimeout.Duration(), cancel)
 	stream, err := g.runner.engines.Run(ctx, run)
 	beforeTimeout := timer.Stop()
@@ -122,7 +122,7 @@
 	return g.readStream(stream, run, chain)
 }
 
-func (g *generation) runRequest(chain []*load.Upstream) *spanrill.RunRequest {
+func (g *generation) newRunRequest(chain []*load.Upstream) *spanrill.RunRequest {
 	stages := make([]spanrill.StageRef, len(chain))
 	for i, u := range chain {
 		stages[i] = u.Stage()
@@ -166,7 +166,7 @@
 	}
 }
 
-// finish checks that the stream ends directly after the last token, and records the result.
+// finish checks that the stream ends directly after the last delivered token, and records the result.
 func (g *generation) finish(ev *spanrill.RunEvent, v *verifier, chain []*load.Upstream) *failure {
 	if ev.Index != v.next {
 		err := errors.Wrapf(ErrGap, "the end is at index %d, expected %d", ev.Index, v.next)
@@ -195,19 +195,19 @@
 	}
 	*lastToken = now
 	g.result.promptTokens = ev.PromptTokens
-	g.observe(ev.StageRuns, chain, now)
+	g.recordStageTimes(ev.StageRuns, chain, now)
 	g.generated = append(g.generated, ev.Token)
 	g.runner.meters.Tokens.Inc()
 	return g.sink.Token(ev)
 }
 
-// observe records the times of the stages. The first token's time includes the prompt, so it is
-// not the time of a step.
-func (g *generation) observe(ran []spanrill.StageRun, chain []*load.Upstream, now spanrill.Millis) {
+// recordStageTimes records the times of the stages at their upstreams. It skips the first token,
+// whose times include the prompt and are not those of a step.
+func (g *generation) recordStageTimes(runs []spanrill.StageRun, chain []*load.Upstream, now spanrill.Millis) {
 	if len(g.generated) == 0 {
 		return
 	}
-	for i, r := range ran {
+	for i, r := range runs {
 		chain[i].RecordStep(now, r.Micros)
 		chain[i].RecordLink(r.LinkMicros)
 	}
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -91,7 +91,7 @@
 // Option changes a default of New.
 type Option func(*Runner)
 
-// WithLogger sets the logger of events.
+// WithLogger sets the logger for events.
 func WithLogger(log logrus.FieldLogger) Option {
 	return func(r *Runner) { r.log = log }
 }
--- a/coordination/pipeline/verify.go
+++ b/coordination/pipeline/verify.go
@@ -6,7 +6,7 @@
 	"spanrill"
 )
 
-// Errors of verifier.
+// Causes for which the events of a stream are rejected.
 var (
 	// ErrLayers means that the layers did not run exactly once and in order.
 	ErrLayers = errors.New("layers did not run exactly once and in order")
@@ -21,8 +21,8 @@
 	next   int // index of the next token to deliver
 }
 
-// check reports whether the event's token is the next one to deliver. A token that was delivered
-// before is dropped without an error.
+// check reports whether the event's token is the next one to deliver. For a token that was delivered
+// before, it returns false without an error.
 func (v *verifier) check(ev *spanrill.RunEvent) (isNext bool, err error) {
 	if ev.Index < v.next {
 		return false, nil
@@ -37,13 +37,13 @@
 	return true, nil
 }
 
-// checkLayers checks that the stages of the chain ran all layers in order.
-func (v *verifier) checkLayers(ran []spanrill.StageRun) error {
-	if len(ran) != len(v.chain) {
-		return errors.Wrapf(ErrLayers, "%d stages ran, the chain has %d", len(ran), len(v.chain))
+// checkLayers returns an error unless the stages of the chain ran all layers of the model in order.
+func (v *verifier) checkLayers(runs []spanrill.StageRun) error {
+	if len(runs) != len(v.chain) {
+		return errors.Wrapf(ErrLayers, "%d stages ran, the chain has %d", len(runs), len(v.chain))
 	}
 	layer := 0
-	for i, r := range ran {
+	for i, r := range runs {
 		if r.Engine != v.chain[i].Engine {
 			return errors.Wrapf(ErrLayers, "stage %d ran on %s, the chain names %s", i, r.Engine, v.chain[i].Engine)
 		}
