--- a/coordination/probe/identify.go
+++ b/coordination/probe/identify.go
@@ -13,30 +13,31 @@
 )
 
 // AddressResolver finds out which upstream listens at an address that more than one entry claims.
-// It sends one query for each such address, which costs as much as a probe.
+// It queries each such address; a query costs as much as a probe.
 type AddressResolver struct {
 	identifier spanrill.Identifier
 	clock      spanrill.Clock
 	log        logrus.FieldLogger
-	healthPath func(service string) string // of the health check of a service
+	healthPath func(service string) string // path of a service's health check, or "" if it has none
 
 	queries   task.Group
 	mu        sync.Mutex
 	queriedAt map[string]spanrill.Millis // by address
 }
 
-// NewAddressResolver returns a resolver. HealthPath returns the path of a service's health check.
+// NewAddressResolver returns a resolver. HealthPath returns the path of a service's health check, or
+// "" if it has none; the addresses of such a service are not queried.
 func NewAddressResolver(identifier spanrill.Identifier, clock spanrill.Clock, log logrus.FieldLogger, healthPath func(service string) string) *AddressResolver {
 	return &AddressResolver{identifier: identifier, clock: clock, log: log, healthPath: healthPath, queriedAt: map[string]spanrill.Millis{}}
 }
 
-// Resolve queries the addresses of claims that the table cannot decide, each one at intervals
-// until it answers. It does not wait for the answers, which go to the table. It is called a few
+// Resolve queries the addresses with unresolved conflicts in the table, each one at intervals until
+// it answers. It does not wait for the answers, which go to the table. It should be called a few
 // times a second.
 func (r *AddressResolver) Resolve(ctx context.Context, table *fleet.Table) {
-	claims := table.AddressConflicts()
-	r.forget(claims)
-	for _, c := range claims {
+	conflicts := table.AddressConflicts()
+	r.forget(conflicts)
+	for _, c := range conflicts {
 		healthPath := r.healthPath(c.Service)
 		if healthPath == "" || !r.markIfDue(c.Addr, r.queryInterval(table, c.Addr)) {
 			continue
@@ -60,12 +61,13 @@
 	return nil
 }
 
-// identifyTimeout bounds a query. A query waits for a slot at the upstream, as a request does.
+// identifyTimeout bounds a query, including its wait for a slot at the upstream.
 const identifyTimeout = 2 * recheckInterval / 3
 
-// restingInterval is the time between two queries to an upstream that rests: each takes a slot
-// there, as a request does, and a rest of 3 s contains two of them. The upstream is queried
-// nevertheless, because nothing else tells that another upstream listens there by now.
+// restingInterval is the least time between two queries to an upstream that rests. It is longer than
+// recheckInterval because each query takes a slot, as a request does; a rest of 3 s contains two
+// queries. The upstream is queried nevertheless, because nothing else shows that another upstream
+// now listens at its address.
 const restingInterval = 2 * spanrill.Second
 
 // queryInterval returns the least time between two queries to an address.
@@ -81,23 +83,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	if at, queried := r.queriedAt[addr]; queried && now-at < interval {
+	if last, queried := r.queriedAt[addr]; queried && now-last < interval {
 		return false
 	}
 	r.queriedAt[addr] = now
 	return true
 }
 
-// forget drops addresses that are no longer claimed.
-func (r *AddressResolver) forget(claims []fleet.AddressConflict) {
+// forget drops the query times of addresses that are no longer in conflict.
+func (r *AddressResolver) forget(conflicts []fleet.AddressConflict) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	claimed := make(map[string]bool, len(claims))
-	for _, c := range claims {
-		claimed[c.Addr] = true
+	inConflict := make(map[string]bool, len(conflicts))
+	for _, c := range conflicts {
+		inConflict[c.Addr] = true
 	}
 	for addr := range r.queriedAt {
-		if !claimed[addr] {
+		if !inConflict[addr] {
 			delete(r.queriedAt, addr)
 		}
 	}
--- a/coordination/probe/identify_test.go
+++ b/coordination/probe/identify_test.go
@@ -14,7 +14,7 @@
 	"spanrill/state/fleet"
 )
 
-// fakeIdentifier answers for every address with the name that a test sets.
+// fakeIdentifier answers with the same name for every address, and counts queries.
 type fakeIdentifier struct {
 	mu      sync.Mutex
 	name    string // "" for no answer
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -4,14 +4,15 @@
 // probe the same engine at the same time share one query, and its result is reused for a while,
 // because each query costs a call.
 //
-// An engine that refuses the connection is dead at once. A silent one is queried a second time,
-// on a new connection, because a lost packet is retransmitted only after a fifth of a second, and
-// a reused connection may be broken without notice. It is dead if neither query was answered.
+// An engine that refuses the connection counts as dead at once. A silent one is queried a second
+// time, on a new connection, because a lost packet is retransmitted only after a fifth of a second,
+// and a reused connection may be broken without notice. It counts as dead if neither query is
+// answered.
 //
 // Silence is conclusive only if this daemon could have received an answer: its process was not
-// paused meanwhile, and something came from another engine. Otherwise the engine is queried
-// again. Without this rule, a daemon with a slow link or processor would take all engines for
-// dead at once, and move all of its streams.
+// paused meanwhile, and it heard from another engine. Otherwise the engine is queried again.
+// Without this rule, a daemon with a slow link or processor would take all engines for dead at
+// once, and move all of its streams.
 //
 // # Usage
 //
@@ -44,10 +45,10 @@
 	// recheckInterval is the least time between two queries to a dead engine.
 	recheckInterval spanrill.Millis = 500
 	// maxTries bounds how often an engine is queried while its silence is inconclusive. The last
-	// try decides, for a daemon that hears from no engine at all.
+	// try always decides, so that a daemon that hears from no engine at all gets a result.
 	maxTries = 3
 	// maxTimerDelay is how much later than its timeout a query may end before the process counts
-	// as paused: many times the usual delay of timers.
+	// as paused. Timers are usually late by a small fraction of it.
 	maxTimerDelay spanrill.Millis = 20
 )
 
@@ -60,27 +61,27 @@
 	dial      func(ctx context.Context, addr string) error // opens a connection and closes it
 
 	mu         sync.Mutex
-	queries    map[string]*query     // by id
-	dialChecks map[string]*dialCheck // by id
+	queries    map[string]*query     // latest query of each engine, by id
+	dialChecks map[string]*dialCheck // latest check of each upstream, by id
 }
 
 // query is a request for a report. Its result is set when done is closed.
 type query struct {
-	done   chan struct{}
-	at     spanrill.Millis
-	report spanrill.EngineReport
-	err    error
+	done      chan struct{}
+	startedAt spanrill.Millis
+	report    spanrill.EngineReport
+	err       error
 }
 
 // dialCheck is a connection attempt. Its result is recorded when done is closed.
 type dialCheck struct {
-	done chan struct{}
-	at   spanrill.Millis
+	done      chan struct{}
+	startedAt spanrill.Millis
 }
 
 // CheckListening opens a connection to an upstream and records whether anything listens at its
 // address. It does not check that the upstream works: a silent one is not taken for dead.
-// Requests that break off at the same upstream at the same time share one connection.
+// Concurrent calls for the same upstream share one connection, and its result is reused for a while.
 func (p *Prober) CheckListening(ctx context.Context, u *fleet.Upstream) {
 	check, isNew := p.dialCheckFor(u.ID())
 	if isNew {
@@ -99,10 +100,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if check = p.dialChecks[id]; check != nil && now-check.at < resultLifetime {
+	if check = p.dialChecks[id]; check != nil && now-check.startedAt < resultLifetime {
 		return check, false
 	}
-	check = &dialCheck{done: make(chan struct{}), at: now}
+	check = &dialCheck{done: make(chan struct{}), startedAt: now}
 	p.dialChecks[id] = check
 	return check, true
 }
@@ -176,10 +177,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if q := p.queries[u.ID()]; q != nil && now-q.at < resultLifetime {
+	if q := p.queries[u.ID()]; q != nil && now-q.startedAt < resultLifetime {
 		return q
 	}
-	q := &query{done: make(chan struct{}), at: now}
+	q := &query{done: make(chan struct{}), startedAt: now}
 	p.queries[u.ID()] = q
 	go p.runQuery(context.WithoutCancel(ctx), u, q)
 	return q
@@ -189,23 +190,24 @@
 func (p *Prober) runQuery(ctx context.Context, u *fleet.Upstream, q *query) {
 	defer close(q.done)
 	for range maxTries {
-		sent := p.clock.Now()
+		sentAt := p.clock.Now()
 		p.reportHedged(ctx, u, q)
-		if q.err == nil || connectionRefused(q.err) || p.silenceIsConclusive(sent) {
+		if q.err == nil || isDialFailure(q.err) || p.silenceIsConclusive(sentAt) {
 			break
 		}
 	}
 	p.recordResult(u, q)
 }
 
-// silenceIsConclusive reports whether an engine that has not answered since sent can be taken for
-// dead.
-func (p *Prober) silenceIsConclusive(sent spanrill.Millis) bool {
+// silenceIsConclusive reports whether an engine counts as dead if it has not answered a query sent
+// at sentAt.
+func (p *Prober) silenceIsConclusive(sentAt spanrill.Millis) bool {
 	now := p.clock.Now()
-	return now-sent < answerTimeout+maxTimerDelay && p.lastHeard() > sent
+	return now-sentAt < answerTimeout+maxTimerDelay && p.lastHeard() > sentAt
 }
 
-// reportHedged queries an engine, and a second time if it has not answered after hedgeDelay.
+// reportHedged queries an engine, queries it again if it has not answered after hedgeDelay, and sets
+// the result of q to the first answer or the last error.
 func (p *Prober) reportHedged(ctx context.Context, u *fleet.Upstream, q *query) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout.Duration())
 	results := make(chan reportResult, 2)
@@ -234,7 +236,7 @@
 		case result := <-results:
 			received++
 			q.report, q.err = result.report, result.err
-			if result.err == nil || connectionRefused(result.err) {
+			if result.err == nil || isDialFailure(result.err) {
 				received = sent
 			}
 		}
@@ -252,8 +254,9 @@
 	return reportResult{report: report, err: err}
 }
 
-// connectionRefused reports whether the connection was refused by the other end.
-func connectionRefused(err error) bool {
+// isDialFailure reports whether connecting failed, other than by timeout or for lack of local
+// resources.
+func isDialFailure(err error) bool {
 	var call *spanrill.CallError
 	return errors.As(err, &call) && call.Phase == spanrill.PhaseDial && !errors.Is(err, context.DeadlineExceeded) && !spanrill.IsLocalResourceError(err)
 }
@@ -262,7 +265,7 @@
 func (p *Prober) recordResult(u *fleet.Upstream, q *query) {
 	if spanrill.IsLocalResourceError(q.err) {
 		events.LocalResourcesExhausted.Log(p.log, logrus.Fields{"upstream": u.ID(), "addr": u.Addr(), "error": q.err})
-		return // without descriptors, this daemon would take all engines for dead
+		return // otherwise, a daemon without file descriptors would take all engines for dead
 	}
 	dead := q.err != nil
 	if spanrill.IsConnectionRefused(q.err) {
@@ -283,10 +286,10 @@
 	event.Log(p.log, fields)
 }
 
-// Recheck queries dead engines again, and drops the results of engines that are gone. It is
-// called a few times a second.
+// Recheck queries dead engines again, and drops the results of engines that are gone. It should
+// be called a few times a second.
 func (p *Prober) Recheck(ctx context.Context, table *fleet.Table) {
-	now, v := p.clock.Now(), table.View()
+	now, view := p.clock.Now(), table.View()
 	table.EachActive(func(u *fleet.Upstream) {
 		if u.Dead() && p.queryAge(u.ID(), now) >= recheckInterval {
 			p.startQuery(ctx, u)
@@ -295,12 +298,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.queries {
-		if v.ByID(id) == nil {
+		if view.ByID(id) == nil {
 			delete(p.queries, id)
 		}
 	}
 	for id := range p.dialChecks {
-		if v.ByID(id) == nil {
+		if view.ByID(id) == nil {
 			delete(p.dialChecks, id)
 		}
 	}
@@ -315,5 +318,5 @@
 	if q == nil {
 		return recheckInterval
 	}
-	return now - q.at
+	return now - q.startedAt
 }
--- a/coordination/probe/probe_test.go
+++ b/coordination/probe/probe_test.go
@@ -20,7 +20,7 @@
 type fakeEngine struct {
 	spanrill.LayerEngines
 	mu                 sync.Mutex
-	unanswered         int  // the first queries, up to this number, get no answer
+	unanswered         int  // number of queries, from the first on, that get no answer
 	refusesConnections bool // nothing listens at its address
 	lacksDescriptors   bool // this machine has no file descriptor left for a connection
 	queries            int
@@ -44,9 +44,9 @@
 	return spanrill.EngineReport{Pace: 1}, nil
 }
 
-// frozenClock is a clock on which no time passes during a query. On a busy machine queries are
-// delayed, and the prober rightly queries again; the number of queries would then not depend on
-// the tested cases alone.
+// frozenClock is a clock on which no time passes during a query. On a real clock, a busy machine
+// delays queries and the prober rightly queries again, so that the number of queries would not
+// depend on the tested case alone.
 type frozenClock struct{ spanrill.Clock }
 
 func (frozenClock) Now() spanrill.Millis { return spanrill.Second }
@@ -66,15 +66,15 @@
 const queriesPerTry = 2
 
 // probeEngine lets a prober check one engine and returns its upstream. LastHeard returns when
-// anything last came from any engine.
-func probeEngine(engine spanrill.LayerEngines, now spanrill.Clock, lastHeard func(now spanrill.Millis) spanrill.Millis) *fleet.Upstream {
+// anything last came from any engine, given the current time.
+func probeEngine(engine spanrill.LayerEngines, clk spanrill.Clock, lastHeard func(now spanrill.Millis) spanrill.Millis) *fleet.Upstream {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	table := fleet.New(now, func(spanrill.Item) (spanrill.EngineEntry, error) {
+	table := fleet.New(clk, func(spanrill.Item) (spanrill.EngineEntry, error) {
 		return spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1"}, nil
 	}, fleet.WithLogger(log))
 	table.Listed([]spanrill.Item{{Name: "e"}}, 1, 0)
-	p := New(engine, now, log, WithLastHeard(func() spanrill.Millis { return lastHeard(now.Now()) }))
+	p := New(engine, clk, log, WithLastHeard(func() spanrill.Millis { return lastHeard(clk.Now()) }))
 	u := table.View().ByID("e")
 	p.Check(context.Background(), []*fleet.Upstream{u})
 	return u
