--- a/coordination/chainrouting/flow.go
+++ b/coordination/chainrouting/flow.go
@@ -7,7 +7,7 @@
 	"spanrill/coordination/cost"
 )
 
-// In a large fleet, a daemon's figures of the load from other daemons are several exchange rounds
+// In a large fleet, a daemon's figures for the load of the other daemons are several exchange rounds
 // old, which is longer than a request takes on a fast chain. If every daemon takes the chain that
 // looks best from such figures, they all fill it, all leave it, and fill it again. Each daemon
 // therefore sends a chain no more than its share of what the chain can serve, whatever the others
--- a/coordination/chainrouting/router.go
+++ b/coordination/chainrouting/router.go
@@ -1,7 +1,7 @@
 // Package chainrouting chooses the path of engines that a request takes.
 //
 // A path runs every layer of the model once and in order. It is a chain, or a chain whose holes
-// are bridged by parts of what engines of other chains hold. Package chain builds the chains from
+// are bridged by parts of what other engines hold. Package chain builds the chains from
 // the layers that engines hold; package cost estimates times and memory.
 //
 // A path reserves the tokens of its request at each of its engines until it is released, so that
@@ -85,7 +85,7 @@
 	// riskWeight is the weight of the failure rate of each engine in the estimate of a path.
 	riskWeight = 3.0
 	// spreadJitter is the range of the random factor for choices that many daemons make at the same
-	// moment, and which would all take the same path otherwise.
+	// moment. Without it, they would all take the same path.
 	spreadJitter = 1.0
 	// bridgeFlowShare is the fraction of the flow of a path with bridges that counts: the engines
 	// of a bridge mostly serve chains of their own, whose flows are counted already.
@@ -202,8 +202,8 @@
 // Pick returns the path with the lowest estimated time, or one chosen by flow where the load
 // figures are stale. The caller releases the path. The error is a *NoPathError.
 //
-// If no path has room, Pick tries again with engines that are avoided only because they have
-// failed a request recently: most failures concern one request, and refusing the request would be
+// If it finds no path, Pick tries again with engines that are avoided only because they have
+// recently failed a request: most failures concern one request, and refusing this one would be
 // worse.
 func (r *Router) Pick(service string, m *spanrill.EngineModel, need Need) (*Path, error) {
 	path, err := r.pick(service, m, need, false)
