--- a/coordination/layout/consolidate.go
+++ b/coordination/layout/consolidate.go
@@ -6,9 +6,9 @@
 	"spanrill/coordination/chain"
 )
 
-// consolidateZones forms a chain inside one availability zone from engines of that zone
-// that serve chains over several zones, whose rate the pipes between zones limit. It does
-// so only when every chain is complete and no engine is changing.
+// consolidateZones forms a chain inside one availability zone from engines that serve
+// chains over several zones: the pipes between zones limit the rate of those. It does so
+// only when every chain is complete and no engine is changing.
 func (r *repair) consolidateZones(chains []*chain.Chain) {
 	if len(r.moves) > 0 || r.anyChanging() || len(brokenChains(chains)) > 0 {
 		return
@@ -47,12 +47,13 @@
 	return false
 }
 
-// formChainInZone divides the model among all engines of a zone that belong to no chain
-// inside it, in the order of the layers that they hold.
-func (r *repair) formChainInZone(zone string, taken map[string]bool) bool {
+// formChainInZone divides the model among all engines of a zone that are neither slow nor
+// in inOneZone, in the order of the layers that they hold. It returns false if they have
+// too little memory.
+func (r *repair) formChainInZone(zone string, inOneZone map[string]bool) bool {
 	var parts []candidate
 	for _, e := range r.byID {
-		if e.Zone == zone && !taken[e.ID] && !e.Slow {
+		if e.Zone == zone && !inOneZone[e.ID] && !e.Slow {
 			parts = append(parts, e)
 		}
 	}
--- a/coordination/layout/copies.go
+++ b/coordination/layout/copies.go
@@ -5,24 +5,24 @@
 	"spanrill/coordination/cost"
 )
 
-// planSpares assigns engines outside all chains layers that other engines hold, so
-// that requests can continue there at once when such an engine is lost. free lists
-// the engines that may be assigned, all every engine, and held what each engine will
-// hold after the moves so far.
+// planSpares returns moves that give engines outside all chains a copy of layers that
+// other engines hold, so that requests can continue on the copy at once when such an
+// engine is lost. free lists the engines that may be assigned, all lists every engine,
+// and held says what each engine will hold after the moves so far.
 func planSpares(m *spanrill.EngineModel, free, all []candidate, held []Move) []Move {
 	var moves []Move
-	groups := newHoldings(all, held)
+	planned := newHoldings(all, held)
 	for i, e := range free {
 		if e.Changing || e.Layers.Len() > 0 || e.JustJoined {
-			continue // a new engine often replaces one that is about to leave, and is kept for that
+			continue // kept for a hole: a new engine often replaces one that is about to leave
 		}
-		r, ok := bestSpareRange(m, e, groups, maxSpareLayers(m, exclude(free[i:], free[i:i+1])))
+		r, ok := bestSpareRange(m, e, planned, maxSpareLayers(m, exclude(free[i:], free[i:i+1])))
 		if !ok {
 			continue
 		}
 		move := Move{Engine: e.ID, Layers: r, Reason: "spare for the same layers of other engines"}
 		moves = append(moves, move)
-		groups.add(e, r)
+		planned.add(e, r)
 	}
 	return moves
 }
@@ -31,8 +31,8 @@
 // spare, and at least what the smallest kind can hold.
 func maxSpareLayers(m *spanrill.EngineModel, engines []candidate) int {
 	most := m.Layers
-	for _, k := range m.Kinds {
-		most = min(most, cost.MaxLayersWithTokens(m, k, spareRequests*cost.MeanTokens(m)))
+	for _, kind := range m.Kinds {
+		most = min(most, cost.MaxLayersWithTokens(m, kind, spareRequests*cost.MeanTokens(m)))
 	}
 	for _, e := range engines {
 		most = max(most, cost.MaxLayersWithTokens(m, e.kind, spareRequests*cost.MeanTokens(m)))
@@ -47,19 +47,19 @@
 // alone: losing it takes a chain out of service while several engines load.
 //
 // A request that continues at a spare takes memory only for the layers that it runs
-// there, so one spare may hold the ranges of several engines. Those engines must be
-// faster than the spare: package chain makes the fastest series of engines the chain,
-// and the remaining ones spares.
-func bestSpareRange(m *spanrill.EngineModel, e candidate, held *holdings, maxOtherLayers int) (spanrill.LayerRange, bool) {
+// there, so one spare may hold the ranges of several engines. Those engines must be at
+// least as fast as the spare: package chain makes the fastest series of engines the
+// chain, and the remaining ones spares.
+func bestSpareRange(m *spanrill.EngineModel, e candidate, planned *holdings, maxOtherLayers int) (spanrill.LayerRange, bool) {
 	best, bestScore, found := spanrill.LayerRange{}, 0, false
 	maxLayers := cost.MaxLayersWithTokens(m, e.kind, spareRequests*cost.MeanTokens(m))
-	for _, from := range held.froms {
-		for _, to := range held.tos {
+	for _, from := range planned.froms {
+		for _, to := range planned.tos {
 			r := spanrill.LayerRange{From: from, To: to}
 			if r.Len() <= 0 || r.Len() > maxLayers {
 				continue
 			}
-			score, ok := coverScore(e, r, held, maxOtherLayers)
+			score, ok := coverScore(e, r, planned, maxOtherLayers)
 			if ok && (!found || score > bestScore) {
 				best, bestScore, found = r, score, true
 			}
@@ -68,39 +68,41 @@
 	return best, found
 }
 
-// spareRequests is the number of usual requests through all of its layers for which a
-// spare keeps memory. One that replaces a single engine has memory for a multiple.
+// spareRequests is the number of usual requests for which a spare keeps memory if each
+// runs through all of its layers. A spare that replaces only one of the engines that it
+// covers has memory for several times as many.
 const spareRequests = 56.0
 
 // coverScore returns the value of an engine as a spare for a range, and whether it may
-// hold that range. maxOtherLayers is the most layers that another free engine can hold.
-func coverScore(e candidate, r spanrill.LayerRange, held *holdings, maxOtherLayers int) (score int, ok bool) {
+// hold that range: to cover several engines it must be no faster than any of them.
+// maxOtherLayers is the most layers that another free engine can hold.
+func coverScore(e candidate, r spanrill.LayerRange, planned *holdings, maxOtherLayers int) (score int, ok bool) {
 	score = -r.Len()
-	covered, slower := 0, true
-	for _, h := range held.groups {
+	covered, noFaster := 0, true
+	for _, h := range planned.groups {
 		if h.layers.Len() == 0 || h.layers.From < r.From || h.layers.To > r.To {
 			continue
 		}
 		covered += h.engines
-		slower = slower && e.kind.StepFactor >= h.pace
+		noFaster = noFaster && e.kind.StepFactor >= h.pace
 		score += h.engines * holdingScore(e, h, maxOtherLayers)
 	}
-	return score, covered <= 1 || slower
+	return score, covered <= 1 || noFaster
 }
 
-// holdingScore returns what covering one holder adds to the score of a spare.
+// holdingScore returns what covering one engine of a holding adds to the score of a spare.
 func holdingScore(e candidate, h *holding, maxOtherLayers int) int {
-	worth := baseHoldingScore
+	score := baseHoldingScore
 	if h.layers.Len() > maxOtherLayers && h.copies == 0 && h.zone == e.Zone {
-		worth *= irreplaceableFactor
+		score *= irreplaceableFactor
 	}
 	for range min(h.copies, maxCountedCopies) {
-		worth /= copyDivisor
+		score /= copyDivisor
 	}
 	if h.zone != e.Zone {
-		worth /= otherZoneDivisor
+		score /= otherZoneDivisor
 	}
-	return worth
+	return score
 }
 
 // Weights of coverScore: covering an engine without a copy outweighs covering several
--- a/coordination/layout/copies_test.go
+++ b/coordination/layout/copies_test.go
@@ -7,8 +7,8 @@
 	"spanrill"
 )
 
-// spareFleet is a chain in one availability zone, one large engine and eleven that hold five
-// layers each, and the engines that are to become spares.
+// spareFleet returns the engines of a chain in one availability zone, a large one and eleven
+// that hold five layers each, and the given engines, which are to become spares.
 func spareFleet(spares ...Engine) []Engine {
 	engines := []Engine{{ID: "head", Zone: "a", Kind: "large", Layers: spanrill.LayerRange{From: 0, To: 25}}}
 	for from := 25; from < 80; from += 5 {
@@ -18,7 +18,8 @@
 	return append(engines, spares...)
 }
 
-// spareModel adds a kind as small as the tiny one and faster, and a slow one.
+// spareModel is testModel with two more kinds: quick has the memory of tiny and is faster, slow
+// has the memory and the step factor of small.
 func spareModel() *spanrill.EngineModel {
 	m := testModel()
 	m.Kinds["quick"] = spanrill.AcceleratorKind{Name: "quick", MemoryMB: 14400, StepFactor: 5, PrefillFactor: 8}
@@ -31,7 +32,7 @@
 	for _, c := range []struct {
 		name  string
 		fleet []Engine
-		want  map[string]spanrill.LayerRange
+		want  map[string]spanrill.LayerRange // by engine id
 	}{
 		{
 			"a slow spare covers two faster engines",
@@ -89,6 +90,6 @@
 		{ID: "small", Zone: "c", Kind: "tiny", Layers: spanrill.LayerRange{From: 3, To: 6}},
 	}
 	for _, move := range Repair(m, engines) {
-		t.Errorf("unexpected move %v: %s", move, move.Reason)
+		t.Errorf("move %v (%s) for a chain that stays broken, want no moves", move, move.Reason)
 	}
 }
--- a/coordination/layout/describe.go
+++ b/coordination/layout/describe.go
@@ -12,7 +12,7 @@
 	Engines        []Engine              `json:"engines"`
 	Holes          []spanrill.LayerRange `json:"holes,omitempty"`
 	Crossings      int                   `json:"crossings"`   // hops between availability zones
-	CapacityTokens float64               `json:"room_tokens"` // memory of the engine with the least, in tokens
+	CapacityTokens float64               `json:"room_tokens"` // tokens that fit into the engine with the least free memory
 	Rate           float64               `json:"requests_per_second"`
 }
 
@@ -85,13 +85,13 @@
 }
 
 func withoutEngine(engines []Engine, id string) []Engine {
-	rest := make([]Engine, 0, len(engines))
+	remaining := make([]Engine, 0, len(engines))
 	for _, e := range engines {
 		if e.ID != id {
-			rest = append(rest, e)
+			remaining = append(remaining, e)
 		}
 	}
-	return rest
+	return remaining
 }
 
 // Apply returns the engines as they are after the moves have been carried out.
--- a/coordination/layout/holdings.go
+++ b/coordination/layout/holdings.go
@@ -6,8 +6,8 @@
 	"spanrill"
 )
 
-// holdings is what engines will hold, grouped by zone, range and pace: thousands of engines
-// hold only some hundred different ranges.
+// holdings describes what the engines will hold, grouped by availability zone, range and
+// pace: thousands of engines hold only some hundred different ranges.
 type holdings struct {
 	groups []*holding
 	byKey  map[holdingKey]*holding
@@ -18,14 +18,14 @@
 // holding is a range that some engines of an availability zone will hold.
 type holding struct {
 	holdingKey
-	engines int
-	copies  int // per engine, the other engines of the zone that hold the whole range
+	engines int // number of engines that will hold it
+	copies  int // for each of them, how many other engines of the zone hold the whole range
 }
 
 type holdingKey struct {
 	zone   string
 	layers spanrill.LayerRange
-	pace   float64
+	pace   float64 // step factor of the kind: higher is slower
 }
 
 // newHoldings returns what the engines will hold after the given moves.
@@ -50,6 +50,7 @@
 	h.updateCopies(e.Zone)
 }
 
+// put counts an engine in the group of its range. It leaves the copies to updateCopies.
 func (h *holdings) put(e candidate, layers spanrill.LayerRange) {
 	if layers.Len() > 0 && !slices.Contains(h.froms, layers.From) {
 		h.froms = append(h.froms, layers.From)
@@ -84,9 +85,9 @@
 	}
 }
 
-// countCopies counts the other engines in the availability zone of a holding that hold
-// its whole range; several that cover it only together count as one. Engines of other
-// zones do not count: every hop between zones uses the pipe that all chains share.
+// countCopies returns how many other engines in the availability zone of a holding hold
+// its whole range, or 1 if they cover it only together. Engines of other zones do not
+// count: every hop between zones uses the pipe that all chains share.
 func (h *holdings) countCopies(target *holding) int {
 	n := 0
 	var others []spanrill.LayerRange
--- a/coordination/layout/layout.go
+++ b/coordination/layout/layout.go
@@ -1,4 +1,5 @@
 // Package layout decides which layers of a model each engine of a service holds.
+// A usual request has a prompt and an answer of the model's mean lengths.
 //
 // Plan lays out a fleet that holds nothing. Repair changes a fleet that already
 // serves: it fills the holes of chains from engines that hold nothing, then from
@@ -27,8 +28,8 @@
 	ID         string              `json:"id"`
 	Zone       string              `json:"availability_zone"`
 	Kind       string              `json:"kind"`
-	Layers     spanrill.LayerRange `json:"layers"`           // held, or ordered and loading
-	Changing   bool                `json:"fixed,omitempty"`  // an order for it is not done yet; it gets no other
+	Layers     spanrill.LayerRange `json:"layers"`           // that it holds, or has been ordered to hold
+	Changing   bool                `json:"fixed,omitempty"`  // its last order is not done yet; it gets no other until then
 	Leaving    bool                `json:"leaves,omitempty"` // finishes running requests and accepts no new ones
 	Crashed    bool                `json:"lost,omitempty"`   // crashed recently; its running requests are lost
 	Slow       bool                `json:"slow,omitempty"`   // serves, but slows its chain down
@@ -49,7 +50,7 @@
 	return fmt.Sprintf("%s=%d-%d", m.Engine, m.Layers.From, m.Layers.To)
 }
 
-// candidate is an engine that can take layers, with the model of its kind.
+// candidate is an engine that can hold layers, with its kind of accelerator.
 type candidate struct {
 	Engine
 	kind spanrill.AcceleratorKind
@@ -61,16 +62,16 @@
 		if e.Leaving || e.Crashed {
 			continue
 		}
-		if k, ok := m.Kinds[e.Kind]; ok && cost.MaxLayers(m, k) > 0 {
-			out = append(out, candidate{Engine: e, kind: k})
+		if kind, ok := m.Kinds[e.Kind]; ok && cost.MaxLayers(m, kind) > 0 {
+			out = append(out, candidate{Engine: e, kind: kind})
 		}
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].ID < out[k].ID })
 	return out
 }
 
-// The range of memory, in usual requests per chain, that Plan searches. Less than
-// minChainRequests makes batches small, and too many of the chains slow.
+// The range of memory, in usual requests per chain, that Plan searches. With less than
+// minChainRequests, batches are small and too many chains are slow.
 const (
 	minChainRequests  = 20
 	maxChainRequests  = 240
@@ -79,7 +80,7 @@
 
 // Plan lays out engines that hold nothing: first chains within one availability
 // zone, then chains over several zones, and spares from the remaining engines. It
-// tries several amounts of memory beside the layers and returns the layout that
+// tries several amounts of memory to leave beside the layers and returns the layout that
 // serves the most usual requests per second.
 func Plan(m *spanrill.EngineModel, engines []Engine) []Move {
 	all := candidates(m, engines)
@@ -171,10 +172,10 @@
 // packChains packs engines into chains in the given order: each chain takes the next engines
 // until they hold all layers beside memory for the given number of tokens. It also returns the
 // engines that belong to no chain.
-func packChains(m *spanrill.EngineModel, from []candidate, tokens float64) (chains [][]candidate, left []candidate) {
+func packChains(m *spanrill.EngineModel, engines []candidate, tokens float64) (chains [][]candidate, left []candidate) {
 	var current []candidate
 	layers := 0
-	for _, e := range from {
+	for _, e := range engines {
 		n := cost.MaxLayersWithTokens(m, e.kind, tokens)
 		if n == 0 {
 			left = append(left, e)
@@ -202,17 +203,17 @@
 	return zones
 }
 
-// selectChain returns the first engines accepted by fits that together hold all layers beside
+// selectChain returns the first eligible engines that together can hold all layers beside
 // memory for the given number of tokens, or nil if there are too few.
-func selectChain(m *spanrill.EngineModel, from []candidate, tokens float64, fits func(*candidate) bool) []candidate {
+func selectChain(m *spanrill.EngineModel, engines []candidate, tokens float64, eligible func(*candidate) bool) []candidate {
 	var current []candidate
 	layers := 0
-	for i := range from {
-		n := cost.MaxLayersWithTokens(m, from[i].kind, tokens)
-		if n == 0 || !fits(&from[i]) {
+	for i := range engines {
+		n := cost.MaxLayersWithTokens(m, engines[i].kind, tokens)
+		if n == 0 || !eligible(&engines[i]) {
 			continue
 		}
-		current = append(current, from[i])
+		current = append(current, engines[i])
 		if layers += n; layers >= m.Layers {
 			return current
 		}
@@ -220,13 +221,13 @@
 	return nil
 }
 
-func exclude(from, excluded []candidate) []candidate {
+func exclude(engines, excluded []candidate) []candidate {
 	ids := make(map[string]bool, len(excluded))
 	for _, e := range excluded {
 		ids[e.ID] = true
 	}
 	var left []candidate
-	for _, e := range from {
+	for _, e := range engines {
 		if !ids[e.ID] {
 			left = append(left, e)
 		}
@@ -234,7 +235,7 @@
 	return left
 }
 
-// discountedRate returns how many usual requests per second a layout can serve. The
+// discountedRate rates a layout by the usual requests per second that it can serve. The
 // rate of a chain is reduced for each of its engines whose loss spares of the same
 // availability zone cannot compensate.
 func discountedRate(m *spanrill.EngineModel, all []candidate, chains [][]candidate, cache divisionCache) float64 {
@@ -292,7 +293,7 @@
 }
 
 // exposureDiscount is the part of a chain's rate that counts as lost if none of its
-// engines can be replaced: on a bad day an engine in forty fails every few seconds,
+// engines can be replaced: on a bad day one of forty engines fails every few seconds,
 // and the chain serves nothing until its hole is filled.
 const exposureDiscount = 0.5
 
@@ -315,8 +316,8 @@
 const divideIterations = 24
 
 // divide divides a range among engines so that the engine with the least free memory
-// keeps as much as possible. It returns nil if they cannot hold the range. Every
-// engine gets a range, which may be empty.
+// keeps as much as possible. It returns one range per engine, which may be empty, or
+// nil if they cannot hold the range.
 func divide(m *spanrill.EngineModel, c []candidate, r spanrill.LayerRange) []spanrill.LayerRange {
 	layersBeside := func(tokens float64) int {
 		n := 0
@@ -343,7 +344,7 @@
 		n := cost.MaxLayersWithTokens(m, c[i].kind, low)
 		drop := min(surplus, n)
 		surplus -= drop
-		ranges[i].To = n - drop
+		ranges[i].To = n - drop // the number of layers, until the loop below sets the range
 	}
 	for i := range ranges {
 		n := ranges[i].To
--- a/coordination/layout/layout_test.go
+++ b/coordination/layout/layout_test.go
@@ -93,11 +93,11 @@
 			}
 		}
 		total += cost.Rate(m, s)
-		t.Logf("zone %s, %d parts, %d crossings, room %.0f, rate %.1f, token %.1f ms", c.Zone(), len(c.Parts()), cost.Crossings(s), cost.MinCapacity(m, s), cost.Rate(m, s), cost.TokenMillis(m, s, 70))
+		t.Logf("zone %s, %d parts, %d crossings, capacity %.0f tokens, rate %.1f, %.1f ms per token", c.Zone(), len(c.Parts()), cost.Crossings(s), cost.MinCapacity(m, s), cost.Rate(m, s), cost.TokenMillis(m, s, 70))
 	}
-	t.Logf("rate %.1f a second, %d spares", total, len(spares))
+	t.Logf("rate %.1f per second, %d spares", total, len(spares))
 	if complete < 3 || broken > 0 {
-		t.Fatalf("%d complete chains and %d broken ones, want 3 and 0", complete, broken)
+		t.Fatalf("%d complete chains and %d broken ones, want at least 3 and none", complete, broken)
 	}
 }
 
@@ -158,7 +158,7 @@
 		lost[i].Layers = spanrill.LayerRange{}
 		after := apply(lost, Repair(m, lost))
 		if complete, broken := countChains(m, after); complete < 3 || broken > 0 {
-			t.Fatalf("without %s: %d complete and %d broken chains", engines[i].ID, complete, broken)
+			t.Fatalf("without %s: %d complete and %d broken chains, want at least 3 and none", engines[i].ID, complete, broken)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 				t.Fatalf("moves %v, want other engines in place of %+v", moves, engines[i])
 			}
 			if again := Repair(m, apply(engines, moves)); len(again) != 0 {
-				t.Fatalf("further moves %v", again)
+				t.Fatalf("moves after the slow engine was replaced: %v, want none", again)
 			}
 			return
 		}
@@ -236,12 +236,12 @@
 		}
 	}
 	if complete, _ := countChains(m, engines); complete < 3 {
-		t.Fatalf("%d complete chains", complete)
+		t.Fatalf("%d complete chains, want at least 3", complete)
 	}
 }
 
-// No move orders an engine to hold what it holds: such a move would be planned again in
-// every round.
+// No move orders an engine to hold the layers that it holds already: such a move would be
+// planned again in every round.
 func TestNoMoveWithoutChange(t *testing.T) {
 	m := testModel()
 	for seed := range int64(40) {
@@ -284,7 +284,7 @@
 	}
 	chains, _ := readChains(m, candidates(m, engines))
 	if len(chains) < 2 {
-		t.Fatalf("%d chains", len(chains))
+		t.Fatalf("%d chains, want at least 2", len(chains))
 	}
 	for _, c := range chains {
 		if !c.Complete() || spansZones(c) {
@@ -292,20 +292,20 @@
 		}
 	}
 	if moves := Repair(m, engines); len(moves) != 0 {
-		t.Fatalf("still moving: %v", moves)
+		t.Fatalf("moves of a stable layout: %v, want none", moves)
 	}
 }
 
-// A chain is repaired although an engine of its zone is changing to layers of another chain.
+// A chain is repaired although an engine of another chain in its zone is changing.
 func TestRepairIgnoresChangesOfOtherChains(t *testing.T) {
 	engines := []Engine{
 		quarter("a1", 0), quarter("a2", 20), quarter("a3", 40), quarter("a4", 60),
 		quarter("b1", 0), quarter("b2", 20), quarter("b3", 60), // the hole is 40-60
 	}
-	engines[0].Changing = true // of the complete chain, or the copy of it in the other
+	engines[0].Changing = true // in the complete chain, or in the broken one if b1 takes its place
 	moves := Repair(hugeModel(), engines)
 	if len(moves) == 0 {
-		t.Fatal("the chain waits for a change of another chain")
+		t.Fatal("no moves, want the hole filled during a change of another chain")
 	}
 }
 
--- a/coordination/layout/redistribute.go
+++ b/coordination/layout/redistribute.go
@@ -34,8 +34,8 @@
 
 // maxTargetLayers returns how many layers an engine may be ordered to hold: as many as
 // leave memory for the given number of requests and, if that is more than it holds now,
-// for its running requests too. An engine whose layers grow into that memory breaks
-// requests off.
+// for its running requests too. An engine breaks requests off when new layers need their
+// memory.
 func maxTargetLayers(m *spanrill.EngineModel, e candidate, requests float64) int {
 	held, n := e.Layers.Len(), cost.MaxLayersWithTokens(m, e.kind, requests*cost.MeanTokens(m))
 	running := float64(e.Tokens) * float64(held) // tokens times layers
@@ -47,16 +47,16 @@
 
 // minimizeLoads divides layers among engines in order, each within its limit, so that
 // the number of layers to load is minimal. It is a dynamic program over the engines:
-// for each layer that the first i engines can reach, it keeps the fewest loads and the
-// first layer of engine i.
+// for each layer at which the first i engines can end, it keeps the fewest layers to
+// load and where the last of these engines starts.
 func minimizeLoads(layers int, parts []candidate, limits []int) []spanrill.LayerRange {
 	loads := make([][]int, len(parts)+1)
 	starts := make([][]int, len(parts)+1)
 	for i := range loads {
 		loads[i] = make([]int, layers+1)
 		starts[i] = make([]int, layers+1)
-		for at := range loads[i] {
-			loads[i][at] = math.MaxInt
+		for end := range loads[i] {
+			loads[i][end] = math.MaxInt
 		}
 	}
 	loads[0][0] = 0
--- a/coordination/layout/relieve.go
+++ b/coordination/layout/relieve.go
@@ -7,8 +7,8 @@
 )
 
 // relieveBottlenecks gives complete chains more memory where one of their engines has
-// little. It takes two steps, which interrupt nothing: a free engine of the zone loads
-// a part of that engine's layers, and then the engine drops them.
+// little. It takes two steps, neither of which interrupts requests: a free engine of the
+// zone loads a part of that engine's layers, and then the engine drops them.
 func (r *repair) relieveBottlenecks(chains []*chain.Chain) {
 	for _, c := range chains {
 		if !c.Complete() || r.zoneChanging(c.Zone()) {
@@ -35,8 +35,9 @@
 	return tight, capacity
 }
 
-// shrinkToSpare makes the tight engine drop the layers at one end of its range that a
-// spare of the zone holds too.
+// shrinkToSpare makes the tight engine drop the layers at one end of its range if a spare
+// of the zone holds just these and has memory for at least as many tokens. It reports
+// whether there is such a spare.
 func (r *repair) shrinkToSpare(tight candidate, zone string) bool {
 	for _, e := range r.inZone(r.available(r.spare), zone) {
 		remaining, ok := trimEnd(tight.Layers, e.Layers)
@@ -50,8 +51,8 @@
 	return false
 }
 
-// trimEnd returns what remains of a range without a part at one of its ends, or false if
-// part is not a proper part at one end.
+// trimEnd returns what remains of a range without a part at one of its ends. It returns
+// false if part is empty, not shorter than the range, or at neither end.
 func trimEnd(whole, part spanrill.LayerRange) (spanrill.LayerRange, bool) {
 	switch {
 	case part.Len() == 0 || part.Len() >= whole.Len():
--- a/coordination/layout/repair.go
+++ b/coordination/layout/repair.go
@@ -9,7 +9,8 @@
 	"spanrill/coordination/cost"
 )
 
-// Repair returns the moves needed by a fleet that already holds layers.
+// Repair returns the moves needed by a fleet that already holds layers. It plans a first
+// layout if the engines form no chain.
 func Repair(m *spanrill.EngineModel, engines []Engine) []Move {
 	all := candidates(m, engines)
 	r := &repair{model: m, byID: map[string]candidate{}, taken: map[string]bool{}}
@@ -66,10 +67,10 @@
 type repair struct {
 	model    *spanrill.EngineModel
 	byID     map[string]candidate
-	empty    []candidate // hold nothing and may be assigned
-	spare    []candidate // hold layers that no chain needs, and may be assigned
-	changing []candidate // have an order that is not done
-	taken    map[string]bool
+	empty    []candidate     // hold nothing and may be assigned
+	spare    []candidate     // hold layers that no chain needs, and may be assigned
+	changing []candidate     // have an order that is not done
+	taken    map[string]bool // by engine id: assigned or reserved in this call
 	moves    []Move
 
 	unchained    []chain.Holder // belong to no chain
@@ -78,27 +79,28 @@
 	requestsLost bool // the hole being filled has lost the requests that ran there
 }
 
-// hasLostRequests reports whether requests on a chain are lost because of its holes: an
-// engine that held a part of one has crashed. Leaving engines finish their running
+// hasLostRequests reports whether requests on a chain are lost because an engine that
+// held a part of one of its holes has crashed. Leaving engines finish their running
 // requests. A hole that no engine left behind appears when the chains are derived again,
 // and running requests stay on their previous paths.
 func (r *repair) hasLostRequests(c *chain.Chain) bool {
 	for _, hole := range c.Holes() {
-		if anyHeldInZone(r.crashed, c.Zone(), hole) {
+		if anyOverlapsInZone(r.crashed, c.Zone(), hole) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayCut reports whether an order may break off requests on an engine: only if no request
-// is known to run there. Requests on engines of a broken chain may run on other paths,
-// which the derived chains do not show, and the daemons of these requests move them away.
+// mayCut reports whether an order may break off requests on an engine: only if the hole
+// has lost its requests anyway and none is known to run on the engine. Requests on engines
+// of a broken chain may run on other paths, which the derived chains do not show, and the
+// daemons of these requests move them away.
 func (r *repair) mayCut(e candidate) bool { return r.requestsLost && e.Tokens == 0 }
 
-// anyHeldInZone reports whether one of the engines is in the zone and holds layers of the
-// hole.
-func anyHeldInZone(engines []Engine, zone string, hole spanrill.LayerRange) bool {
+// anyOverlapsInZone reports whether one of the engines is in the zone and holds layers of
+// the hole.
+func anyOverlapsInZone(engines []Engine, zone string, hole spanrill.LayerRange) bool {
 	for _, e := range engines {
 		if e.Zone == zone && overlapsAny(e.Layers, []spanrill.LayerRange{hole}) {
 			return true
@@ -125,8 +127,8 @@
 	r.moves = append(r.moves, Move{Engine: e.ID, Layers: layers, Reason: reason, Cut: r.mayCut(e)})
 }
 
-// repairChains fills the holes of chains, those of the fullest chain first. It
-// prefers engines of the chain's own availability zone; see restoreFromZone. A chain
+// repairChains fills the holes of chains, first of the one that misses the fewest layers.
+// It prefers engines of the chain's own availability zone; see restoreFromZone. A chain
 // waits while engines that concern it are still changing. Only a chain that its zone
 // cannot restore gets engines of other zones. As a last resort the chain that misses
 // the most layers gives up its engines, if at least two chains have holes: one complete
@@ -139,17 +141,17 @@
 		if r.restoreFromZone(c) || r.chainChanging(c) {
 			continue
 		}
-		moves := len(r.moves)
+		movesBefore := len(r.moves)
 		if !r.restoreFromAnyZone(c, i < len(broken)-1, broken[len(broken)-1]) {
-			r.discardMovesFrom(moves) // a chain with any hole left serves no requests
+			r.discardMovesFrom(movesBefore) // a chain with any hole left serves no requests
 		}
 	}
 }
 
-// restoreFromAnyZone fills all holes of a chain from any availability zone and, if giveUp
-// is set, from the chain that misses the most layers. It reports whether the chain is
-// complete then.
-func (r *repair) restoreFromAnyZone(c *chain.Chain, giveUp bool, worst *chain.Chain) bool {
+// restoreFromAnyZone fills all holes of a chain from any availability zone and, if
+// takeFromWorst is set, from worst, the chain that misses the most layers. It reports
+// whether the chain is complete then.
+func (r *repair) restoreFromAnyZone(c *chain.Chain, takeFromWorst bool, worst *chain.Chain) bool {
 	for _, hole := range c.Holes() {
 		if r.coveredOutsideChains(hole) {
 			continue
@@ -157,7 +159,7 @@
 		if r.fillHole(r.available(r.empty), c, hole, minChainRequests, "hole of a chain") || r.fillHole(r.available(r.spare), c, hole, minChainRequests, "hole of a chain, from a spare") {
 			continue
 		}
-		if !giveUp || !r.fillHole(r.available(r.movableParts(worst)), c, hole, minChainRequests, "hole of a chain, from one that misses more") {
+		if !takeFromWorst || !r.fillHole(r.available(r.movableParts(worst)), c, hole, minChainRequests, "hole of a chain, from one that misses more") {
 			return false
 		}
 	}
@@ -165,8 +167,8 @@
 }
 
 // coveredOutsideChains reports whether engines that belong to no chain hold a hole's
-// layers, or are being brought to hold them. They may be in another availability zone;
-// the chain is not derived as complete then, but requests are routed through them.
+// layers or are assigned to hold them. If they are in another availability zone, the
+// chain is not derived as complete, but requests are routed through them.
 func (r *repair) coveredOutsideChains(hole spanrill.LayerRange) bool {
 	var ranges []spanrill.LayerRange
 	for _, h := range r.unchained {
--- a/coordination/layout/restore.go
+++ b/coordination/layout/restore.go
@@ -8,10 +8,10 @@
 	"spanrill/coordination/cost"
 )
 
-// restoreFromZone restores a chain with engines of its own zone. It prefers free
-// engines while they keep sufficient memory, since that affects no running request;
-// then it redistributes the layers of the chain itself; then it tries both with less
-// memory, in descending order.
+// restoreFromZone restores a chain with engines of its own zone, and reports whether the
+// chain is complete then. It prefers free engines while they keep sufficient memory, since
+// that affects no running request; then it redistributes the layers of the chain itself;
+// then it tries both with less memory, in descending order.
 func (r *repair) restoreFromZone(c *chain.Chain) bool {
 	for _, requests := range requestCapacities[:sufficientCapacities] {
 		if r.fillHoles(c, requests) {
@@ -35,20 +35,21 @@
 // fillHoles fills all holes of a chain, or none, from free engines of its zone that
 // keep memory for the given number of requests.
 func (r *repair) fillHoles(c *chain.Chain, requests float64) bool {
-	moves := len(r.moves)
+	movesBefore := len(r.moves)
 	for _, hole := range c.Holes() {
 		empty, spare := r.inZone(r.available(r.empty), c.Zone()), r.inZone(r.available(r.spare), c.Zone())
 		if r.fillHole(empty, c, hole, requests, "hole of a chain") || r.fillHole(spare, c, hole, requests, "hole of a chain, from a spare") ||
 			r.fillHole(append(empty, spare...), c, hole, requests, "hole of a chain, from several") {
 			continue
 		}
-		r.discardMovesFrom(moves)
+		r.discardMovesFrom(movesBefore)
 		return false
 	}
 	return true
 }
 
-// discardMovesFrom discards all moves but the first n.
+// discardMovesFrom discards all moves but the first n, and makes their engines available
+// again.
 func (r *repair) discardMovesFrom(n int) {
 	for _, m := range r.moves[n:] {
 		delete(r.taken, m.Engine)
@@ -57,8 +58,9 @@
 }
 
 // redistributeChain redistributes all layers among the engines of a chain and free engines
-// of its zone, which are placed at the hole. Running requests are not disturbed: an engine
-// drops layers only after the requests on them have ended.
+// of its zone, which are inserted at its first hole. It returns false if they have too
+// little memory. Running requests are not disturbed: an engine drops layers only after the
+// requests on them have ended.
 func (r *repair) redistributeChain(c *chain.Chain, requests float64) bool {
 	hole := c.Holes()[0]
 	var parts []candidate
@@ -89,9 +91,9 @@
 	return true
 }
 
-func (r *repair) available(from []candidate) []candidate {
+func (r *repair) available(engines []candidate) []candidate {
 	var out []candidate
-	for _, e := range from {
+	for _, e := range engines {
 		if !r.taken[e.ID] {
 			out = append(out, e)
 		}
@@ -99,9 +101,9 @@
 	return out
 }
 
-func (r *repair) inZone(from []candidate, zone string) []candidate {
+func (r *repair) inZone(engines []candidate, zone string) []candidate {
 	var out []candidate
-	for _, e := range from {
+	for _, e := range engines {
 		if e.Zone == zone {
 			out = append(out, e)
 		}
@@ -109,19 +111,20 @@
 	return out
 }
 
-// fillHole fills a hole with one engine, or with several if none can hold it
-// beside memory for the given number of requests.
-func (r *repair) fillHole(from []candidate, c *chain.Chain, hole spanrill.LayerRange, requests float64, reason string) bool {
-	free := r.rankForHole(from, c.Zone(), hole, requests)
-	if len(free) == 0 {
+// fillHole fills a hole with one of the engines, or with several if none can hold it
+// beside memory for the given number of requests. It returns false if they cannot fill it
+// together.
+func (r *repair) fillHole(engines []candidate, c *chain.Chain, hole spanrill.LayerRange, requests float64, reason string) bool {
+	ranked := r.rankForHole(engines, c.Zone(), hole, requests)
+	if len(ranked) == 0 {
 		return false
 	}
-	if r.fits(free[0], hole, requests) {
-		r.assign(free[0], hole, reason)
+	if r.fits(ranked[0], hole, requests) {
+		r.assign(ranked[0], hole, reason)
 		return true
 	}
 	var group []candidate
-	for _, e := range free {
+	for _, e := range ranked {
 		group = append(group, e)
 		if ranges := divide(r.model, group, hole); ranges != nil && r.allFit(group, ranges, requests) {
 			for i, part := range ranges {
@@ -141,7 +144,8 @@
 	return cost.MaxLayersWithTokens(r.model, e.kind, requests*cost.MeanTokens(r.model)) >= layers.Len()
 }
 
-// allFit reports whether all engines keep memory for the given number of requests.
+// allFit reports whether all engines of a group keep memory for the given number of
+// requests beside their ranges.
 func (r *repair) allFit(group []candidate, ranges []spanrill.LayerRange, requests float64) bool {
 	for i, e := range group {
 		if n := ranges[i].Len(); n > 0 && cost.Capacity(r.model, e.kind, n) < requests*cost.MeanTokens(r.model) {
@@ -154,8 +158,8 @@
 // rankForHole returns engines in order of preference for a hole: engines that can
 // hold it whole, then engines of the same availability zone, then the closest fit,
 // so that large engines are kept for large holes.
-func (r *repair) rankForHole(from []candidate, zone string, hole spanrill.LayerRange, requests float64) []candidate {
-	free := append([]candidate(nil), from...)
+func (r *repair) rankForHole(engines []candidate, zone string, hole spanrill.LayerRange, requests float64) []candidate {
+	ranked := append([]candidate(nil), engines...)
 	tokens := requests * cost.MeanTokens(r.model)
 	score := func(e candidate) int {
 		n := cost.MaxLayersWithTokens(r.model, e.kind, tokens)
@@ -170,11 +174,11 @@
 		}
 		return s
 	}
-	sort.SliceStable(free, func(i, k int) bool { return score(free[i]) > score(free[k]) })
-	return free
+	sort.SliceStable(ranked, func(i, k int) bool { return score(ranked[i]) > score(ranked[k]) })
+	return ranked
 }
 
-// Weights of rankForHole, in layers.
+// Weights of rankForHole, in layers. A whole fit outweighs the zone.
 const (
 	wholeBonus = 10000
 	zoneBonus  = 100
--- a/coordination/layout/slow.go
+++ b/coordination/layout/slow.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// hasReplacement reports whether engines of the zone that are not slow hold, or will
-// hold, the layers of a slow one.
+// hasReplacement reports whether other engines of the zone, which are not slow, hold the
+// layers of a slow one or have been ordered to.
 func (r *repair) hasReplacement(slow candidate) bool {
 	var others []spanrill.LayerRange
 	for _, e := range r.byID {
--- a/coordination/layout/spare_test.go
+++ b/coordination/layout/spare_test.go
@@ -8,11 +8,12 @@
 	"spanrill/coordination/cost"
 )
 
-// quarter returns an engine that holds 20 of the 80 layers and has memory for all.
+// quarter returns an engine that holds 20 of the 80 layers and can hold all of them.
 func quarter(id string, from int) Engine {
 	return Engine{ID: id, Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: from, To: from + 20}}
 }
 
+// hugeModel is testModel with a kind of accelerator that can hold all layers.
 func hugeModel() *spanrill.EngineModel {
 	m := testModel()
 	m.Kinds["huge"] = spanrill.AcceleratorKind{Name: "huge", MemoryMB: 200000, StepFactor: 1, PrefillFactor: 1}
@@ -23,11 +24,11 @@
 func wantNoCuts(t *testing.T, moves []Move) {
 	t.Helper()
 	if len(moves) == 0 {
-		t.Fatal("the hole is not filled")
+		t.Fatal("no moves, want the hole filled")
 	}
 	for _, move := range moves {
 		if move.Cut {
-			t.Errorf("%v cuts running requests", move)
+			t.Errorf("move %v may cut requests, want none that does", move)
 		}
 	}
 }
@@ -42,12 +43,12 @@
 	wantNoCuts(t, moves)
 }
 
-// Two chains of a zone each lose an engine without a crash, and the remaining engines are
-// derived as chains that differ from the paths of running requests: nothing is cut.
+// Two chains of a zone each lose an engine without a crash. The chains derived from the
+// remaining engines differ from the paths of running requests, so nothing is cut.
 func TestRequestsAreNotCutWhenChainsAreDerivedAgain(t *testing.T) {
-	gone := Engine{ID: "leaving", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 0, To: 20}, Leaving: true}
+	leaving := Engine{ID: "leaving", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 0, To: 20}, Leaving: true}
 	overlap := Engine{ID: "overlap", Zone: "a", Kind: "huge", Layers: spanrill.LayerRange{From: 12, To: 20}}
-	engines := []Engine{gone, overlap, quarter("a1", 0), quarter("a2", 20), quarter("a3", 40), quarter("a4", 60), quarter("b2", 20), quarter("b3", 40), quarter("b4", 60)}
+	engines := []Engine{leaving, overlap, quarter("a1", 0), quarter("a2", 20), quarter("a3", 40), quarter("a4", 60), quarter("b2", 20), quarter("b3", 40), quarter("b4", 60)}
 	moves := Repair(hugeModel(), engines)
 	wantNoCuts(t, moves)
 }
@@ -55,11 +56,11 @@
 // When an engine of the hole has crashed, its requests are lost, so orders need not wait for
 // them, although another engine is leaving.
 func TestRequestsOfACrashedEngineAreCut(t *testing.T) {
-	crash, leave := quarter("crashed", 20), quarter("leaving", 40)
-	crash.Crashed, leave.Leaving = true, true
-	moves := Repair(hugeModel(), []Engine{quarter("first", 0), quarter("spare", 0), crash, leave, quarter("last", 60)})
+	crashed, leaving := quarter("crashed", 20), quarter("leaving", 40)
+	crashed.Crashed, leaving.Leaving = true, true
+	moves := Repair(hugeModel(), []Engine{quarter("first", 0), quarter("spare", 0), crashed, leaving, quarter("last", 60)})
 	if len(moves) == 0 || !moves[0].Cut {
-		t.Fatalf("moves %v, want the first to cut", moves)
+		t.Fatalf("moves %v, want at least one, and the first may cut requests", moves)
 	}
 }
 
@@ -75,11 +76,11 @@
 
 // Requests on a spare run on other paths than those of the crashed engine, and are not cut.
 func TestRequestsOnASpareAreNotCut(t *testing.T) {
-	crash, spare := quarter("crashed", 20), quarter("spare", 0)
-	crash.Crashed, spare.Tokens = true, 5000
+	crashed, spare := quarter("crashed", 20), quarter("spare", 0)
+	crashed.Crashed, spare.Tokens = true, 5000
 	first := quarter("first", 0)
 	first.Tokens = 9000
-	moves := Repair(hugeModel(), []Engine{first, spare, crash, quarter("third", 40), quarter("last", 60)})
+	moves := Repair(hugeModel(), []Engine{first, spare, crashed, quarter("third", 40), quarter("last", 60)})
 	if len(moves) != 1 || moves[0].Engine != "spare" || moves[0].Cut {
 		t.Fatalf("moves %v, want one move of the spare that cuts nothing", moves)
 	}
@@ -113,7 +114,7 @@
 	m := hugeModel()
 	for _, c := range []struct {
 		name   string
-		filled float64 // share of its memory that requests hold
+		filled float64 // share of its free memory that requests hold
 		want   bool    // whether it may hold ten more layers
 	}{
 		{"nothing runs", 0, true},
@@ -123,7 +124,7 @@
 			e := candidate{Engine: quarter("e", 0), kind: m.Kinds["huge"]}
 			e.Tokens = int64(c.filled * cost.Capacity(m, e.kind, 20))
 			if got := maxTargetLayers(m, e, minChainRequests) >= 30; got != c.want {
-				t.Fatalf("maxTargetLayers is %d", maxTargetLayers(m, e, minChainRequests))
+				t.Fatalf("maxTargetLayers is %d, want 30 or more only if nothing runs", maxTargetLayers(m, e, minChainRequests))
 			}
 		})
 	}
@@ -132,20 +133,20 @@
 // Of two engines with the same layers, the one with fewer reserved tokens is moved.
 func TestLessUsedEngineMoves(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		first, second     int64
-		want, wantToStays string
+		name                 string
+		first, second        int64 // reserved tokens
+		wantMoved, wantStays string
 	}{
-		{"the second is used", 10, 90000, "e1", "e2"},
-		{"the first is used", 90000, 10, "e2", "e1"},
+		{"the second has more tokens", 10, 90000, "e1", "e2"},
+		{"the first has more tokens", 90000, 10, "e2", "e1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e1, e2 := quarter("e1", 0), quarter("e2", 0)
 			e1.Tokens, e2.Tokens = c.first, c.second
 			engines := []Engine{e1, e2, quarter("e3", 40), quarter("e4", 60)}
 			moves := Repair(hugeModel(), engines)
-			if len(moves) != 1 || moves[0].Engine != c.want {
-				t.Fatalf("moves %v, want %s to be moved and %s to stay", moves, c.want, c.wantToStays)
+			if len(moves) != 1 || moves[0].Engine != c.wantMoved {
+				t.Fatalf("moves %v, want %s to be moved and %s to stay", moves, c.wantMoved, c.wantStays)
 			}
 		})
 	}
