--- a/coordination/layoutrun/calls.go
+++ b/coordination/layoutrun/calls.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// maxConcurrentCalls bounds the orders and report requests of a layout that are under way at a
-// time, to a thirtieth of a daemon's usual descriptors. When the first layout of 2,730 engines
-// was ordered over one connection per engine, 573 orders of a daemon with 2,400 descriptors
-// failed, and engines were considered dead because of it.
+// maxConcurrentCalls bounds the orders and report requests that are in flight at a time, to a
+// thirtieth of a daemon's usual descriptors. Without it, the first layout of 2,730 engines opened
+// a connection to each, 573 orders of a daemon with 2,400 descriptors failed, and engines were
+// considered dead because of it.
 const maxConcurrentCalls = 128
 
-// callSlots is a semaphore of maxConcurrentCalls slots. The timeout of a call starts when it has
-// its slot.
+// callSlots is a semaphore of maxConcurrentCalls slots. A call starts its timeout only once it
+// has a slot.
 type callSlots chan struct{}
 
 func newCallSlots() callSlots { return make(callSlots, maxConcurrentCalls) }
--- a/coordination/layoutrun/executor.go
+++ b/coordination/layoutrun/executor.go
@@ -14,11 +14,12 @@
 const (
 	// callTimeout bounds one report request or order: many times a round trip.
 	callTimeout spanrill.Millis = 300
-	// announceMargin is how long a daemon needs, after it has learned of an order that
-	// removes layers, to stop sending requests for these layers: one request and its
-	// answer. It is added to the propagation time.
+	// announceMargin is how long a daemon may still send requests for layers after it has
+	// learned that an order removes them: the time of one request and its answer. It is
+	// added to the propagation time.
 	announceMargin spanrill.Millis = 150
-	// defaultPropagation is the propagation time without WithPropagationTime: one round.
+	// defaultPropagation is the propagation time without WithPropagationTime: one round with
+	// the peers.
 	defaultPropagation spanrill.Millis = 250
 	// pollInterval is the pause between two report requests to an engine that loads
 	// layers: each request has a cost.
@@ -27,7 +28,8 @@
 	reportLag spanrill.Millis = 250
 	// maxOrdersPerMove bounds the orders sent for one move.
 	maxOrdersPerMove = 4
-	// maxLoadFactor bounds the load time, as a multiple of the time of a single undisturbed load.
+	// maxLoadFactor bounds the time to wait for a load, as a multiple of the time of a single
+	// undisturbed load.
 	maxLoadFactor = 6.0
 )
 
@@ -37,14 +39,14 @@
 	service  spanrill.ServiceInfo
 	upstream *fleet.Upstream
 	order    *order
-	sent     int
+	sent     int    // orders sent so far
 	sequence uint64 // the engine's sequence after the last answered order
 }
 
-// run waits until the other daemons know of the move if it removes layers, then sends the
-// order and waits until the engine holds the range. After an order without an answer it
-// asks for a report. It sends the order again only if the engine has not applied it, and
-// with the same sequence, so that the engine rejects one of the two.
+// run sends the order and waits until the engine holds the range. If the order removes
+// layers, it first waits until the other daemons have learned of it. After an order
+// without an answer it asks for a report. It sends the order again only if the engine has
+// not applied it, and with the same sequence, so that the engine rejects one of the two.
 func (x *orderExecutor) run(ctx context.Context) {
 	announce := removesLayers(x.upstream.Entry().Layers, x.order.move.Layers) && !x.order.move.Cut
 	if announce && !x.sleep(ctx, x.placer.propagation()+announceMargin) {
@@ -54,9 +56,11 @@
 	x.placer.finishOrder(x.order, x.reachTarget(ctx))
 }
 
+// reachTarget polls the engine and sends it orders until it reports the range of the move.
+// It returns false if the move has failed.
 func (x *orderExecutor) reachTarget(ctx context.Context) bool {
-	limit := x.placer.clock.Now() + x.loadTime(maxLoadFactor) + maxOrdersPerMove*callTimeout*2
-	for ctx.Err() == nil && x.placer.clock.Now() < limit && x.upstream.AcceptsRequests() {
+	deadline := x.placer.clock.Now() + x.loadTime(maxLoadFactor) + maxOrdersPerMove*callTimeout*2
+	for ctx.Err() == nil && x.placer.clock.Now() < deadline && x.upstream.AcceptsRequests() {
 		report, err := x.report(ctx)
 		if err != nil {
 			if ctx.Err() == nil && !spanrill.IsLocalResourceError(err) {
@@ -73,7 +77,7 @@
 			continue
 		}
 		if x.sent > 0 && report.Sequence < x.sequence {
-			x.sleep(ctx, pollInterval) // the report is older than the order
+			x.sleep(ctx, pollInterval) // the engine made the report before it got the order
 			continue
 		}
 		if !x.sendOrder(ctx, report) {
@@ -88,6 +92,7 @@
 	return held.Len() > 0 && (held.From < next.From || held.To > next.To)
 }
 
+// sleep waits for d, and returns false if the context ends first.
 func (x *orderExecutor) sleep(ctx context.Context, d spanrill.Millis) bool {
 	select {
 	case <-ctx.Done():
@@ -107,8 +112,8 @@
 	return x.placer.engines.Report(ctx, x.upstream.Addr())
 }
 
-// sendOrder sends the order for exactly the state that the engine has reported. It
-// returns false if the order must not be sent again.
+// sendOrder sends the order with the sequence that the engine has reported, so that it
+// applies only to that state. It returns false if no further order may be sent.
 func (x *orderExecutor) sendOrder(ctx context.Context, report spanrill.EngineReport) bool {
 	if x.sent >= maxOrdersPerMove {
 		return false
@@ -149,7 +154,7 @@
 // errLeaseLost means that this daemon may no longer send orders.
 var errLeaseLost = errors.New("lease lost")
 
-// callPlace sends the order under the term that is valid once the call has its slot.
+// callPlace sends the order once the call has a slot, under the term that is valid then.
 func (x *orderExecutor) callPlace(ctx context.Context, report spanrill.EngineReport) (term uint64, state spanrill.OrderState, err error) {
 	if err := x.placer.calls.acquire(ctx); err != nil {
 		return 0, 0, err
@@ -166,7 +171,8 @@
 	return term, state, err
 }
 
-// loadTime returns how long the new layers take to load, times a factor.
+// loadTime returns how long the layers that the engine does not hold yet take to load,
+// times a factor.
 func (x *orderExecutor) loadTime(factor float64) spanrill.Millis {
 	held, next := x.upstream.Entry().Layers, x.order.move.Layers
 	kept := max(0, min(held.To, next.To)-max(held.From, next.From))
--- a/coordination/layoutrun/lastplan_test.go
+++ b/coordination/layoutrun/lastplan_test.go
@@ -7,19 +7,19 @@
 	"spanrill/clock"
 )
 
-// Only a daemon that may send orders checks the engines. When every daemon checked all engines
-// each 150 ms, that took 18 % of the CPU time of 60 daemons starting with 2,922 engines.
+// Only a daemon that may send orders checks the engines. Checks of all engines by every daemon
+// each 150 ms took 18 % of the CPU time of 60 daemons starting with 2,922 engines.
 func TestOnlyDaemonThatMayOrderChecksEngines(t *testing.T) {
 	now := clock.NewManual()
-	may := false
-	p, table := newTestPlacer(t, 8, spanrill.LayerRange{From: 0, To: 6}, newFakeEngines(), func() (uint64, bool) { return 1, may }, now)
-	table.View().ByID("e3").SetDead(true) // a check of the engines would verify it
+	mayAct := false
+	p, table := newTestPlacer(t, 8, spanrill.LayerRange{From: 0, To: 6}, newFakeEngines(), func() (uint64, bool) { return 1, mayAct }, now)
+	table.View().ByID("e3").SetDead(true) // so that a check of the engines would verify it
 	p.Round(t.Context())
 	if len(p.verifications) != 0 || len(p.lastPlans) != 0 {
 		t.Fatalf("%d verifications and %d plans by a daemon that may not send orders, want none", len(p.verifications), len(p.lastPlans))
 	}
 	now.Advance(quietTimeBeforeLayout)
-	may = true
+	mayAct = true
 	p.Round(t.Context())
 	_ = p.tasks.Wait()
 	if len(p.verifications) != 1 || len(p.lastPlans) != 1 {
@@ -37,14 +37,14 @@
 	round := func() spanrill.Millis {
 		p.Round(t.Context())
 		_ = p.tasks.Wait()
-		return p.lastPlans["s"].at
+		return p.lastPlans["s"].plannedAt
 	}
-	first := round()
+	last := round()
 	for _, c := range []struct {
 		name   string
 		change func()
 		after  spanrill.Millis
-		again  bool
+		replan bool
 	}{
 		{"no change", func() {}, 150, false},
 		{"reserved tokens", func() { table.View().ByID("e1").Reserve(500) }, 150, false},
@@ -54,10 +54,10 @@
 	} {
 		now.Advance(c.after)
 		c.change()
-		at := round()
-		if again := at != first; again != c.again {
-			t.Errorf("%s: planned again is %t, want %t", c.name, again, c.again)
+		plannedAt := round()
+		if replan := plannedAt != last; replan != c.replan {
+			t.Errorf("%s: planned again is %t, want %t", c.name, replan, c.replan)
 		}
-		first = at
+		last = plannedAt
 	}
 }
--- a/coordination/layoutrun/many_test.go
+++ b/coordination/layoutrun/many_test.go
@@ -11,86 +11,87 @@
 	"spanrill/clock"
 )
 
-// Guards against one daemon exhausting its descriptors with calls to all engines at once.
-// The lease holder of placement sent all orders at once, each over its own connection, and
-// queried the pace of all engines at once every 5 s. Of 301 daemons with 2,997 engines it
-// opened 1,204 connections per second, had up to 3,895 open and used 0.69 of a core all day;
-// the others opened 20 per second and had up to 542 open. Of 4,100 descriptors of a daemon 200
-// are files, so its own dials fail, for orders, queries and callers alike. With 14 daemons of
-// 2,400 descriptors and 2,730 engines, 1,143 dials failed with "too many open files" in the
-// first eight seconds, and with them 573 orders. With 4,100 descriptors none failed.
+// Guards against a lease holder that exhausts its descriptors: if it sends all orders at once,
+// each over its own connection, or queries the pace of all engines at once every 5 s, its dials
+// fail, for orders, queries and callers alike. Without bounds, the lease holder among 301 daemons
+// with 2,997 engines opened 1,204 connections per second, had up to 3,895 open (of its 4,100
+// descriptors 200 are files) and used 0.69 of a core all day; the other daemons opened 20 per
+// second and had up to 542 open. With 14 daemons of 2,400 descriptors and 2,730 engines, 1,143
+// dials failed with "too many open files" in the first eight seconds, and with them 573 orders.
+// With 4,100 descriptors none failed.
 
-// wantMaxCalls is how many orders and report requests may be under way: a thirtieth of a
-// daemon's usual descriptors.
+// wantMaxCalls is how many orders and report requests may be in flight at a time: a thirtieth
+// of a daemon's usual descriptors.
 const wantMaxCalls = 128
 
 // blockingEngines are engines whose calls block until the test releases them.
 type blockingEngines struct {
 	*fakeEngines
 	mu       sync.Mutex
-	current  int
-	peak     int
-	released chan struct{}
+	current  int           // calls in flight
+	peak     int           // most calls in flight at a time
+	released chan struct{} // each value received releases one call
 }
 
-func (c *blockingEngines) enter() (leave func()) {
-	c.mu.Lock()
-	c.current++
-	c.peak = max(c.peak, c.current)
-	c.mu.Unlock()
-	<-c.released
+// enter counts a call and blocks until it is released. The returned function ends the call.
+func (e *blockingEngines) enter() (leave func()) {
+	e.mu.Lock()
+	e.current++
+	e.peak = max(e.peak, e.current)
+	e.mu.Unlock()
+	<-e.released
 	return func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.current--
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.current--
 	}
 }
 
-func (c *blockingEngines) Report(ctx context.Context, addr string) (spanrill.EngineReport, error) {
-	defer c.enter()()
-	return c.fakeEngines.Report(ctx, addr)
+func (e *blockingEngines) Report(ctx context.Context, addr string) (spanrill.EngineReport, error) {
+	defer e.enter()()
+	return e.fakeEngines.Report(ctx, addr)
 }
 
-func (c *blockingEngines) Place(ctx context.Context, addr, id string, o spanrill.PlacementOrder) (spanrill.OrderState, error) {
-	defer c.enter()()
-	return c.fakeEngines.Place(ctx, addr, id, o)
+func (e *blockingEngines) Place(ctx context.Context, addr, id string, o spanrill.PlacementOrder) (spanrill.OrderState, error) {
+	defer e.enter()()
+	return e.fakeEngines.Place(ctx, addr, id, o)
 }
 
 func TestConcurrentCallsAreBounded(t *testing.T) {
-	const engines = 600
-	c := &blockingEngines{fakeEngines: newFakeEngines(), released: make(chan struct{})}
-	p, _ := newStablePlacer(t, engines, c, mayAlwaysAct)
+	const engineCount = 600
+	engines := &blockingEngines{fakeEngines: newFakeEngines(), released: make(chan struct{})}
+	p, _ := newStablePlacer(t, engineCount, engines, mayAlwaysAct)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		runRounds(t, p, c.covered)
+		runRounds(t, p, engines.covered)
 	}()
 	for {
-		for range engines {
-			runtime.Gosched() // let every call start that may
+		for range engineCount {
+			runtime.Gosched() // let all calls start for which there is a slot
 		}
 		select {
-		case c.released <- struct{}{}:
+		case engines.released <- struct{}{}:
 		case <-ended:
-			if c.peak > wantMaxCalls {
-				t.Errorf("%d calls were under way at a time, want at most %d", c.peak, wantMaxCalls)
+			if engines.peak > wantMaxCalls {
+				t.Errorf("%d calls were in flight at a time, want at most %d", engines.peak, wantMaxCalls)
 			}
 			return
 		}
 	}
 }
 
-// countingEngines count the report requests to each engine.
+// countingEngines are engines that count the report requests to each of them.
 type countingEngines struct {
 	*fakeEngines
-	asked map[string]int
+	queries map[string]int // by address
 }
 
-func (c *countingEngines) Report(ctx context.Context, addr string) (spanrill.EngineReport, error) {
-	c.mu.Lock()
-	c.asked[addr]++
-	c.mu.Unlock()
-	return c.fakeEngines.Report(ctx, addr)
+func (e *countingEngines) Report(ctx context.Context, addr string) (spanrill.EngineReport, error) {
+	e.mu.Lock()
+	e.queries[addr]++
+	e.mu.Unlock()
+	return e.fakeEngines.Report(ctx, addr)
 }
 
 // Engines are queried for their pace in turn, each every 5 s if they are few, and at most 100
@@ -104,7 +105,7 @@
 		{3000, 0, 1},
 	} {
 		t.Run(fmt.Sprint(c.engines, " engines"), func(t *testing.T) {
-			engines := &countingEngines{fakeEngines: newFakeEngines(), asked: map[string]int{}}
+			engines := &countingEngines{fakeEngines: newFakeEngines(), queries: map[string]int{}}
 			now := clock.NewManual()
 			p, _ := newTestPlacer(t, c.engines, spanrill.LayerRange{From: 0, To: 5}, engines, mayAlwaysAct, now)
 			for range seconds * int(spanrill.Second) / int(roundInterval) {
@@ -114,7 +115,7 @@
 			}
 			total := 0
 			for i := range c.engines {
-				n := engines.asked[fmt.Sprint("e", i)]
+				n := engines.queries[fmt.Sprint("e", i)]
 				if total += n; n < c.least || n > c.most {
 					t.Fatalf("engine %d was queried %d times, want %d to %d", i, n, c.least, c.most)
 				}
--- a/coordination/layoutrun/pace.go
+++ b/coordination/layoutrun/pace.go
@@ -25,22 +25,22 @@
 type paceSchedule struct {
 	next           int             // index of the next engine in the cycle
 	cycleStartedAt spanrill.Millis // start of the current cycle
-	lastDueAt      spanrill.Millis
+	lastDueAt      spanrill.Millis // time of the last call of due
 }
 
-// due returns the indices of the engines to query now: the next ones of the cycle. A cycle
-// starts at the earliest paceInterval after the previous one started.
-func (p *paceSchedule) due(engines int, now spanrill.Millis) (from, to int) {
+// due returns the half-open range of indices of the engines to query now: the next ones of the
+// cycle. A cycle starts no earlier than paceInterval after the previous one started.
+func (p *paceSchedule) due(engineCount int, now spanrill.Millis) (from, to int) {
 	elapsed := min(now-p.lastDueAt, spanrill.Second) // no burst of queries after a pause
 	p.lastDueAt = now
-	if p.next >= engines {
+	if p.next >= engineCount {
 		if now-p.cycleStartedAt < paceInterval {
 			return 0, 0
 		}
 		p.next, p.cycleStartedAt = 0, now
 	}
 	from = p.next
-	p.next = min(engines, from+int(max(1, maxPaceQueriesPerSecond*elapsed/spanrill.Second)))
+	p.next = min(engineCount, from+int(max(1, maxPaceQueriesPerSecond*elapsed/spanrill.Second)))
 	return from, p.next
 }
 
@@ -73,10 +73,10 @@
 	defer cancel()
 	report, err := p.engines.Report(ctx, u.Addr())
 	if err != nil {
-		return err // requests that wait for the engine decide whether it is dead
+		return err // does not mark the engine as dead: the requests that wait for it decide that
 	}
-	before := u.Slow()
-	if u.SetPace(report.Pace); u.Slow() != before {
+	wasSlow := u.Slow()
+	if u.SetPace(report.Pace); u.Slow() != wasSlow {
 		p.handleSlowChange(u)
 	}
 	return nil
--- a/coordination/layoutrun/placer.go
+++ b/coordination/layoutrun/placer.go
@@ -81,7 +81,7 @@
 type order struct {
 	move     layout.Move
 	done     bool            // the engine has reported that it holds the range
-	forgetAt spanrill.Millis // when to forget it, if not 0
+	forgetAt spanrill.Millis // forgotten from this time on, if not 0
 }
 
 // Option changes a default of New.
@@ -120,7 +120,7 @@
 	return ctx.Err()
 }
 
-// nextInterval returns how long to wait for the next round.
+// nextInterval returns the pause before the next round.
 func (p *Placer) nextInterval() spanrill.Millis {
 	if _, mayAct := p.mayAct(); mayAct {
 		return roundInterval
@@ -128,8 +128,8 @@
 	return idleRoundInterval
 }
 
-// Round checks all services once. A daemon that may not send orders only counts their
-// engines.
+// Round plans and orders the moves of all services once. A daemon that may not send orders
+// only counts their engines.
 func (p *Placer) Round(ctx context.Context) {
 	p.forgetFinished()
 	_, mayAct := p.mayAct()
@@ -166,21 +166,21 @@
 
 // allAppeared reports whether the engines of a service have presumably all appeared: none
 // was added for quietTimeBeforeLayout, or the first was seen maxWaitForLayout ago.
-func (p *Placer) allAppeared(service string, n int) bool {
+func (p *Placer) allAppeared(service string, engineCount int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if n > p.engineCounts[service] {
+	if engineCount > p.engineCounts[service] {
 		if p.engineCounts[service] == 0 {
 			p.firstSeenAt[service] = now
 		}
-		p.engineCounts[service], p.lastAddedAt[service] = n, now
+		p.engineCounts[service], p.lastAddedAt[service] = engineCount, now
 	}
-	return n > 0 && (now-p.lastAddedAt[service] >= quietTimeBeforeLayout || now-p.firstSeenAt[service] >= maxWaitForLayout)
+	return engineCount > 0 && (now-p.lastAddedAt[service] >= quietTimeBeforeLayout || now-p.firstSeenAt[service] >= maxWaitForLayout)
 }
 
 // planInput returns the engines of a service as input for the planner, and whether any
-// of them holds layers. An engine with an order counts with the layers ordered.
+// of them holds layers. An engine with an order counts as holding the layers ordered.
 func (p *Placer) planInput(ctx context.Context, s *spanrill.ServiceInfo) (engines []layout.Engine, anyHeld bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,8 +200,8 @@
 			ID: u.ID(), Zone: entry.Zone, Kind: entry.Kind, Layers: entry.Layers,
 			Leaving: !u.AcceptsRequests() || leaving, Slow: u.Slow(), Tokens: u.Tokens(), JustJoined: now-u.DiscoveredAt() < justJoinedTime,
 		}
-		if t := u.Target(); t != nil {
-			e.Layers, e.Changing = t.Layers, !t.Done
+		if target := u.Target(); target != nil {
+			e.Layers, e.Changing = target.Layers, !target.Done
 		}
 		if o, ok := p.orders[e.ID]; ok {
 			e.Layers, e.Changing = o.move.Layers, !o.done
@@ -235,8 +235,8 @@
 	return engines
 }
 
-// forgetFinished removes orders that the store shows as done, failed orders, and what is
-// recorded of engines that are gone.
+// forgetFinished removes the orders that have failed or whose layers the store shows, and the
+// orders and verifications of engines that are gone.
 func (p *Placer) forgetFinished() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,7 +258,8 @@
 	}
 }
 
-// Targets returns the layers that engines have been ordered to hold, by upstream id.
+// Targets returns the layers that engines have been ordered to hold, by upstream id, and
+// whether they hold them.
 func (p *Placer) Targets() map[string]fleet.Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -292,6 +293,6 @@
 	defer p.mu.Unlock()
 	o.done = done
 	if !done {
-		o.forgetAt = 1 // in the next round
+		o.forgetAt = 1 // a time in the past: the next round forgets it
 	}
 }
--- a/coordination/layoutrun/placer_test.go
+++ b/coordination/layoutrun/placer_test.go
@@ -25,60 +25,60 @@
 // fakeEngines are engines that apply orders, with injected faults.
 type fakeEngines struct {
 	mu          sync.Mutex
-	held        map[string]spanrill.LayerRange
+	held        map[string]spanrill.LayerRange // by address, as all maps here
 	sequence    map[string]uint64
-	orders      map[string]int
-	loseReplies int // the next n orders are applied, and their replies lost
-	loseOrders  int // the next n orders are lost
+	orders      map[string]int // orders received
+	loseReplies int            // the next n orders are applied, and their replies lost
+	loseOrders  int            // the next n orders are lost
 	dead        map[string]bool
 }
 
 var errNoAnswer = errors.New("no answer")
 
-func (c *fakeEngines) Report(_ context.Context, addr string) (spanrill.EngineReport, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.dead[addr] {
+func (e *fakeEngines) Report(_ context.Context, addr string) (spanrill.EngineReport, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.dead[addr] {
 		return spanrill.EngineReport{}, errNoAnswer
 	}
-	return spanrill.EngineReport{Layers: c.held[addr], Sequence: c.sequence[addr], Pace: 1}, nil
+	return spanrill.EngineReport{Layers: e.held[addr], Sequence: e.sequence[addr], Pace: 1}, nil
 }
 
-func (c *fakeEngines) Place(_ context.Context, addr, _ string, o spanrill.PlacementOrder) (spanrill.OrderState, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.orders[addr]++
-	if c.loseOrders > 0 {
-		c.loseOrders--
+func (e *fakeEngines) Place(_ context.Context, addr, _ string, o spanrill.PlacementOrder) (spanrill.OrderState, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.orders[addr]++
+	if e.loseOrders > 0 {
+		e.loseOrders--
 		return 0, errNoAnswer
 	}
-	if o.Sequence != c.sequence[addr] {
+	if o.Sequence != e.sequence[addr] {
 		return spanrill.OrderConflict, nil
 	}
-	c.sequence[addr]++
-	c.held[addr] = o.Layers
-	if c.loseReplies > 0 {
-		c.loseReplies--
+	e.sequence[addr]++
+	e.held[addr] = o.Layers
+	if e.loseReplies > 0 {
+		e.loseReplies--
 		return 0, errNoAnswer
 	}
 	return spanrill.OrderBegun, nil
 }
 
-func (c *fakeEngines) Reroute(context.Context, string, string, []spanrill.PathStage) error {
+func (e *fakeEngines) Reroute(context.Context, string, string, []spanrill.PathStage) error {
 	return nil
 }
 
-// newStablePlacer returns a placer over n empty engines that have been there for long enough
-// for a first layout, and its table.
-func newStablePlacer(t *testing.T, n int, c spanrill.LayerEngines, may MayAct) (*Placer, *fleet.Table) {
+// newStablePlacer returns a placer of n empty engines that appeared long enough ago for a first
+// layout, and its table.
+func newStablePlacer(t *testing.T, n int, engines spanrill.LayerEngines, mayAct MayAct) (*Placer, *fleet.Table) {
 	t.Helper()
-	p, table := newTestPlacer(t, n, spanrill.LayerRange{}, c, may, clock.NewSystem())
+	p, table := newTestPlacer(t, n, spanrill.LayerRange{}, engines, mayAct, clock.NewSystem())
 	p.engineCounts["s"], p.lastAddedAt["s"] = n, -maxWaitForLayout // all engines appeared long ago
 	return p, table
 }
 
-// newTestPlacer returns a placer over n engines that hold the same layers, and its table.
-func newTestPlacer(t *testing.T, n int, held spanrill.LayerRange, c spanrill.LayerEngines, may MayAct, now spanrill.Clock) (*Placer, *fleet.Table) {
+// newTestPlacer returns a placer of n engines that hold the same layers, and its table.
+func newTestPlacer(t *testing.T, n int, held spanrill.LayerRange, engines spanrill.LayerEngines, mayAct MayAct, now spanrill.Clock) (*Placer, *fleet.Table) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -97,7 +97,7 @@
 	}
 	table.Listed(items, 1, 0)
 	models := func() []spanrill.ServiceInfo { return []spanrill.ServiceInfo{{Name: "s", Model: model}} }
-	return New(may, c, table, models, now, log), table
+	return New(mayAct, engines, table, models, now, log), table
 }
 
 func newFakeEngines() *fakeEngines {
@@ -110,10 +110,10 @@
 const maxRounds = 50
 
 // runRounds performs rounds with their orders until a condition holds.
-func runRounds(t *testing.T, p *Placer, ok func() bool) {
+func runRounds(t *testing.T, p *Placer, condition func() bool) {
 	t.Helper()
 	for range maxRounds {
-		if ok() {
+		if condition() {
 			return
 		}
 		p.Round(context.Background())
@@ -123,11 +123,11 @@
 }
 
 // covered reports whether the engines together hold all layers.
-func (c *fakeEngines) covered() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (e *fakeEngines) covered() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	var held [12]bool
-	for _, l := range c.held {
+	for _, l := range e.held {
 		for i := l.From; i < l.To; i++ {
 			held[i] = true
 		}
@@ -140,15 +140,17 @@
 	return true
 }
 
+// The engines come to hold all layers although orders or replies are lost, or one engine is
+// dead.
 func TestOrders(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault func(*fakeEngines)
 	}{
-		{"answered", func(*fakeEngines) {}},
-		{"applied and not answered", func(c *fakeEngines) { c.loseReplies = 3 }},
-		{"neither applied nor answered", func(c *fakeEngines) { c.loseOrders = 3 }},
-		{"one engine is dead", func(c *fakeEngines) { c.dead["e1"] = true }},
+		{"all orders answered", func(*fakeEngines) {}},
+		{"orders applied and not answered", func(e *fakeEngines) { e.loseReplies = 3 }},
+		{"orders neither applied nor answered", func(e *fakeEngines) { e.loseOrders = 3 }},
+		{"one engine is dead", func(e *fakeEngines) { e.dead["e1"] = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -168,7 +170,7 @@
 		p.Round(context.Background())
 	}
 	if _ = p.tasks.Wait(); len(engines.orders) != 0 {
-		t.Fatalf("orders were sent without the lease: %v", engines.orders)
+		t.Fatalf("orders sent without the lease: %v, want none", engines.orders)
 	}
 }
 
@@ -180,11 +182,12 @@
 	p, table := newStablePlacer(t, 8, engines, mayAlwaysAct)
 	runRounds(t, p, func() bool { return table.View().ByID("e1").Dead() })
 	if n := engines.orders["e1"]; n != 0 {
-		t.Fatalf("the dead engine got %d orders", n)
+		t.Fatalf("the dead engine got %d orders, want none", n)
 	}
 }
 
-// Targets contains what an engine has confirmed before its entry shows it.
+// Targets shows an order as done once the engine has confirmed it, before its entry shows the
+// layers.
 func TestTargetsReportDoneOrders(t *testing.T) {
 	engines := newFakeEngines()
 	p, _ := newStablePlacer(t, 8, engines, mayAlwaysAct)
@@ -205,7 +208,7 @@
 	now := clock.NewManual()
 	now.Advance(100 * spanrill.Second)
 	p, table := newTestPlacer(t, 2, spanrill.LayerRange{}, newFakeEngines(), mayAlwaysAct, now)
-	look := func() map[string]bool {
+	justJoined := func() map[string]bool {
 		joined := map[string]bool{}
 		engines, _ := p.planInput(t.Context(), &p.models()[0])
 		for _, e := range engines {
@@ -213,21 +216,21 @@
 		}
 		return joined
 	}
-	if got := look(); !got["e0"] || !got["e1"] {
+	if got := justJoined(); !got["e0"] || !got["e1"] {
 		t.Fatalf("when first seen: just joined are %v, want both", got)
 	}
 	now.Advance(justJoinedTime)
-	if got := look(); got["e0"] || got["e1"] {
+	if got := justJoined(); got["e0"] || got["e1"] {
 		t.Fatalf("after %d ms: just joined are %v, want none", justJoinedTime, got)
 	}
 	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}, {ID: "new", Service: "s", Addr: "e1"}}, Revision: 2}, now.Now())
-	if got := look(); got["e0"] || !got["new"] {
+	if got := justJoined(); got["e0"] || !got["new"] {
 		t.Fatalf("one replaced: just joined are %v, want the new one only", got)
 	}
 	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}}, Revision: 3}, now.Now())
 	now.Advance(justJoinedTime)
 	table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{{ID: "e0", Service: "s", Addr: "e0"}, {ID: "e1", Service: "s", Addr: "e1"}}, Revision: 4}, now.Now())
-	if got := look(); !got["e1"] {
+	if got := justJoined(); !got["e1"] {
 		t.Fatalf("one came back: just joined are %v, want it too", got)
 	}
 }
--- a/coordination/layoutrun/verify_test.go
+++ b/coordination/layoutrun/verify_test.go
@@ -15,7 +15,7 @@
 // reportingEngine is an engine whose report a test sets.
 type reportingEngine struct {
 	spanrill.LayerEngines
-	used   float64 // of a memory of 100
+	used   float64 // memory in use, of 100
 	silent bool
 }
 
@@ -29,23 +29,23 @@
 // verifyStep is what happens to an engine before the placer verifies it again.
 type verifyStep struct {
 	refuses bool
-	used    float64
-	silent  bool
-	dead    bool // requests report it as dead
+	used    float64 // memory in use, of 100
+	silent  bool    // does not answer the placer
+	dead    bool    // requests report it as dead
 }
 
-// An engine that requests report as failing is given up only if the placer finds the same:
-// an engine whose memory is full for a moment refuses just as a leaving one does.
+// An engine that requests report as failing counts as crashed or leaving only if the placer
+// finds the same: an engine whose memory is full for a moment refuses just as a leaving one does.
 func TestVerify(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		steps            []verifyStep
 		crashed, leaving bool
 	}{
-		{"full, then empty", []verifyStep{{refuses: true, used: 99}, {used: 99}, {used: 10}, {used: 10}, {used: 10}}, false, false},
+		{"full at the refusal, then free", []verifyStep{{refuses: true, used: 99}, {used: 99}, {used: 10}, {used: 10}, {used: 10}}, false, false},
 		{"refuses once with free memory", []verifyStep{{refuses: true, used: 10}, {used: 10}, {used: 10}}, false, false},
 		{"refuses after it had free memory for a while", []verifyStep{{refuses: true, used: 10}, {used: 10}, {used: 10}, {refuses: true, used: 10}, {used: 10}}, false, true},
-		{"full repeatedly", []verifyStep{{refuses: true, used: 99}, {used: 10}, {refuses: true, used: 99}, {used: 10}, {refuses: true, used: 99}}, false, false},
+		{"full at every refusal", []verifyStep{{refuses: true, used: 99}, {used: 10}, {refuses: true, used: 99}, {used: 10}, {refuses: true, used: 99}}, false, false},
 		{"silent for requests only", []verifyStep{{dead: true}, {dead: true}}, false, false},
 		{"silent for the placer too", []verifyStep{{dead: true, silent: true}, {dead: true, silent: true}}, true, false},
 		{"answers again", []verifyStep{{dead: true, silent: true}, {dead: true, silent: true}, {}}, false, false},
