--- a/coordination/placement/placer.go
+++ b/coordination/placement/placer.go
@@ -15,8 +15,8 @@
 // Site is the part of the configuration that the placer of a site works from.
 type Site struct {
 	Models      []Model
-	HasZone     func(zone string) bool
-	ChecksFence func(upstream string) bool
+	HasZone     func(zone string) bool     // whether the zone belongs to the site
+	ChecksFence func(upstream string) bool // whether the upstream checks the term of an order
 }
 
 // Placer plans the placement of one site's models and sends the orders for it.
@@ -37,8 +37,8 @@
 type engineState struct {
 	layers    spanrill.LayerRange
 	model     string
-	since     spanrill.Millis
-	orderedAt spanrill.Millis // 0 if no order was sent since the layers changed
+	heldSince spanrill.Millis // when the layers or the model last changed
+	orderedAt spanrill.Millis // 0 if no order was sent since the layers or the model changed
 }
 
 // Option changes a default of New.
@@ -104,21 +104,21 @@
 	}
 }
 
-// liveEngines returns the live engines of the site, and records since when each holds
-// its layers.
+// liveEngines returns the engines of the site that report and are not leaving, and records
+// since when each holds its layers.
 func (p *Placer) liveEngines(site *Site) []Engine {
 	now := p.clock.Now()
 	var engines []Engine
 	for _, u := range p.table.Upstreams() {
-		r := u.Report()
-		if u.Service() != "" || !site.HasZone(u.Zone()) || r == nil || p.table.Leaving(u) || u.ReportAge(now) > maxReportAge {
+		report := u.Report()
+		if u.Service() != "" || !site.HasZone(u.Zone()) || report == nil || p.table.Leaving(u) || u.ReportAge(now) > maxReportAge {
 			continue
 		}
-		h := p.recordState(u.Name(), r, now)
+		state := p.recordState(u.Name(), report, now)
 		engines = append(engines, Engine{
-			Name: u.Name(), Model: r.Model, Version: r.Version, Layers: r.Layers, Slots: r.Slots,
-			StepMicros: float64(r.StepMicros), TokenMicros: float64(r.TokenNanos) / nanosPerMicro, MaxLayers: r.MaxLayers,
-			HeldFor: now - h.since, Busy: r.Loading || h.orderedAt > 0 && now-h.orderedAt < orderVisibleTime,
+			Name: u.Name(), Model: report.Model, Version: report.Version, Layers: report.Layers, Slots: report.Slots,
+			StepMicros: float64(report.StepMicros), TokenMicros: float64(report.TokenNanos) / nanosPerMicro, MaxLayers: report.MaxLayers,
+			HeldFor: now - state.heldSince, Busy: report.Loading || state.orderedAt > 0 && now-state.orderedAt < orderVisibleTime,
 		})
 	}
 	return engines
@@ -126,16 +126,18 @@
 
 const nanosPerMicro = 1000
 
-func (p *Placer) recordState(name string, r *spanrill.UpstreamStatus, now spanrill.Millis) engineState {
-	h, known := p.states[name]
-	if !known || h.layers != r.Layers || h.model != r.Model {
-		h = engineState{layers: r.Layers, model: r.Model, since: now}
+// recordState records what an engine reports to hold, and returns its state.
+func (p *Placer) recordState(name string, report *spanrill.UpstreamStatus, now spanrill.Millis) engineState {
+	state, known := p.states[name]
+	if !known || state.layers != report.Layers || state.model != report.Model {
+		state = engineState{layers: report.Layers, model: report.Model, heldSince: now}
 	}
-	p.states[name] = h
-	return h
+	p.states[name] = state
+	return state
 }
 
-// sendOrder sends the order for a move, unless the lease has been lost meanwhile.
+// sendOrder sends the order for a move if the lease is still held. To an engine that does not
+// check the term of an order it sends none until all orders of the previous holder have ended.
 func (p *Placer) sendOrder(ctx context.Context, site *Site, m Move) {
 	term, ok := p.lease.Held()
 	if !ok {
@@ -159,13 +161,15 @@
 	p.recordResult(m, fields, err)
 }
 
+// recordResult logs the result of an order and records when the order succeeded. A refusal
+// because of a newer term ends the lease.
 func (p *Placer) recordResult(m Move, fields logrus.Fields, err error) {
 	var refusal *spanrill.RunError
 	switch {
 	case err == nil:
-		h := p.states[m.Engine]
-		h.orderedAt = p.clock.Now()
-		p.states[m.Engine] = h
+		state := p.states[m.Engine]
+		state.orderedAt = p.clock.Now()
+		p.states[m.Engine] = state
 		events.OrderGiven.Log(p.log, fields)
 	case errors.As(err, &refusal) && refusal.Code == spanrill.CodeFenced:
 		p.lease.Invalidate()
--- a/coordination/placement/plan.go
+++ b/coordination/placement/plan.go
@@ -8,8 +8,8 @@
 //
 // Plan applies three rules, in this order:
 //
-//  1. The missing layers of a model that no chain covers are loaded first, by engines
-//     that hold nothing, else by an engine of the stage with the most spare capacity.
+//  1. Layers of a model that no chain covers are loaded first, by engines that hold
+//     nothing, else by an engine of the stage that keeps the highest rate without it.
 //  2. An engine that holds nothing is assigned to the slowest stage.
 //  3. An engine moves from a fast stage to the slowest one, but only if it has held
 //     its layers for some time and the gain is large enough.
@@ -34,7 +34,7 @@
 	Priority int // highest priority of the client accounts that use it
 }
 
-// Engine is the state of an engine that the planner works from.
+// Engine is the state of an engine that Plan works from.
 type Engine struct {
 	Name        string
 	Model       string
@@ -73,9 +73,9 @@
 
 // Limits bounds what one plan may change.
 type Limits struct {
-	MaxMoves     int             // moves per round; reads from the weight store are limited
-	MinResidency spanrill.Millis // before an engine is moved away from a working stage
-	MinGain      float64         // factor by which the slowest stage must become faster
+	MaxMoves     int             // per round, because reads from the weight store are limited
+	MinResidency spanrill.Millis // how long an engine must have held its layers to join a slower stage
+	MinGain      float64         // factor by which such a move must speed up the slowest stage
 }
 
 // DefaultLimits are the limits of a placer without WithLimits.
@@ -94,15 +94,17 @@
 	return p.moves
 }
 
+// planner is the state of one call of Plan.
 type planner struct {
-	engines []Engine
+	engines []Engine // as they will be after the moves
 	limits  Limits
 	moves   []Move
 }
 
 func (p *planner) atMoveLimit() bool { return len(p.moves) >= p.limits.MaxMoves }
 
-// addMove adds a move and changes the engine, so that the rest of the plan counts with it.
+// addMove adds a move and changes the engine, so that the rest of the plan takes it into
+// account.
 func (p *planner) addMove(e *Engine, m *Model, layers spanrill.LayerRange, reason string) {
 	p.moves = append(p.moves, Move{Engine: e.Name, Model: *m, Layers: layers, Reason: reason})
 	e.Model, e.Version, e.Layers, e.Busy, e.HeldFor = m.Name, m.Version, layers, true, 0
@@ -115,7 +117,7 @@
 		if !ok {
 			return
 		}
-		e, layers := p.donor(m, gap)
+		e, layers := p.bestForGap(m, gap)
 		if e == nil {
 			return
 		}
@@ -154,10 +156,11 @@
 	return next
 }
 
-// donor returns the best engine to load a gap, and the part of the gap that it should
-// hold. It prefers engines that hold nothing, then those whose stage stays fastest
-// without them, and weights both by the engine's speed and by how much of the gap fits.
-func (p *planner) donor(m *Model, gap spanrill.LayerRange) (*Engine, spanrill.LayerRange) {
+// bestForGap returns the best engine to load a gap, or nil if none can, and the part of the
+// gap that it should hold. It prefers engines that hold nothing, then those whose stage
+// stays fastest without them, and weights both by the engine's speed and by how much of
+// the gap fits.
+func (p *planner) bestForGap(m *Model, gap spanrill.LayerRange) (*Engine, spanrill.LayerRange) {
 	var best *Engine
 	var bestScore float64
 	for i := range p.engines {
@@ -180,11 +183,11 @@
 	return best, p.partFor(m, best, gap)
 }
 
-// emptyEngineScore ranks an engine that holds nothing before all others.
+// emptyEngineScore is the spareScore of an engine that holds nothing, above all others.
 const emptyEngineScore = 1e6
 
-// spareScore returns the rate that the stage of an engine keeps without it, and whether the
-// engine can be spared.
+// spareScore returns the tokens per second that the stage of an engine keeps without it, and
+// whether the engine can be spared.
 func (p *planner) spareScore(e *Engine) (float64, bool) {
 	if e.Model == "" {
 		return emptyEngineScore, true
@@ -227,7 +230,7 @@
 // stage is a group of engines that hold the same layers.
 type stage struct {
 	layers  spanrill.LayerRange
-	rate    float64
+	rate    float64 // tokens per second of all its engines
 	engines []*Engine
 }
 
@@ -253,20 +256,20 @@
 	return all
 }
 
-// balance assigns engines that hold nothing to the slowest stage, and moves engines
-// from the fastest stage to it if their rates differ too much.
+// balance assigns engines that hold nothing to the slowest stage, and then moves engines
+// from the fastest stage to it while that gains enough.
 func (p *planner) balance(m *Model) {
 	for !p.atMoveLimit() {
-		all := p.stages(m)
-		if len(all) == 0 {
+		stages := p.stages(m)
+		if len(stages) == 0 {
 			return
 		}
-		slowest := all[0]
+		slowest := stages[0]
 		if e := p.fastestEmpty(slowest.layers.Len()); e != nil {
 			p.addMove(e, m, slowest.layers, "engine held nothing")
 			continue
 		}
-		e := p.surplusEngine(all, slowest)
+		e := p.surplusEngine(stages, slowest)
 		if e == nil {
 			return
 		}
@@ -274,6 +277,8 @@
 	}
 }
 
+// fastestEmpty returns the fastest engine that holds nothing and can hold so many layers, or
+// nil if there is none.
 func (p *planner) fastestEmpty(layers int) *Engine {
 	var best *Engine
 	for i := range p.engines {
@@ -285,10 +290,11 @@
 	return best
 }
 
-// surplusEngine returns an engine of the fastest stage whose move speeds up the slowest
-// stage by more than the factor MinGain and leaves its own stage above that rate, too.
-func (p *planner) surplusEngine(all []*stage, slowest *stage) *Engine {
-	fastest := all[len(all)-1]
+// surplusEngine returns an engine of the fastest stage whose move to the slowest one leaves
+// both faster than the slowest is now, by more than the factor MinGain. It returns nil if
+// there is none.
+func (p *planner) surplusEngine(stages []*stage, slowest *stage) *Engine {
+	fastest := stages[len(stages)-1]
 	for _, e := range fastest.engines {
 		if e.Busy || e.HeldFor < p.limits.MinResidency || e.MaxLayers < slowest.layers.Len() || fastest == slowest {
 			continue
