--- a/coordination/exchange/apply.go
+++ b/coordination/exchange/apply.go
@@ -27,7 +27,7 @@
 	e.applyPaces()
 	e.applyRefusals(now)
 	if others.unnamed == nil {
-		e.applyUnnamed(nil) // before applyUses, which sets those that are named now
+		e.applyUnnamed(nil) // before applyUses, which sets the upstreams that the sums name now
 	}
 	e.applyUses(others.uses)
 	if others.unnamed != nil {
@@ -105,7 +105,7 @@
 	for _, last := range e.newsByPeer {
 		s := sumFromMessage(&peermsg.Sum{Uses: last.news.Uses, Retries: last.news.Retries})
 		if now-last.askedAt > retryCountTTL {
-			s.retries = nil // older counts are treated as unknown
+			s.retries = nil // its counts are treated as unknown
 		} else {
 			daemons++
 		}
@@ -114,19 +114,19 @@
 	return others, daemons
 }
 
-// retryCountTTL is how old the retry counts of a daemon may be: a few rounds.
+// retryCountTTL is how old the retry counts of a daemon may be to be used: a few rounds.
 const retryCountTTL spanrill.Millis = 900
 
-// applyRefusals marks the upstreams that refuse the requests of other daemons, so that each
-// daemon need not find out by requests of its own. The caller must hold e.mu.
+// applyRefusals marks the upstreams that refuse the requests of other daemons, so that this daemon
+// need not send them a request to find out. The caller must hold e.mu.
 func (e *Exchange) applyRefusals(now spanrill.Millis) {
 	refusing := map[uint32]bool{}
 	for _, last := range e.newsByPeer {
 		if now-last.askedAt > refusalTTL {
 			continue
 		}
-		for _, id := range last.news.Refusing {
-			refusing[id] = true
+		for _, key := range last.news.Refusing {
+			refusing[key] = true
 		}
 	}
 	view := e.state.Fleet.View()
@@ -137,35 +137,35 @@
 	}
 }
 
-// refusalTTL is how old reported refusals may be: two rounds.
+// refusalTTL is how old reported refusals may be to be used: two rounds.
 const refusalTTL spanrill.Millis = 500
 
 // currentTargets returns the layers that engines are being ordered to hold, by this daemon or by
-// a lease holder. A holder's targets stay valid for a while after the last news of it: its
-// orders are still carried out, and the entries show that late, or not at all while the store is
-// unavailable. The caller must hold e.mu.
+// a lease holder. A holder's targets stay valid for a while after its last report: engines still
+// carry out its orders, and their entries show the new layers late, or not at all while the store
+// is unavailable. The caller must hold e.mu.
 func (e *Exchange) currentTargets(now spanrill.Millis) map[uint32]knownTarget {
 	if e.isFresh(&e.placement) {
 		for key, t := range e.placement.orders.targets {
 			e.recordTarget(key, t.target, e.placement.reportedAt)
 		}
 	}
-	for key, target := range e.state.Targets() {
-		e.recordTarget(fleet.KeyOf(key), target, now)
+	for id, target := range e.state.Targets() {
+		e.recordTarget(fleet.KeyOf(id), target, now)
 	}
 	targets := make(map[uint32]knownTarget, len(e.knownTargets))
-	for id, t := range e.knownTargets {
+	for key, t := range e.knownTargets {
 		if now >= t.expiresAt {
-			delete(e.knownTargets, id)
+			delete(e.knownTargets, key)
 			continue
 		}
-		targets[id] = t
+		targets[key] = t
 	}
 	return targets
 }
 
-// knownTarget is an engine's target with the time of its report and its expiry. It does not
-// apply to an engine that has restarted since.
+// knownTarget is an engine's target with the time of its report and its expiry. It is ignored if
+// the engine has restarted since the report.
 type knownTarget struct {
 	target     fleet.Target
 	reportedAt spanrill.Millis
@@ -173,21 +173,21 @@
 }
 
 const (
-	// pendingTargetTTL is how long an order counts as in progress after the last report of it: an
-	// order, a load and a report take about as long.
+	// pendingTargetTTL is how long an order counts as in progress after its last report: about as
+	// long as it takes to order a load, to load the layers and to report them.
 	pendingTargetTTL spanrill.Millis = 2500
-	// doneTargetTTL is how long an engine's own answer takes precedence over its entry, which
-	// follows within a heartbeat once the store is available.
+	// doneTargetTTL is how long the layers that an engine has confirmed take precedence over those
+	// in its entry, which follows within a heartbeat once the store is available.
 	doneTargetTTL = 15 * spanrill.Second
 )
 
-// recordTarget stores a target with its expiry. The caller must hold e.mu.
-func (e *Exchange) recordTarget(id uint32, target fleet.Target, at spanrill.Millis) {
-	until := at + pendingTargetTTL
+// recordTarget stores an engine's target as reported at a time. The caller must hold e.mu.
+func (e *Exchange) recordTarget(key uint32, target fleet.Target, reportedAt spanrill.Millis) {
+	expiresAt := reportedAt + pendingTargetTTL
 	if target.Done {
-		until = at + doneTargetTTL
+		expiresAt = reportedAt + doneTargetTTL
 	}
-	e.knownTargets[id] = knownTarget{target: target, reportedAt: at, expiresAt: until}
+	e.knownTargets[key] = knownTarget{target: target, reportedAt: reportedAt, expiresAt: expiresAt}
 }
 
 // dropReportedTargets drops completed targets that the engines' entries show by now. The caller
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -1,6 +1,6 @@
 // Package exchange spreads state between the daemons of a fleet: the tokens and calls that
 // their requests hold at each upstream, the configuration, the entries of upstreams, placement
-// orders and what follows from them.
+// orders, retry counts, rate limits, and the requests that are suspected of crashing upstreams.
 //
 // Daemons poll each other. The age of an answer counts from before the request was sent, so
 // that a delayed message or a stalled daemon makes data look older than it is, never younger.
@@ -61,8 +61,8 @@
 	Leaving        func() bool
 	// StoreSilent reports whether the platform's store does not answer this daemon.
 	StoreSilent func() bool
-	// LateRounds returns for how many rounds the entries have been older than they should be in a
-	// fleet where the trees carry what the first daemon in rank reads.
+	// LateRounds returns by how many rounds the entries of upstreams are later than the trees
+	// should deliver them. The exchange then asks more peers.
 	LateRounds func() int
 	Budgets    *retry.Budgets
 	Lease      *lease.Lease // the placement lease
@@ -74,8 +74,8 @@
 }
 
 const (
-	// RoundInterval is the pause between two rounds. The figures of other daemons are at most this
-	// old; in that time a daemon starts two requests at the current load.
+	// RoundInterval is the mean pause between two rounds, and so about the largest age of the
+	// figures of a peer that is asked in every round. A daemon starts two requests in that time.
 	RoundInterval spanrill.Millis = 250
 	roundInterval                 = RoundInterval
 	// askTimeout bounds one request to a peer: many times a round trip of 1 ms.
@@ -85,11 +85,11 @@
 	fanout = 8
 	// askedPerRound is how many peers a daemon asks in each round in a larger fleet.
 	askedPerRound = 4
-	// maxLateRounds caps the late rounds that count: each of them adds askedPerRound peers to the
+	// maxLateRounds caps the effect of late rounds: each of them adds askedPerRound peers to the
 	// next round.
 	maxLateRounds = 3
-	// newsTTL is how long the figures of a peer that does not answer count. Its requests continue
-	// for about as long as a usual answer takes.
+	// newsTTL is how long the last figures of a peer that no longer answers are used: about as
+	// long as its running requests usually take to end.
 	newsTTL = 2 * spanrill.Second
 )
 
@@ -120,7 +120,7 @@
 	otherCount     atomic.Int64 // live daemons, without this one, in the last round
 	lastAddedAt    atomic.Int64 // when a daemon last joined
 	startedAt      spanrill.Millis
-	startRounds    int // rounds made before this daemon had a configuration and entries
+	startRounds    int // rounds before this daemon had a configuration and entries
 	// fleetSizeWasKnown is the result of FleetSizeKnown in the last round.
 	fleetSizeWasKnown atomic.Bool
 	// depth is the number of levels of the trees in the last round.
@@ -131,7 +131,7 @@
 	packedEntries packedCache   // of upstreams, for peers that fetch them
 }
 
-// peerNews is the last news from a peer.
+// peerNews is the last answer of a peer to a request for news.
 type peerNews struct {
 	news    peermsg.News
 	askedAt spanrill.Millis // when the request was sent
@@ -208,50 +208,50 @@
 }
 
 func (e *Exchange) askNews(ctx context.Context, to recipient) error {
-	m := to.member
+	member := to.member
 	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
 	sent := e.clock.Now()
 	var news peermsg.News
-	err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindNews), e.newsRequest(to), &news)
-	e.setUnresponsive(m.Name, err != nil)
+	err := e.peers.Ask(ctx, member.PeerAddr, uint8(peermsg.KindNews), e.newsRequest(to), &news)
+	e.setUnresponsive(member.Name, err != nil)
 	if err != nil {
 		return err
 	}
 	e.mergeFleetSums(news.Fleet, sent)
-	e.mergeStoreAnswered(&news, sent)
+	e.mergeStoreAvailability(&news, sent)
 	e.MergeSuspects(news.Suspects)
 	ratelimit.MergeNews(e.state.Fleet, news.Limits, sent)
 	e.mu.Lock()
-	e.newsByPeer[cmp.Or(news.Name, m.Name)] = peerNews{news: news, askedAt: sent}
+	e.newsByPeer[cmp.Or(news.Name, member.Name)] = peerNews{news: news, askedAt: sent}
 	e.mu.Unlock()
-	e.recordPeerOrders(m.Name, news.Placement)
+	e.recordPeerOrders(member.Name, news.Placement)
 	if news.Placement == nil {
-		e.clearPlacement(m.Name, sent)
+		e.clearPlacement(member.Name, sent)
 	}
 	e.mergePlacement(news.Placement, sent)
-	if err := e.syncConfig(ctx, m, news.Revision); err != nil {
+	if err := e.syncConfig(ctx, member, news.Revision); err != nil {
 		return err
 	}
 	e.state.Config.ConfirmUnchanged(news.Revision, sent-news.ConfigAge)
-	return e.syncEntries(ctx, m, &news, sent)
+	return e.syncEntries(ctx, member, &news, sent)
 }
 
-// mergeStoreAnswered records the time span in which the platform's store answered the peer or
-// other daemons that it knows of. The delay of the answer can only make the recorded span start
-// later and end earlier than the real one, which claims less.
-func (e *Exchange) mergeStoreAnswered(news *peermsg.News, sent spanrill.Millis) {
+// mergeStoreAvailability records the time span in which the platform's store answered the peer,
+// or other daemons according to the peer. A delayed answer can only shorten the recorded span.
+// sent is when the request for the news was sent.
+func (e *Exchange) mergeStoreAvailability(news *peermsg.News, sent spanrill.Millis) {
 	if news.UpstreamsRevision != 0 {
 		e.state.Fleet.RecordStoreAvailable(e.clock.Now()-news.StoreAvailableFor, sent-news.UpstreamsAge)
 	}
 }
 
-// maxStoreAnswered exceeds the time for which a daemon that is still a member can have had no
-// news of an entry, and takes three bytes in a message.
-const maxStoreAnswered = 30 * spanrill.Second
+// maxStoreAvailable caps the reported time for which the store has answered, so that it takes three
+// bytes in a message. A daemon without news of an entry for that long is no longer a member.
+const maxStoreAvailable = 30 * spanrill.Second
 
 // PeerStoreSilent reports whether a peer recently reported that the platform's store does not
-// answer it, so that other daemons ask the store in its place.
+// answer it. Another daemon then asks the store in its place.
 func (e *Exchange) PeerStoreSilent(peer string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -273,14 +273,14 @@
 	return false
 }
 
-// News answers a peer's request for news.
+// News answers a peer's request for news, and merges the sums and placement orders in the request.
 func (e *Exchange) News(req *peermsg.NewsRequest) *peermsg.News {
 	reply := &peermsg.News{
 		Name: e.state.Name, Revision: e.state.Config.Revision(), ConfigAge: e.state.Config.Age(),
 		Placement: e.placementNews(knownOrders{req.Holder, req.Sequence}), Leaving: e.state.Leaving(), StoreSilent: e.state.StoreSilent(),
 	}
 	reply.UpstreamsRevision, reply.UpstreamsLastChange, reply.UpstreamsAge = e.state.Fleet.Freshness()
-	reply.StoreAvailableFor = min(e.state.Fleet.StoreAvailableFor(), maxStoreAnswered)
+	reply.StoreAvailableFor = min(e.state.Fleet.StoreAvailableFor(), maxStoreAvailable)
 	reply.Suspects = e.suspectNews(req.Suspects)
 	reply.Limits = ratelimit.News(e.state.Fleet, e.clock, req.Limits)
 	e.storeChildSums(req)
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -23,11 +23,11 @@
 
 // peer is the only other daemon. It answers requests from its own exchange.
 type peer struct {
-	clock    *clock.Manual
-	exchange *Exchange
-	latency  spanrill.Millis // of its answers
-	silent   bool
-	asked    *peermsg.NewsRequest // the request for news that it answers
+	clock       *clock.Manual
+	exchange    *Exchange
+	latency     spanrill.Millis // of its answers
+	silent      bool
+	newsRequest *peermsg.NewsRequest // the request for news that it answers, empty if nil
 }
 
 var errSilent = errors.New("no answer")
@@ -43,10 +43,10 @@
 	var answer any
 	switch kind {
 	case uint8(peermsg.KindNews):
-		if p.asked == nil {
-			p.asked = &peermsg.NewsRequest{}
+		if p.newsRequest == nil {
+			p.newsRequest = &peermsg.NewsRequest{}
 		}
-		answer = p.exchange.News(p.asked)
+		answer = p.exchange.News(p.newsRequest)
 	case uint8(peermsg.KindRouteConfig):
 		answer = p.exchange.RouteConfig()
 	case uint8(peermsg.KindEntries):
@@ -60,15 +60,15 @@
 	return peermsg.Decode(data, reply)
 }
 
-// daemon is an exchange with the state that it works on.
+// daemon is an exchange with its local state.
 type daemon struct {
-	config      *routes.Current
-	table       *fleet.Table
-	exchange    *Exchange
-	targets     map[string]fleet.Target
-	placement   bool
-	storeSilent bool
-	budgets     *retry.Budgets
+	config         *routes.Current
+	table          *fleet.Table
+	exchange       *Exchange
+	targets        map[string]fleet.Target
+	holdsPlacement bool
+	storeSilent    bool
+	budgets        *retry.Budgets
 }
 
 func decodeConfig(value []byte) (*spanrill.RouteConfig, error) {
@@ -87,7 +87,7 @@
 	d.budgets = retry.NewBudgets(c, retry.Limits{Ratio: 0.2, Slack: 200, Window: 10000}, 2)
 	d.exchange = New(peers, State{
 		Name: name, Config: d.config, Fleet: d.table, Decode: decodeConfig, Budgets: d.budgets,
-		HoldsPlacement: func() bool { return d.placement }, Leaving: func() bool { return false },
+		HoldsPlacement: func() bool { return d.holdsPlacement }, Leaving: func() bool { return false },
 		StoreSilent: func() bool { return d.storeSilent },
 		LateRounds:  func() int { return 0 },
 		Targets:     func() map[string]fleet.Target { return d.targets },
@@ -97,6 +97,7 @@
 	return d
 }
 
+// pair returns two daemons, here and there, and the connection over which here asks there.
 func pair(latency spanrill.Millis) (c *clock.Manual, here, there *daemon, wire *peer) {
 	c = clock.NewManual()
 	c.Advance(100_000)
@@ -106,7 +107,8 @@
 	return c, here, there, wire
 }
 
-func (d *daemon) take(version int64, revision uint64, at spanrill.Millis) {
+// setConfig stores a configuration that was confirmed at a time.
+func (d *daemon) setConfig(version int64, revision uint64, at spanrill.Millis) {
 	config := &spanrill.RouteConfig{Version: version}
 	value, err := json.Marshal(config)
 	if err != nil {
@@ -116,12 +118,12 @@
 	d.config.ConfirmUnchanged(revision, at)
 }
 
-// A daemon that cannot read the store takes a newer configuration from a peer, and with it the
-// time at which the peer last confirmed it, counted from before the request was sent.
+// A daemon takes a newer configuration from a peer, and with it the time at which the peer last
+// confirmed it. The age that the peer reports counts back from when the request was sent.
 func TestNewerConfigIsFetchedFromPeer(t *testing.T) {
 	c, here, there, _ := pair(120)
-	there.take(5, 50, c.Now()-400)
-	here.take(4, 40, c.Now()-3000)
+	there.setConfig(5, 50, c.Now()-400)
+	here.setConfig(4, 40, c.Now()-3000)
 	asked := c.Now()
 	here.exchange.Round(context.Background())
 	if got := here.config.Table().Version(); got != 5 {
@@ -136,21 +138,22 @@
 // confirmation.
 func TestOlderConfigOfPeerIsIgnored(t *testing.T) {
 	c, here, there, _ := pair(1)
-	there.take(4, 40, c.Now())
-	here.take(5, 50, c.Now()-3000)
-	proved := here.config.ConfirmedAt()
+	there.setConfig(4, 40, c.Now())
+	here.setConfig(5, 50, c.Now()-3000)
+	before := here.config.ConfirmedAt()
 	here.exchange.Round(context.Background())
-	if here.config.Table().Version() != 5 || here.config.ConfirmedAt() != proved {
-		t.Fatalf("version %d, confirmed at %d", here.config.Table().Version(), here.config.ConfirmedAt())
+	if here.config.Table().Version() != 5 || here.config.ConfirmedAt() != before {
+		t.Fatalf("version %d, confirmed at %d; want both as before the peer was asked", here.config.Table().Version(), here.config.ConfirmedAt())
 	}
 }
 
-func listEntry(c *clock.Manual, d *daemon, at uint64, layers spanrill.LayerRange) {
-	value, err := json.Marshal(spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Layers: layers, Revision: at})
+// listEntry sets the entries of a daemon to one engine with the given layers, as listed at a revision.
+func listEntry(c *clock.Manual, d *daemon, revision uint64, layers spanrill.LayerRange) {
+	value, err := json.Marshal(spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Layers: layers, Revision: revision})
 	if err != nil {
 		panic(err)
 	}
-	d.table.Listed([]spanrill.Item{{Name: "e", Value: value}}, at, c.Now())
+	d.table.Listed([]spanrill.Item{{Name: "e", Value: value}}, revision, c.Now())
 }
 
 // Entries of upstreams are fetched from a peer, and what its requests hold there counts until
@@ -163,7 +166,7 @@
 	here.exchange.Round(context.Background())
 	u := here.table.View().ByID("e")
 	if u == nil || u.Tokens() != 700 {
-		t.Fatalf("upstream %v", u)
+		t.Fatalf("upstream %v, want one with the 700 tokens that the peer holds", u)
 	}
 	wire.silent = true
 	c.Advance(newsTTL + 1)
@@ -180,13 +183,13 @@
 	old, next := spanrill.LayerRange{From: 0, To: 4}, spanrill.LayerRange{From: 4, To: 8}
 	listEntry(c, there, 9, old)
 	listEntry(c, here, 9, old)
-	there.placement, there.targets["e"] = true, fleet.Target{Layers: next, Done: true}
+	there.holdsPlacement, there.targets["e"] = true, fleet.Target{Layers: next, Done: true}
 	here.exchange.Round(context.Background())
 	u := here.table.View().ByID("e")
 	if u.Layers() != next {
 		t.Fatalf("layers %v, want %v", u.Layers(), next)
 	}
-	there.placement, there.targets = false, nil
+	there.holdsPlacement, there.targets = false, nil
 	c.Advance(3000)
 	here.exchange.Round(context.Background())
 	if u.Layers() != next {
@@ -207,21 +210,21 @@
 		first, next int64 // start time in the entry
 	}{{"entry with a start time", 1000, 2000}, {"entry without a start time", 0, 0}} {
 		t.Run(c.name, func(t *testing.T) {
-			now, here, there, _ := pair(1)
-			held := spanrill.LayerRange{From: 4, To: 8}
-			list := func(d *daemon, at uint64, born int64, beats uint64) {
-				entry := spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Revision: at, StartedAt: born, WriteCount: beats}
-				d.table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{entry}, Revision: at, LastChange: at}, now.Now())
+			clk, here, there, _ := pair(1)
+			layers := spanrill.LayerRange{From: 4, To: 8}
+			list := func(d *daemon, revision uint64, startedAt int64, writeCount uint64) {
+				entry := spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1", Revision: revision, StartedAt: startedAt, WriteCount: writeCount}
+				d.table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{entry}, Revision: revision, LastChange: revision}, clk.Now())
 			}
 			list(there, 9, c.first, 7)
 			list(here, 9, c.first, 7)
-			there.placement, there.targets[there.table.View().ByAddr("1:1").ID()] = true, fleet.Target{Layers: held, Done: true}
+			there.holdsPlacement, there.targets[there.table.View().ByAddr("1:1").ID()] = true, fleet.Target{Layers: layers, Done: true}
 			here.exchange.Round(context.Background())
-			if got := here.table.View().ByAddr("1:1").Layers(); got != held {
-				t.Fatalf("layers %v, want %v", got, held)
+			if got := here.table.View().ByAddr("1:1").Layers(); got != layers {
+				t.Fatalf("layers %v, want %v", got, layers)
 			}
-			there.placement = false
-			now.Advance(300)
+			there.holdsPlacement = false
+			clk.Advance(300)
 			list(here, 12, c.next, 1)
 			here.exchange.Round(context.Background())
 			if got := here.table.View().ByAddr("1:1").Layers(); got.Len() != 0 {
@@ -231,7 +234,7 @@
 	}
 }
 
-// Retries made by a peer reduce the budget here, which is half of what is left of 0.95 x 200.
+// Retries made by a peer reduce the budget here, which is half of what the peer left of 0.95 x 200.
 func TestRetriesOfPeerReduceBudget(t *testing.T) {
 	c, here, there, _ := pair(1)
 	here.exchange.Round(context.Background())
@@ -272,7 +275,7 @@
 	c, _, there, wire := pair(1)
 	both := stuckPeers{peer: wire, release: make(chan struct{})}
 	here := newDaemon(c, "here", both)
-	there.take(5, 50, c.Now())
+	there.setConfig(5, 50, c.Now())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -283,14 +286,14 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the round waits for the silent peer")
+		t.Error("no news of the answering peer while another one is silent")
 	}
 	close(both.release)
 	<-ended
 }
 
-// A daemon that the store does not answer reports that. Peers take it for silent until it
-// reports otherwise, or until there has been no news of it for newsTTL.
+// A daemon that the store does not answer reports that to its peers. The report counts until the
+// daemon reports otherwise, or until there has been no news of it for newsTTL.
 func TestStoreSilenceIsReported(t *testing.T) {
 	c := clock.NewManual()
 	p := &peer{clock: c, latency: 1}
@@ -306,14 +309,14 @@
 		d.exchange.Round(context.Background())
 		c.Advance(step.wait)
 		if got := d.exchange.PeerStoreSilent("peer"); got != step.want {
-			t.Fatalf("reported silence %t, %d ms ago: considered silent %t", step.silent, step.wait, got)
+			t.Fatalf("peer reported silence of the store %t, %d ms ago: PeerStoreSilent returns %t, want the opposite", step.silent, step.wait, got)
 		}
 	}
 }
 
 // A daemon learns from a peer for how long the store has answered. Slow answers make that time
 // look shorter, never longer.
-func TestStoreAnsweredIsLearntFromPeer(t *testing.T) {
+func TestStoreAvailabilityIsLearnedFromPeer(t *testing.T) {
 	c, here, there, wire := pair(200)
 	listEntry(c, there, 9, spanrill.LayerRange{From: 0, To: 4})
 	wire.silent = true
@@ -325,6 +328,6 @@
 	before := there.table.StoreAvailableFor()
 	here.exchange.Round(context.Background())
 	if got := here.table.StoreAvailableFor(); got > before+200 || got < before {
-		t.Fatalf("the store has answered for %d ms here, %d ms at the peer", got, before)
+		t.Fatalf("the store has answered for %d ms as known here, want %d ms, as known to the peer, or up to 200 ms more", got, before)
 	}
 }
--- a/coordination/exchange/fetch.go
+++ b/coordination/exchange/fetch.go
@@ -16,7 +16,7 @@
 // syncConfig fetches a peer's configuration if it is newer. Peers that are asked concurrently
 // usually have the same one, so fetches run one at a time: several large messages at once would
 // fill a slow link.
-func (e *Exchange) syncConfig(ctx context.Context, m peermsg.Member, revision uint64) error {
+func (e *Exchange) syncConfig(ctx context.Context, member peermsg.Member, revision uint64) error {
 	if e.state.Config.Handled(revision) {
 		return nil
 	}
@@ -27,11 +27,12 @@
 	if e.state.Config.Handled(revision) {
 		return nil
 	}
-	return e.fetchConfig(ctx, m)
+	return e.fetchConfig(ctx, member)
 }
 
-// syncEntries does the same for the entries of upstreams.
-func (e *Exchange) syncEntries(ctx context.Context, m peermsg.Member, news *peermsg.News, sent spanrill.Millis) error {
+// syncEntries fetches a peer's entries of upstreams if they are newer, also one fetch at a time.
+// sent is when the request for the news was sent.
+func (e *Exchange) syncEntries(ctx context.Context, member peermsg.Member, news *peermsg.News, sent spanrill.Millis) error {
 	upToDate := func() bool {
 		return news.UpstreamsRevision == 0 || e.state.Fleet.ConfirmUnchanged(news.UpstreamsRevision, news.UpstreamsLastChange, sent-news.UpstreamsAge)
 	}
@@ -45,7 +46,7 @@
 	if upToDate() {
 		return nil
 	}
-	return e.fetchEntries(ctx, m)
+	return e.fetchEntries(ctx, member)
 }
 
 // acquireFetch waits until no other large fetch is running.
@@ -60,15 +61,16 @@
 
 func (e *Exchange) releaseFetch() { <-e.fetchSlot }
 
-// fetchEntries fetches newer entries of upstreams from a peer.
-func (e *Exchange) fetchEntries(ctx context.Context, m peermsg.Member) error {
+// fetchEntries fetches from a peer the entries of upstreams that have changed since those known
+// here, or all of them.
+func (e *Exchange) fetchEntries(ctx context.Context, member peermsg.Member) error {
 	sent := e.clock.Now()
-	var r peermsg.Entries
+	var reply peermsg.Entries
 	req := &peermsg.EntriesRequest{Since: e.state.Fleet.Revision()}
-	if err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindEntries), req, &r); err != nil {
+	if err := e.peers.Ask(ctx, member.PeerAddr, uint8(peermsg.KindEntries), req, &reply); err != nil {
 		return err
 	}
-	value, err := unpack(r.Packed)
+	value, err := unpack(reply.Packed)
 	if err != nil {
 		return err
 	}
@@ -77,28 +79,28 @@
 		return err
 	}
 	e.state.Fleet.Merge(fleet.Update{
-		Entries: list.Entries, Revision: r.Revision, LastChange: r.LastChange, Unreadable: list.Unreadable, Since: r.Since, Removed: list.Removed,
-	}, sent-r.Age)
+		Entries: list.Entries, Revision: reply.Revision, LastChange: reply.LastChange, Unreadable: list.Unreadable, Since: reply.Since, Removed: list.Removed,
+	}, sent-reply.Age)
 	return nil
 }
 
 // fetchConfig fetches a newer configuration from a peer.
-func (e *Exchange) fetchConfig(ctx context.Context, m peermsg.Member) error {
-	var c peermsg.RouteConfig
-	if err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindRouteConfig), nil, &c); err != nil {
+func (e *Exchange) fetchConfig(ctx context.Context, member peermsg.Member) error {
+	var reply peermsg.RouteConfig
+	if err := e.peers.Ask(ctx, member.PeerAddr, uint8(peermsg.KindRouteConfig), nil, &reply); err != nil {
 		return err
 	}
-	value, err := unpack(c.Value)
+	value, err := unpack(reply.Value)
 	var config *spanrill.RouteConfig
 	if err == nil {
 		config, err = e.state.Decode(value)
 	}
 	if err != nil {
-		events.ConfigRejected.Log(e.log, logrus.Fields{"peer": m.Name, "revision": c.Revision, "error": err})
+		events.ConfigRejected.Log(e.log, logrus.Fields{"peer": member.Name, "revision": reply.Revision, "error": err})
 		return err
 	}
-	if e.state.Config.Update(routes.New(config), value, c.Revision) {
-		events.ConfigFromPeer.Log(e.log, logrus.Fields{"peer": m.Name, "revision": c.Revision, "config": config.Version})
+	if e.state.Config.Update(routes.New(config), value, reply.Revision) {
+		events.ConfigFromPeer.Log(e.log, logrus.Fields{"peer": member.Name, "revision": reply.Revision, "config": config.Version})
 	}
 	return nil
 }
--- a/coordination/exchange/loans.go
+++ b/coordination/exchange/loans.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// maxLenders is how many daemons are asked for a loan, one after the other. After the loss of
-	// an engine in ten, about a third of the daemons have no retry to lend.
+	// maxLenders is how many daemons are asked for a loan, one after the other. When one engine in
+	// ten is lost, about a third of the daemons have no retry to lend.
 	maxLenders = 4
-	// loanTimeout bounds one such request: many times a round trip of 1 ms between availability
-	// zones. A stream that waits for a retry makes no progress.
+	// loanTimeout bounds one request for a loan: many times a round trip of 1 ms between
+	// availability zones. It is short, because the stream that needs the retry waits for it.
 	loanTimeout spanrill.Millis = 20
 )
 
-// Borrow asks a few random daemons, those of the own availability zone first, to give up retries
-// of a service, and returns how many they gave.
+// Borrow asks up to maxLenders random daemons, those of its own availability zone first, for retries
+// from their budgets for a service, until it has as many as wanted. It returns how many they lent.
 func (e *Exchange) Borrow(ctx context.Context, service string, want float64) float64 {
 	got, asked := 0.0, 0
 	for _, m := range e.lenders() {
@@ -37,7 +37,7 @@
 }
 
 // borrowFrom asks one daemon for retries. A loan that is negative or larger than requested is
-// rejected, because it would change the sum of all daemons' parts.
+// rejected, because it would change the sum of all daemons' budgets.
 func (e *Exchange) borrowFrom(ctx context.Context, m peermsg.Member, service string, want float64) float64 {
 	ctx, cancel := context.WithTimeout(ctx, loanTimeout.Duration())
 	defer cancel()
@@ -52,17 +52,18 @@
 	return loan.Retries
 }
 
-// lenders returns the daemons to ask, in this order.
+// lenders returns up to maxLenders random daemons in the order in which to ask them: those that
+// did not answer their last request come last, otherwise this daemon's availability zone comes first.
 func (e *Exchange) lenders() []peermsg.Member {
 	others, zone := e.peers.Others(), e.state.Zone
 	for i := len(others) - 1; i > 0; i-- {
-		k := e.random.IntN(i + 1)
-		others[i], others[k] = others[k], others[i]
+		j := e.random.IntN(i + 1)
+		others[i], others[j] = others[j], others[i]
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	sort.SliceStable(others, func(i, k int) bool {
-		a, b := others[i], others[k]
+	sort.SliceStable(others, func(i, j int) bool {
+		a, b := others[i], others[j]
 		if e.unresponsive[a.Name] != e.unresponsive[b.Name] {
 			return e.unresponsive[b.Name]
 		}
--- a/coordination/exchange/loans_test.go
+++ b/coordination/exchange/loans_test.go
@@ -52,10 +52,10 @@
 			from := &lender{peer: wire, loan: c.loan, fails: c.fails}
 			here.exchange.peers = from
 			if got := here.exchange.Borrow(context.Background(), "s", 2); got != c.want {
-				t.Fatalf("%v retries, want %v", got, c.want)
+				t.Fatalf("borrowed %v retries, want %v", got, c.want)
 			}
 			if !c.fails && (len(from.asked) != 1 || from.asked[0].Service != "s" || from.asked[0].Want != 2) {
-				t.Fatalf("requested %+v", from.asked)
+				t.Fatalf("the peer received %+v, want one request for 2 retries of service s", from.asked)
 			}
 		})
 	}
@@ -78,12 +78,12 @@
 	}
 	got := there.exchange.Lend(&peermsg.LoanRequest{Service: "s", Want: math.Inf(1)}).Retries
 	if left := there.budgets.Of("s").Remaining(); got <= 0 || got > 2 || left != before-got {
-		t.Fatalf("lent %v of %v, %v left", got, before, left)
+		t.Fatalf("lent %v of %v retries, %v left; want more than 0 and up to 2 lent, and the rest left", got, before, left)
 	}
 }
 
-func seedsIf(seeded bool) []string {
-	if seeded {
+func testSeeds(hasSeeds bool) []string {
+	if hasSeeds {
 		return []string{"seed"}
 	}
 	return nil
@@ -97,16 +97,16 @@
 // A daemon with seeds that has heard of no other daemon does not consider the fleet's size
 // known until seedWait is over.
 func TestFleetSizeWithoutPeers(t *testing.T) {
-	for _, seeded := range []bool{false, true} {
+	for _, hasSeeds := range []bool{false, true} {
 		c, here, _, wire := pair(1)
-		e := New(noPeers{wire}, State{Name: "here", Seeds: seedsIf(seeded), Config: here.config, Fleet: here.table, Budgets: here.budgets, Suspects: suspect.New(c)}, c, here.exchange.log, here.exchange.random)
+		e := New(noPeers{wire}, State{Name: "here", Seeds: testSeeds(hasSeeds), Config: here.config, Fleet: here.table, Budgets: here.budgets, Suspects: suspect.New(c)}, c, here.exchange.log, here.exchange.random)
 		c.Advance(settleTime)
-		if e.FleetSizeKnown() == seeded {
-			t.Errorf("seeded %v: fleet size known after %d ms alone", seeded, settleTime)
+		if e.FleetSizeKnown() == hasSeeds {
+			t.Errorf("with seeds %v: fleet size known after %d ms alone, want known only without seeds", hasSeeds, settleTime)
 		}
 		c.Advance(seedWait)
 		if !e.FleetSizeKnown() {
-			t.Errorf("seeded %v: fleet size not known after %d ms alone", seeded, settleTime+seedWait)
+			t.Errorf("with seeds %v: fleet size not known after %d ms alone, want known", hasSeeds, settleTime+seedWait)
 		}
 	}
 }
--- a/coordination/exchange/orders.go
+++ b/coordination/exchange/orders.go
@@ -7,8 +7,8 @@
 )
 
 // orders is what the holder of the placement lease is ordering engines to hold, with the
-// sequence of each change. A first layout orders thousands of engines within seconds, so daemons
-// that know the rest receive the changes only.
+// sequence of each change. Daemons that know earlier orders receive only the changes since, because
+// a first layout orders thousands of engines within seconds.
 type orders struct {
 	sequence     uint64                   // increases with each change
 	droppedSince uint64                   // all drops after this sequence are in dropped
@@ -22,13 +22,13 @@
 	sequence uint64
 }
 
-// knownOrders identifies how far a daemon knows the orders, and of which holder.
+// knownOrders is the sequence up to which a daemon knows the orders of a lease holder.
 type knownOrders struct {
 	holder   string
 	sequence uint64
 }
 
-// maxDropped bounds the recorded drops: a third more than the engines of the design size.
+// maxDropped bounds the recorded drops: a third more than the engines of the largest planned fleet.
 const maxDropped = 4800
 
 // set replaces the targets, and increases the sequence if any of them changes.
@@ -72,40 +72,41 @@
 	}
 }
 
-// writeChanges adds to a message what a daemon lacks that knows the orders up to a sequence, or
-// all of them if that is 0.
-func (o *orders) writeChanges(p *peermsg.Placement, known uint64) {
-	p.Sequence = o.sequence
+// writeChanges writes the orders into a message for a daemon that knows them up to the sequence
+// known: the changes since, or all orders if known is 0 or older than the recorded drops.
+func (o *orders) writeChanges(msg *peermsg.Placement, known uint64) {
+	msg.Sequence = o.sequence
 	if known >= o.droppedSince {
-		p.Since = min(known, o.sequence)
+		msg.Since = min(known, o.sequence)
 	}
 	for key, t := range o.targets {
-		if t.sequence > p.Since {
-			p.Targets = append(p.Targets, peermsg.Target{Upstream: key, From: t.target.Layers.From, To: t.target.Layers.To, Reached: t.target.Done})
+		if t.sequence > msg.Since {
+			msg.Targets = append(msg.Targets, peermsg.Target{Upstream: key, From: t.target.Layers.From, To: t.target.Layers.To, Reached: t.target.Done})
 		}
 	}
 	for key, sequence := range o.dropped {
-		if sequence > p.Since && p.Since > 0 {
-			p.Dropped = append(p.Dropped, key)
+		if sequence > msg.Since && msg.Since > 0 {
+			msg.Dropped = append(msg.Dropped, key)
 		}
 	}
 }
 
 // applyChanges applies a message with all orders or with changes, from the holder or passed on
-// by another daemon. It returns false if the message is older or leaves a gap.
-func (o *orders) applyChanges(p *peermsg.Placement) bool {
+// by another daemon. It returns false if the message is older than the known orders, or lacks
+// changes between them and its own.
+func (o *orders) applyChanges(msg *peermsg.Placement) bool {
 	switch {
-	case p.Since > o.sequence || p.Sequence < o.sequence:
+	case msg.Since > o.sequence || msg.Sequence < o.sequence:
 		return false
-	case p.Since == 0:
-		*o = orders{droppedSince: p.Sequence}
+	case msg.Since == 0:
+		*o = orders{droppedSince: msg.Sequence}
 	}
-	for _, t := range p.Targets {
-		o.put(t.Upstream, fleet.Target{Layers: spanrill.LayerRange{From: t.From, To: t.To}, Done: t.Reached}, p.Sequence)
+	for _, t := range msg.Targets {
+		o.put(t.Upstream, fleet.Target{Layers: spanrill.LayerRange{From: t.From, To: t.To}, Done: t.Reached}, msg.Sequence)
 	}
-	for _, key := range p.Dropped {
-		o.drop(key, p.Sequence)
+	for _, key := range msg.Dropped {
+		o.drop(key, msg.Sequence)
 	}
-	o.sequence = max(o.sequence, p.Sequence)
+	o.sequence = max(o.sequence, msg.Sequence)
 	return true
 }
--- a/coordination/exchange/orders_test.go
+++ b/coordination/exchange/orders_test.go
@@ -22,8 +22,8 @@
 	return out
 }
 
-// A daemon that applies changes from several daemons, in any order, ends up with the holder's
-// orders.
+// A daemon that applies the changes of another one has the same orders afterwards, whether they come
+// from the holder or from a daemon that passes them on.
 func TestOrderChangesConverge(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
@@ -62,7 +62,7 @@
 	var msg peermsg.Placement
 	holder.writeChanges(&msg, 1)
 	if other.applyChanges(&msg) || len(other.targets) != 0 {
-		t.Fatalf("applied %v after %d", other.targetsByKey(), msg.Since)
+		t.Fatalf("targets %v after changes since %d were applied, want none", other.targetsByKey(), msg.Since)
 	}
 }
 
@@ -70,7 +70,7 @@
 // daemons in 24 s while 2,922 engines were ordered.
 func TestKnownOrdersAreNotResent(t *testing.T) {
 	c, here, there, _ := pair(1)
-	there.placement = true
+	there.holdsPlacement = true
 	for _, e := range manyEntries(2922).Entries {
 		there.targets[e.ID] = fleet.Target{Layers: e.Layers}
 	}
@@ -86,7 +86,7 @@
 	here.exchange.mergePlacement(there.exchange.placementNews(knownOrders{}), c.Now())
 	c.Advance(ownRefreshInterval)
 	if again := size(); again > 200 || first < 20_000 {
-		t.Fatalf("%d bytes for all orders and %d once they are known", first, again)
+		t.Fatalf("%d bytes for all orders and %d once they are known, want at least 20000 and at most 200", first, again)
 	}
 	keys := map[uint32]bool{}
 	for id := range there.targets {
@@ -97,12 +97,12 @@
 	}
 }
 
-// Guards against receiving the same orders from four peers in each round. One peer sends them;
-// the answers of the others still show that the holder is alive. An older report of the holder
+// Guards against receiving the same orders from four peers in each round. Only one peer sends them.
+// The answers of the others still show that the holder is alive, and an older report of the holder
 // still delivers orders that are not known yet.
 func TestOrdersComeFromOnePeer(t *testing.T) {
 	c, here, there, _ := pair(1)
-	there.placement = true
+	there.holdsPlacement = true
 	there.targets["e1"] = targetTo(1)
 	here.exchange.mergePlacement(there.exchange.placementNews(knownOrders{}), c.Now())
 	there.targets["e2"] = targetTo(2)
@@ -112,7 +112,7 @@
 	c.Advance(ownRefreshInterval)
 	brief := there.exchange.placementNews(known)
 	if len(brief.Targets) != 0 || len(full.Targets) != 1 {
-		t.Fatalf("%d and %d orders sent, want 0 and 1", len(brief.Targets), len(full.Targets))
+		t.Fatalf("%d orders sent to a daemon that skips them and %d to another, want 0 and 1", len(brief.Targets), len(full.Targets))
 	}
 	here.exchange.mergePlacement(brief, c.Now())
 	if p := &here.exchange.placement; p.reportedAt != c.Now() || len(p.orders.targets) != 1 {
--- a/coordination/exchange/packed.go
+++ b/coordination/exchange/packed.go
@@ -13,8 +13,8 @@
 	"spanrill/protocol/peermsg"
 )
 
-// packedCache caches a large value in the form that peers fetch: encoded and compressed once per
-// version, and once per earlier revision for which peers request the changes.
+// packedCache caches a large value in the form that peers fetch, encoded and compressed: the whole
+// value of one version, and the changes since each revision that peers have asked for.
 type packedCache struct {
 	mu      sync.Mutex
 	version uint64
@@ -60,8 +60,8 @@
 // platform's store, and three times the entries of 3,600 engines.
 const maxUnpacked = 2 << 20
 
-// RouteConfig answers a peer's request for the configuration. One of 250 routes takes 52 KB,
-// which is 21 ms on the slowest links, and a tenth of that compressed.
+// RouteConfig answers a peer's request for the configuration. A configuration of 250 routes takes
+// 52 KB, which is 21 ms on the slowest links; compressed it takes a tenth of that.
 func (e *Exchange) RouteConfig() *peermsg.RouteConfig {
 	revision := e.state.Config.Revision()
 	v, err := e.packedConfig.get(revision, 0, func() ([]byte, uint64, error) { return e.state.Config.Raw(), 0, nil })
@@ -73,21 +73,21 @@
 }
 
 // Entries answers a peer's request for the entries of upstreams with those that have changed, or
-// with all if the peer has none or lags too far. Encoding all 1,001 entries for each request
-// takes 1 ms of a core and 158 KB; compressed once they take 22 KB (BenchmarkEntries). In a
-// starting fleet all daemons ask a seed within half a second.
+// with all if the peer has none or lags too far. They are cached in compressed form, because in a
+// starting fleet all daemons ask a seed within half a second: encoding 1,001 entries takes 1 ms of
+// a core and 158 KB for each request, and compressed they take 22 KB (BenchmarkEntries).
 func (e *Exchange) Entries(req *peermsg.EntriesRequest) *peermsg.Entries {
-	at, change, age := e.state.Fleet.Freshness()
-	v, err := e.packedEntries.get(change, req.Since, func() ([]byte, uint64, error) {
-		k := e.state.Fleet.UpdateSince(req.Since)
-		plain, err := peermsg.Encode(&peermsg.EntryList{Entries: k.Entries, Unreadable: k.Unreadable, Removed: k.Removed})
-		return plain, k.Since, err
+	revision, lastChange, age := e.state.Fleet.Freshness()
+	v, err := e.packedEntries.get(lastChange, req.Since, func() ([]byte, uint64, error) {
+		update := e.state.Fleet.UpdateSince(req.Since)
+		plain, err := peermsg.Encode(&peermsg.EntryList{Entries: update.Entries, Unreadable: update.Unreadable, Removed: update.Removed})
+		return plain, update.Since, err
 	})
 	if err != nil {
 		events.FrameRefused.Log(e.log, logrus.Fields{"kind": peermsg.KindEntries, "error": err})
 		return &peermsg.Entries{}
 	}
-	return &peermsg.Entries{Packed: v.value, Revision: at, LastChange: change, Age: age, Since: v.after}
+	return &peermsg.Entries{Packed: v.value, Revision: revision, LastChange: lastChange, Age: age, Since: v.after}
 }
 
 func pack(value []byte) ([]byte, error) {
--- a/coordination/exchange/packed_test.go
+++ b/coordination/exchange/packed_test.go
@@ -11,22 +11,22 @@
 
 // manyEntries returns the entries of n engines.
 func manyEntries(n int) fleet.Update {
-	k := fleet.Update{Revision: 9, LastChange: 9}
+	update := fleet.Update{Revision: 9, LastChange: 9}
 	for i := range n {
-		k.Entries = append(k.Entries, spanrill.EngineEntry{
+		update.Entries = append(update.Entries, spanrill.EngineEntry{
 			ID: fmt.Sprintf("i-%010x", i*7919), Service: "advice", Addr: fmt.Sprintf("10.1.%d.%d:8120", i/250, i%250), Zone: fmt.Sprint("zone-", i%3),
 			Kind: "small", Slots: 192, Layers: spanrill.LayerRange{From: i % 70, To: i%70 + 9}, Revision: uint64(1000 + i), WriteCount: uint64(i % 60),
 		})
 	}
-	return k
+	return update
 }
 
 // Entries are encoded once per version, and decode to what was encoded.
 func TestEntriesArePackedOnce(t *testing.T) {
 	_, here, there, _ := pair(1)
 	there.table.Merge(manyEntries(40), 0)
-	whole := &peermsg.EntriesRequest{}
-	first, again := there.exchange.Entries(whole), there.exchange.Entries(whole)
+	req := &peermsg.EntriesRequest{}
+	first, again := there.exchange.Entries(req), there.exchange.Entries(req)
 	if &first.Packed[0] != &again.Packed[0] {
 		t.Error("entries were encoded twice")
 	}
@@ -42,27 +42,27 @@
 // A peer that knows all entries receives a single change alone, not all 2,922 entries in 66 KB.
 func TestSingleChangeIsSentAlone(t *testing.T) {
 	c, here, there, _ := pair(1)
-	k := manyEntries(2922)
-	k.Revision, k.LastChange = 5000, 5000
-	there.table.Merge(k, c.Now())
+	update := manyEntries(2922)
+	update.Revision, update.LastChange = 5000, 5000
+	there.table.Merge(update, c.Now())
 	ask := func() *peermsg.Entries {
 		return there.exchange.Entries(&peermsg.EntriesRequest{Since: here.table.Revision()})
 	}
-	whole := len(ask().Packed)
+	allSize := len(ask().Packed)
 	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil {
 		t.Fatal(err)
 	}
-	k.Entries[7].Layers, k.Entries[7].Revision = spanrill.LayerRange{From: 40, To: 44}, 5001
-	there.table.Merge(fleet.Update{Entries: k.Entries[7:8], Revision: 5001, LastChange: 5001, Since: 5000, Removed: []string{k.Entries[9].ID}}, c.Now())
-	if one := len(ask().Packed); one > 200 {
-		t.Errorf("one change takes %d bytes, all entries %d", one, whole)
+	update.Entries[7].Layers, update.Entries[7].Revision = spanrill.LayerRange{From: 40, To: 44}, 5001
+	there.table.Merge(fleet.Update{Entries: update.Entries[7:8], Revision: 5001, LastChange: 5001, Since: 5000, Removed: []string{update.Entries[9].ID}}, c.Now())
+	if changeSize := len(ask().Packed); changeSize > 200 {
+		t.Errorf("one change takes %d bytes, want at most 200; all entries take %d", changeSize, allSize)
 	}
 	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil {
 		t.Fatal(err)
 	}
 	view := here.table.View()
-	if u := view.ByID(k.Entries[7].ID); u.Layers() != k.Entries[7].Layers || view.ByID(k.Entries[9].ID) != nil || len(view.ByService("advice")) != 2921 {
-		t.Errorf("layers %v, %d upstreams", u.Layers(), len(view.ByService("advice")))
+	if u := view.ByID(update.Entries[7].ID); u.Layers() != update.Entries[7].Layers || view.ByID(update.Entries[9].ID) != nil || len(view.ByService("advice")) != 2921 {
+		t.Errorf("layers %v, %d upstreams; want the changed layers, and 2921 upstreams without the removed one", u.Layers(), len(view.ByService("advice")))
 	}
 }
 
@@ -73,8 +73,8 @@
 	there.table.Merge(manyEntries(1001), 0)
 	b.Run("encoded each time", func(b *testing.B) {
 		for b.Loop() {
-			k := there.table.FullUpdate()
-			data, _ := peermsg.Encode(&peermsg.EntryList{Entries: k.Entries})
+			update := there.table.FullUpdate()
+			data, _ := peermsg.Encode(&peermsg.EntryList{Entries: update.Entries})
 			b.ReportMetric(float64(len(data)), "bytes")
 		}
 	})
--- a/coordination/exchange/placement.go
+++ b/coordination/exchange/placement.go
@@ -8,10 +8,10 @@
 	"spanrill/state/fleet"
 )
 
-// placement is what the holder of the placement lease reported, and when.
+// placement is the last report of the holder of the placement lease, with its time.
 type placement struct {
 	holder       string           // name of the daemon, or "" if unknown
-	reportedAt   spanrill.Millis  // at or before the time of the report
+	reportedAt   spanrill.Millis  // from its age: too early by the delay of an answer, too late by that of a request
 	leaseVersion spanrill.Version // version of the lease, or "" if the holder acts without one
 	leaseLeft    spanrill.Millis  // remaining time of the lease at the report
 	slow         []peermsg.Slowdown
@@ -19,15 +19,16 @@
 }
 
 const (
-	// placementTTL is how long a report of the holder is valid in a fleet whose daemons ask all
-	// others in every round: a few rounds.
+	// placementTTL is how long a report of the holder is valid in a small fleet, whose daemons ask
+	// all others in every round: a few rounds.
 	placementTTL = spanrill.Second
 	// ownRefreshInterval is the shortest time between two updates of the holder's own report,
 	// however many peers ask: a fifth of a round.
 	ownRefreshInterval spanrill.Millis = roundInterval / 5
 )
 
-// isFresh reports whether a report of the holder is recent enough to be used.
+// isFresh reports whether a report of the holder is recent enough to be used. In a large fleet it may
+// be older than placementTTL by the additional rounds that it takes up and down the trees.
 func (e *Exchange) isFresh(p *placement) bool {
 	return p.holder != "" && e.clock.Now()-p.reportedAt < placementTTL+2*(e.BroadcastTime()-roundInterval)
 }
@@ -41,33 +42,35 @@
 }
 
 // mergePlacement merges a report of the lease holder, received from the holder itself or from
-// another daemon. From a new holder it accepts only a full report that is newer.
+// another daemon. From a new holder it accepts only a full report that is newer. sent is when the
+// report was requested, or when it arrived with a request.
 func (e *Exchange) mergePlacement(report *peermsg.Placement, sent spanrill.Millis) {
 	if report == nil || report.Holder == e.state.Name {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p, at := &e.placement, sent-report.Age
+	p, reportedAt := &e.placement, sent-report.Age
 	switch {
 	case report.Holder == p.holder:
 		p.orders.applyChanges(report)
-	case at <= p.reportedAt || report.Since > 0:
+	case reportedAt <= p.reportedAt || report.Since > 0:
 		return // the next request states which orders are known here
 	default:
 		p.orders = orders{}
 		p.orders.applyChanges(report)
 	}
-	if at <= p.reportedAt {
+	if reportedAt <= p.reportedAt {
 		return
 	}
-	p.holder, p.reportedAt, p.leaseVersion, p.leaseLeft, p.slow = report.Holder, at, report.LeaseVersion, report.LeaseLeft, report.Slow
+	p.holder, p.reportedAt, p.leaseVersion, p.leaseLeft, p.slow = report.Holder, reportedAt, report.LeaseVersion, report.LeaseLeft, report.Slow
 	if report.LeaseLeft > report.Age {
 		e.state.Lease.RecordExpiry(report.LeaseVersion, report.LeaseLeft-report.Age)
 	}
 }
 
-// clearPlacement clears the known lease holder if that peer no longer reports to hold the lease.
+// clearPlacement clears the known lease holder if it is the named peer, which no longer reports that
+// it holds the lease. sent is when that peer was asked.
 func (e *Exchange) clearPlacement(name string, sent spanrill.Millis) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,9 +79,9 @@
 	}
 }
 
-// knownOrdersFor returns what this daemon knows of the orders, for a request to a peer. In a
-// large fleet only the first recipient is asked for order changes while the holder's report is
-// fresh.
+// knownOrdersFor returns the orders that a request to a peer states as known here, so that the peer
+// sends only later ones. In a large fleet only the first recipient is asked for order changes while
+// the holder's report is fresh.
 func (e *Exchange) knownOrdersFor(to recipient) knownOrders {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,7 +95,7 @@
 // skipOrdersSequence is the sequence in a request that asks for no orders.
 const skipOrdersSequence = math.MaxUint64
 
-// ordersKnownBy returns what a peer knew of the orders when it last answered.
+// ordersKnownBy returns which orders a peer knew when it last answered.
 func (e *Exchange) ordersKnownBy(peer string) knownOrders {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,8 +112,9 @@
 	e.peerOrders[peer] = knownOrders{holder: report.Holder, sequence: report.Sequence}
 }
 
-// placementNews returns the placement report for a daemon with the given knowledge: this
-// daemon's own if it holds the lease, otherwise the last one of the holder if that is fresh.
+// placementNews returns the placement report for a daemon that knows the given orders: this
+// daemon's own report if it holds the lease, otherwise the holder's last one, or nil if that is not
+// fresh.
 func (e *Exchange) placementNews(known knownOrders) *peermsg.Placement {
 	isHolder := e.state.HoldsPlacement()
 	if isHolder {
@@ -156,8 +160,8 @@
 	p.orders.set(targets)
 }
 
-// applyPaces sets how slow engines are, as reported by the lease holder, which asks all engines
-// from time to time. The caller must hold e.mu.
+// applyPaces sets the pace of the engines that the lease holder reports as slow, and clears that of
+// the others. The holder asks all engines from time to time. The caller must hold e.mu.
 func (e *Exchange) applyPaces() {
 	if !e.isFresh(&e.placement) {
 		return
--- a/coordination/exchange/sums.go
+++ b/coordination/exchange/sums.go
@@ -20,16 +20,16 @@
 
 // childSum is the subtree sum that a child last sent.
 type childSum struct {
-	sum sum
-	at  spanrill.Millis
+	sum        sum
+	receivedAt spanrill.Millis
 }
 
 // fleetTotal is the sum over all daemons, and the part of this daemon in it.
 type fleetTotal struct {
-	sum     sum
-	own     sum // as sent to the parent
-	at      spanrill.Millis
-	unnamed *unnamedUses // uses in other availability zones, or nil if sum names all upstreams
+	sum       sum
+	own       sum             // as last sent to the parent
+	addedUpAt spanrill.Millis // when the root added it up, or somewhat earlier
+	unnamed   *unnamedUses    // uses in other availability zones, or nil if sum names all upstreams
 }
 
 // sum is a peermsg.Sum in a form that can be added up.
@@ -48,9 +48,9 @@
 // add adds another sum multiplied by a factor.
 func (s *sum) add(other sum, factor int64) {
 	s.daemons += other.daemons * int(factor)
-	for id, u := range other.uses {
-		old := s.uses[id]
-		s.uses[id] = use{tokens: old.tokens + factor*u.tokens, calls: old.calls + factor*u.calls}
+	for key, u := range other.uses {
+		old := s.uses[key]
+		s.uses[key] = use{tokens: old.tokens + factor*u.tokens, calls: old.calls + factor*u.calls}
 	}
 	for service, c := range other.retries {
 		old := s.retries[service]
@@ -62,8 +62,8 @@
 
 func (s *sum) message() *peermsg.Sum {
 	m := &peermsg.Sum{Daemons: s.daemons}
-	for id, u := range s.uses {
-		m.Uses = append(m.Uses, peermsg.UpstreamUse{Upstream: id, Tokens: u.tokens, Calls: u.calls})
+	for key, u := range s.uses {
+		m.Uses = append(m.Uses, peermsg.UpstreamUse{Upstream: key, Tokens: u.tokens, Calls: u.calls})
 	}
 	for service, c := range s.retries {
 		m.Retries = append(m.Retries, peermsg.RetryCount{Service: service, Requests: c.Requests, Retries: c.Retries, Recent: c.Recent})
@@ -98,8 +98,8 @@
 	return &s
 }
 
-// childSumTTL is how old the sum of a child may be: three rounds, so that one lost request does
-// not matter.
+// childSumTTL is how old the sum of a child may be to be used: three rounds, so that one lost
+// request does not matter.
 const childSumTTL = 3 * roundInterval
 
 // subtreeSum returns the sum over this daemon and its subtree in a tree. The caller must hold
@@ -108,7 +108,7 @@
 	now, total := e.clock.Now(), newSum()
 	total.add(*own, 1)
 	for name, child := range e.sums.children[tree] {
-		if now-child.at > childSumTTL {
+		if now-child.receivedAt > childSumTTL {
 			delete(e.sums.children[tree], name)
 			continue
 		}
@@ -151,7 +151,7 @@
 		if e.sums.children[tree] == nil {
 			e.sums.children[tree] = map[string]childSum{}
 		}
-		e.sums.children[tree][req.Name] = childSum{sum: sumFromMessage(m), at: now}
+		e.sums.children[tree][req.Name] = childSum{sum: sumFromMessage(m), receivedAt: now}
 	}
 }
 
@@ -164,31 +164,32 @@
 	t, own := e.topology(), e.ownSum()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	news := map[int]*peermsg.FleetSum{}
+	sums := map[int]*peermsg.FleetSum{}
 	for tree := range req.SubtreeSums {
 		if tree < 0 || tree >= treeCount {
 			continue
 		}
 		if tree < len(t.ranked) && t.ranked[tree].Name == e.state.Name {
-			e.sums.totals[tree] = fleetTotal{sum: e.subtreeSum(tree, own), own: *own, at: e.clock.Now()}
+			e.sums.totals[tree] = fleetTotal{sum: e.subtreeSum(tree, own), own: *own, addedUpAt: e.clock.Now()}
 		}
 		if total := &e.sums.totals[tree]; total.sum.daemons > 0 {
-			news[tree] = e.fleetSum(total, t.zoneOf(req.Name), slices.Contains(req.SkipUpstreams, tree))
+			sums[tree] = e.fleetSum(total, t.zoneOf(req.Name), slices.Contains(req.SkipUpstreams, tree))
 		}
 	}
-	return news
+	return sums
 }
 
-// mergeFleetSums stores the sums over all daemons from a parent, unless newer ones are known.
-func (e *Exchange) mergeFleetSums(news map[int]*peermsg.FleetSum, sent spanrill.Millis) {
+// mergeFleetSums stores the sums over all daemons that a parent sent, by tree, unless newer ones are
+// known. sent is when the parent was asked.
+func (e *Exchange) mergeFleetSums(sums map[int]*peermsg.FleetSum, sent spanrill.Millis) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for tree, m := range news {
-		if tree < 0 || tree >= treeCount || m == nil || sent-m.Age < e.sums.totals[tree].at {
+	for tree, m := range sums {
+		if tree < 0 || tree >= treeCount || m == nil || sent-m.Age < e.sums.totals[tree].addedUpAt {
 			continue
 		}
 		total := &e.sums.totals[tree]
-		total.sum, total.at, total.unnamed = sumFromMessage(&m.Sum), sent-m.Age, unnamedFromMessage(m)
+		total.sum, total.addedUpAt, total.unnamed = sumFromMessage(&m.Sum), sent-m.Age, unnamedFromMessage(m)
 	}
 }
 
@@ -204,7 +205,7 @@
 	others.add(total.sum, 1)
 	others.add(total.own, -1)
 	others.unnamed = total.unnamed
-	if total.unnamed != nil {
+	if total.unnamed != nil { // drop own uses, negative now, of upstreams that the total does not name
 		maps.DeleteFunc(others.uses, func(key uint32, _ use) bool { _, named := total.sum.uses[key]; return !named })
 	}
 	return others, total.sum.daemons
@@ -215,7 +216,7 @@
 func (e *Exchange) fullestTree(now spanrill.Millis) int {
 	best := -1
 	for tree, total := range e.sums.totals {
-		if total.sum.daemons == 0 || now-total.at > newsTTL || total.unnamed != nil && total.unnamed.noneNamed {
+		if total.sum.daemons == 0 || now-total.addedUpAt > newsTTL || total.unnamed != nil && total.unnamed.noneNamed {
 			continue
 		}
 		if best < 0 || total.sum.daemons > e.sums.totals[best].sum.daemons {
--- a/coordination/exchange/suspects.go
+++ b/coordination/exchange/suspects.go
@@ -13,7 +13,7 @@
 	return SuspectMarks(e.state.Suspects.MarksFor(digest))
 }
 
-// SuspectMarks returns marks in the form in which they are sent.
+// SuspectMarks converts marks to the form in which they are sent to peers.
 func SuspectMarks(marks []suspect.Mark) []peermsg.SuspectMark {
 	out := make([]peermsg.SuspectMark, len(marks))
 	for i, m := range marks {
@@ -22,9 +22,8 @@
 	return out
 }
 
-// MergeSuspects merges marks from a peer. Their ages do not include the time that the message
-// took, which is shorter than the differences between the times at which requests detect the
-// same crash.
+// MergeSuspects merges marks from a peer into this daemon's ledger. It does not add the time that the
+// message took to their ages: requests detect the same crash at times that differ by more.
 func (e *Exchange) MergeSuspects(received []peermsg.SuspectMark) {
 	marks := make([]suspect.Mark, len(received))
 	for i, m := range received {
--- a/coordination/exchange/tree.go
+++ b/coordination/exchange/tree.go
@@ -11,7 +11,7 @@
 	"spanrill/protocol/peermsg"
 )
 
-// treeCount is the number of trees over all daemons. Their roots are the first daemons in the
+// treeCount is the number of trees over all daemons. Their roots are the first daemons in rank, the
 // order in which daemons ask the platform's store. With two trees, news still arrives when one
 // root is unreachable.
 const treeCount = 2
@@ -19,7 +19,7 @@
 // recipient is a daemon to ask in a round.
 type recipient struct {
 	member     peermsg.Member
-	trees      []int // numbers of the trees in which it is the parent of this daemon
+	trees      []int // numbers of the trees in which it is this daemon's parent
 	skipOrders bool  // do not ask it for placement orders
 }
 
@@ -55,43 +55,43 @@
 	defer e.mu.Unlock()
 	parents, holder := e.fixedPeers(t)
 	out := make([]recipient, 0, askedPerRound)
-	add := func(at int) {
-		m := t.ranked[at]
+	add := func(rank int) {
+		m := t.ranked[rank]
 		out = append(out, recipient{member: m, trees: parents[m.Name], skipOrders: len(out) > 0})
 	}
-	for at, m := range t.ranked {
+	for rank, m := range t.ranked {
 		if m.Name != e.state.Name && (len(parents[m.Name]) > 0 || m.Name == holder) {
-			add(at)
+			add(rank)
 		}
 	}
 	n := askedPerRound * (1 + min(maxLateRounds, e.state.LateRounds()))
 	for _, pool := range [][]int{t.sameZone, t.otherZones} {
-		for _, at := range e.leastRecentlyAsked(t, pool, n-len(out), out) {
-			add(at)
+		for _, rank := range e.leastRecentlyAsked(t, pool, n-len(out), out) {
+			add(rank)
 		}
 	}
 	return out
 }
 
 // leastRecentlyAsked returns the ranks of up to n daemons of a pool that were asked least
-// recently, without those that are recipients already. Ties are broken at random. The caller
+// recently and are not among the recipients chosen already. Ties are broken at random. The caller
 // must hold e.mu.
 func (e *Exchange) leastRecentlyAsked(t *topology, pool []int, n int, chosen []recipient) []int {
 	var out []int
 	for range n {
 		best, ties := -1, 0
-		for _, at := range pool {
-			name := t.ranked[at].Name
-			if slices.Contains(out, at) || slices.ContainsFunc(chosen, func(t recipient) bool { return t.member.Name == name }) {
+		for _, rank := range pool {
+			name := t.ranked[rank].Name
+			if slices.Contains(out, rank) || slices.ContainsFunc(chosen, func(r recipient) bool { return r.member.Name == name }) {
 				continue
 			}
 			switch {
 			case best < 0 || e.askedAt[name] < e.askedAt[t.ranked[best].Name]:
-				best, ties = at, 1
+				best, ties = rank, 1
 			case e.askedAt[name] == e.askedAt[t.ranked[best].Name]:
 				ties++
 				if e.random.IntN(ties) == 0 {
-					best = at
+					best = rank
 				}
 			}
 		}
@@ -103,16 +103,16 @@
 	return out
 }
 
-// topology describes the trees as this daemon sees them. It is rebuilt when a daemon joins or
-// leaves.
+// topology describes the trees over the daemons that this daemon knows. It is rebuilt when a daemon
+// joins or leaves.
 type topology struct {
 	ranked     []peermsg.Member
 	selfRank   int   // index of this daemon in ranked, or -1
 	sameZone   []int // indexes of the other daemons in this daemon's availability zone
 	otherZones []int // indexes of all other daemons
 	depth      int   // levels of a tree
-	// zoneMembers are the names of the daemons in this daemon's availability zone, in the order of
-	// each tree. zoneRanks are the indexes of this daemon among them.
+	// zoneMembers are, for each tree, the names of the daemons in this daemon's availability zone in
+	// the order of that tree. zoneRanks are the indexes of this daemon among them.
 	zoneMembers [treeCount][]string
 	zoneRanks   [treeCount]int
 }
@@ -137,13 +137,13 @@
 	if t.selfRank >= 0 {
 		zone = ranked[t.selfRank].Zone
 	}
-	for at, m := range ranked {
+	for rank, m := range ranked {
 		switch {
-		case at == t.selfRank:
+		case rank == t.selfRank:
 		case m.Zone == zone:
-			t.sameZone = append(t.sameZone, at)
+			t.sameZone = append(t.sameZone, rank)
 		default:
-			t.otherZones = append(t.otherZones, at)
+			t.otherZones = append(t.otherZones, rank)
 		}
 	}
 	for tree := range t.zoneMembers {
@@ -175,7 +175,7 @@
 	maps.DeleteFunc(e.peerOrders, func(name string, _ knownOrders) bool { return !names[name] })
 }
 
-// setUnresponsive records whether a peer failed to answer the last request.
+// setUnresponsive records whether a peer failed to answer this daemon's last request.
 func (e *Exchange) setUnresponsive(name string, unresponsive bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -221,9 +221,9 @@
 	if root == e.state.Name {
 		return ""
 	}
-	for at := t.zoneRanks[tree]; at > 0; {
-		at = (at - 1) / fanout
-		if name := t.zoneMembers[tree][at]; !e.unresponsive[name] {
+	for index := t.zoneRanks[tree]; index > 0; {
+		index = (index - 1) / fanout
+		if name := t.zoneMembers[tree][index]; !e.unresponsive[name] {
 			return name
 		}
 	}
@@ -235,7 +235,7 @@
 	return slices.IndexFunc(ranked, func(m peermsg.Member) bool { return m.Name == name })
 }
 
-// broadcastRounds returns in how many rounds news from a root reaches all daemons.
+// broadcastRounds returns how many rounds news takes from a root to all daemons.
 func (e *Exchange) broadcastRounds() int {
 	if e.otherCount.Load() <= fanout {
 		return 1
@@ -243,12 +243,12 @@
 	return int(max(1, e.depth.Load()))
 }
 
-// settleTime is how long no daemon must have joined before the size of the fleet counts as
-// known: three gossip rounds of the members.
+// settleTime is how long the fleet must go without a new daemon before its size counts as known:
+// three gossip rounds of the members.
 const settleTime spanrill.Millis = 1500
 
-// seedWait is how long a daemon with seeds that has heard of no other daemon still expects them
-// to start: longer than it takes all of them.
+// seedWait is how long a daemon that has seeds but knows no other daemon waits before it assumes that
+// it is alone: longer than all daemons take to start.
 const seedWait = 5 * spanrill.Second
 
 // FleetSizeKnown reports whether this daemon knows how many others there are.
@@ -279,7 +279,7 @@
 	return roundInterval * spanrill.Millis(e.broadcastRounds())
 }
 
-// AggregationRounds returns in how many rounds the figures of every other daemon arrive.
+// AggregationRounds returns how many rounds the figures of every other daemon take to arrive.
 func (e *Exchange) AggregationRounds() int {
 	if e.otherCount.Load() <= fanout {
 		return 1
--- a/coordination/exchange/tree_test.go
+++ b/coordination/exchange/tree_test.go
@@ -14,14 +14,14 @@
 
 // network is a fleet of daemons that call each other without sockets.
 type network struct {
-	clock   *clock.Manual
-	members []peermsg.Member
-	daemons map[string]*daemon
-	cut     map[string]bool
-	fetches atomic.Int64 // of the configuration
+	clock       *clock.Manual
+	members     []peermsg.Member
+	daemons     map[string]*daemon
+	unreachable map[string]bool
+	fetches     atomic.Int64 // of the configuration
 }
 
-// endpoint is the network as one daemon reaches it.
+// endpoint connects one daemon to the others of the network.
 type endpoint struct {
 	*network
 	name string
@@ -40,7 +40,7 @@
 }
 
 func (e endpoint) Ask(ctx context.Context, addr string, kind uint8, req, reply any) error {
-	if e.cut[addr] || e.cut[e.name] {
+	if e.unreachable[addr] || e.unreachable[e.name] {
 		return errSilent
 	}
 	if kind == uint8(peermsg.KindRouteConfig) {
@@ -56,13 +56,13 @@
 			return err
 		}
 	}
-	return (&peer{clock: e.clock, exchange: e.daemons[addr].exchange, asked: &asked}).Ask(ctx, addr, kind, req, reply)
+	return (&peer{clock: e.clock, exchange: e.daemons[addr].exchange, newsRequest: &asked}).Ask(ctx, addr, kind, req, reply)
 }
 
-// newNetwork returns a fleet in which each daemon knows one engine, and holds tokensOf(i)
-// tokens there.
+// newNetwork returns a fleet of n daemons that all know one engine. Daemon i holds tokensOf(i) tokens
+// there.
 func newNetwork(n int) *network {
-	net := &network{clock: clock.NewManual(), daemons: map[string]*daemon{}, cut: map[string]bool{}}
+	net := &network{clock: clock.NewManual(), daemons: map[string]*daemon{}, unreachable: map[string]bool{}}
 	net.clock.Advance(100_000)
 	for i := range n {
 		name := fmt.Sprintf("daemon-%03d", i)
@@ -93,10 +93,10 @@
 // while the first daemon in rank is unreachable.
 func TestNewsReachesAllDaemons(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		daemons int
-		cut     []int // ranks of unreachable daemons
-		holder  int
+		name        string
+		daemons     int
+		unreachable []int // ranks of unreachable daemons
+		holder      int
 	}{
 		{"small", 8, nil, 5},
 		{"two levels", 71, nil, 60},
@@ -110,26 +110,26 @@
 			for i := range n.members {
 				total += tokensOf(i)
 			}
-			for _, rank := range c.cut {
-				n.cut[n.members[rank].Name] = true
+			for _, rank := range c.unreachable {
+				n.unreachable[n.members[rank].Name] = true
 				total -= tokensOf(rank)
 			}
-			reader := n.daemons[n.members[len(c.cut)%2].Name] // first reachable in rank
+			reader := n.daemons[n.members[len(c.unreachable)%2].Name] // a reachable root
 			holder := n.daemons[n.members[c.holder].Name]
-			holder.placement = true
+			holder.holdsPlacement = true
 			holder.targets["e"] = fleet.Target{Layers: spanrill.LayerRange{From: 4, To: 8}}
 			n.runRounds(4 * holder.exchange.broadcastRounds()) // detects unreachable daemons and fills all sums
-			reader.take(5, 50, n.clock.Now())
+			reader.setConfig(5, 50, n.clock.Now())
 			n.runRounds(holder.exchange.broadcastRounds() + 1)
-			n.expect(t, total, int64(c.daemons-len(c.cut)))
+			n.expectConverged(t, total, int64(c.daemons-len(c.unreachable)))
 		})
 	}
 }
 
-func (n *network) expect(t *testing.T, total, alive int64) {
+func (n *network) expectConverged(t *testing.T, total, alive int64) {
 	t.Helper()
 	for i, m := range n.members {
-		if n.cut[m.Name] {
+		if n.unreachable[m.Name] {
 			continue
 		}
 		d := n.daemons[m.Name]
@@ -148,20 +148,20 @@
 	}
 }
 
-// However large the fleet, no daemon has more than fanout children in each tree.
-func TestQuestionsDoNotGrowWithTheFleet(t *testing.T) {
+// In a fleet of 350 daemons, none is the parent of more than treeCount*fanout others.
+func TestTreeChildrenAreBounded(t *testing.T) {
 	n := newNetwork(350)
-	askedBy := map[string]int{}
+	childCounts := map[string]int{}
 	for _, m := range n.members {
-		for _, target := range n.daemons[m.Name].exchange.recipients() {
-			if len(target.trees) > 0 {
-				askedBy[target.member.Name]++
+		for _, to := range n.daemons[m.Name].exchange.recipients() {
+			if len(to.trees) > 0 {
+				childCounts[to.member.Name]++
 			}
 		}
 	}
-	for name, times := range askedBy {
-		if times > treeCount*fanout {
-			t.Errorf("%s has %d children", name, times)
+	for name, count := range childCounts {
+		if count > treeCount*fanout {
+			t.Errorf("%s has %d children, want at most treeCount*fanout", name, count)
 		}
 	}
 }
@@ -171,12 +171,12 @@
 func TestConfigIsFetchedOnce(t *testing.T) {
 	n := newNetwork(8)
 	for _, m := range n.members[1:] {
-		n.daemons[m.Name].take(5, 50, n.clock.Now())
+		n.daemons[m.Name].setConfig(5, 50, n.clock.Now())
 	}
 	behind := n.daemons[n.members[0].Name]
 	behind.exchange.Round(context.Background())
 	_ = behind.exchange.askTasks.Wait() // errors of silent peers do not matter
 	if got := n.fetches.Load(); got != 1 || behind.config.Revision() != 50 {
-		t.Fatalf("%d fetches, revision %d", got, behind.config.Revision())
+		t.Fatalf("%d fetches and revision %d, want 1 and 50", got, behind.config.Revision())
 	}
 }
--- a/coordination/exchange/zones.go
+++ b/coordination/exchange/zones.go
@@ -17,8 +17,8 @@
 // which is 16 KB/s at four rounds a second, the budget for control traffic.
 const maxNamedUses = 400
 
-// briefMaxAge is how old the sum of the tree in use may be while the other tree is asked for a
-// sum without upstreams. It leaves time for two requests before the sum expires.
+// briefMaxAge is the age of the sum of the tree in use up to which the other tree is asked only for
+// a sum without upstreams. It leaves time for two requests before the sum expires.
 const briefMaxAge = newsTTL - 2*roundInterval
 
 // unnamedUses is what requests hold at the upstreams that a sum does not name.
@@ -30,8 +30,8 @@
 // zoneService identifies the upstreams of a service in one availability zone.
 type zoneService struct{ zone, service string }
 
-// unnamedFromMessage returns what a message reports of upstreams that it does not name, or nil
-// if it names all.
+// unnamedFromMessage returns the totals in a message for upstreams that it does not name, or nil if
+// it names all.
 func unnamedFromMessage(m *peermsg.FleetSum) *unnamedUses {
 	if !m.OtherZonesUnnamed && !m.NoneNamed {
 		return nil
@@ -43,13 +43,14 @@
 	return unnamed
 }
 
-// fleetSum returns a sum over all daemons for a daemon of an availability zone. The caller must
-// hold e.mu.
+// fleetSum returns the sum over all daemons for a child in an availability zone. It names all
+// upstreams if few are in use. Otherwise it names those of that zone, or none if brief or if total
+// does not name them. The caller must hold e.mu.
 func (e *Exchange) fleetSum(total *fleetTotal, zone string, brief bool) *peermsg.FleetSum {
-	m := &peermsg.FleetSum{Age: e.clock.Now() - total.at}
+	m := &peermsg.FleetSum{Age: e.clock.Now() - total.addedUpAt}
 	switch {
 	case brief && (total.unnamed != nil || len(total.sum.uses) > maxNamedUses),
-		total.unnamed != nil && zone != e.state.Zone: // it names upstreams of this daemon's zone only
+		total.unnamed != nil && zone != e.state.Zone: // total names upstreams of this daemon's zone only
 		m.Sum = *(&sum{daemons: total.sum.daemons, retries: total.sum.retries}).message()
 		m.NoneNamed = true
 	case total.unnamed != nil:
@@ -65,7 +66,8 @@
 	return m
 }
 
-// writeZoneSum writes a sum that names only the upstreams of one availability zone.
+// writeZoneSum writes a sum that names only the upstreams of one availability zone, with a total per
+// service for each other zone.
 func (e *Exchange) writeZoneSum(m *peermsg.FleetSum, total sum, zone string) {
 	view, named := e.state.Fleet.View(), sum{daemons: total.daemons, uses: map[uint32]use{}, retries: total.retries}
 	unnamed := map[zoneService]use{}
@@ -84,12 +86,12 @@
 	}
 }
 
-// briefTrees returns the trees that are asked for a sum without upstreams: when sums are large,
-// one tree suffices while its sum is fresh. The caller must hold e.mu.
+// briefTrees returns which of the given trees are asked for a sum without upstreams: when sums are
+// large, one tree suffices while its sum is fresh. The caller must hold e.mu.
 func (e *Exchange) briefTrees(trees []int) []int {
 	now := e.clock.Now()
 	used := e.fullestTree(now)
-	if used < 0 || e.sums.totals[used].unnamed == nil || now-e.sums.totals[used].at > briefMaxAge {
+	if used < 0 || e.sums.totals[used].unnamed == nil || now-e.sums.totals[used].addedUpAt > briefMaxAge {
 		return nil
 	}
 	return slices.DeleteFunc(slices.Clone(trees), func(tree int) bool { return tree == used })
@@ -97,14 +99,14 @@
 
 // zoneOf returns the availability zone of a daemon, or "" if it is not a member.
 func (t *topology) zoneOf(name string) string {
-	if at := rankOf(t.ranked, name); at >= 0 {
-		return t.ranked[at].Zone
+	if rank := rankOf(t.ranked, name); rank >= 0 {
+		return t.ranked[rank].Zone
 	}
 	return ""
 }
 
-// applyUnnamed sets each upstream of other availability zones to its share of what requests hold
-// there. The caller must hold e.mu.
+// applyUnnamed sets the peer load of each upstream in other availability zones to its share of the
+// zone's total. The caller must hold e.mu.
 func (e *Exchange) applyUnnamed(unnamed *unnamedUses) {
 	view := e.state.Fleet.View()
 	shares := zoneShares(view, unnamed, e.state.Zone)
@@ -123,7 +125,8 @@
 	e.applied.zoneShares, e.applied.viewVersion = shares, view.Version()
 }
 
-// zoneShares returns the share of each upstream in other zones, by zone and service.
+// zoneShares returns the share of a single upstream in the total of its zone and service, for all
+// zones but the given one.
 func zoneShares(view *fleet.View, unnamed *unnamedUses, zone string) map[zoneService]use {
 	if unnamed == nil {
 		return nil
@@ -145,7 +148,7 @@
 	return shares
 }
 
-// servicesOf returns the services of the given shares and of those applied before.
+// servicesOf returns the services of the given shares and of the shares applied before.
 func (e *Exchange) servicesOf(shares map[zoneService]use) []string {
 	var services []string
 	for _, m := range []map[zoneService]use{shares, e.applied.zoneShares} {
@@ -158,11 +161,12 @@
 	return services
 }
 
-// shareChangeDivisor sets the change from which shares are applied again: more than 1 part in
-// shareChangeDivisor. Path estimates depend on how full an engine is, in tenths.
+// shareChangeDivisor sets by how much a share must change for shares to be applied again: by more
+// than 1/shareChangeDivisor. Smaller changes hardly matter, because path estimates depend on how full
+// an engine is in tenths.
 const shareChangeDivisor = 16
 
-// sharesDiffer reports whether shares differ by enough to apply them again.
+// sharesDiffer reports whether shares differ enough to be applied again.
 func sharesDiffer(a, b map[zoneService]use) bool {
 	if len(a) != len(b) {
 		return true
--- a/coordination/exchange/zones_test.go
+++ b/coordination/exchange/zones_test.go
@@ -13,9 +13,9 @@
 // daemon has requests at upstreams of its own zone.
 func newBusyNetwork(daemons, upstreams int) *network {
 	n := newNetwork(daemons)
-	k := fleet.Update{Revision: 20, LastChange: 20}
+	update := fleet.Update{Revision: 20, LastChange: 20}
 	for i := range upstreams {
-		k.Entries = append(k.Entries, spanrill.EngineEntry{
+		update.Entries = append(update.Entries, spanrill.EngineEntry{
 			ID: fmt.Sprintf("u%04d", i), Service: "s", Addr: fmt.Sprint("u", i), Zone: fmt.Sprint("zone-", i%3), Kind: "card",
 			Layers: spanrill.LayerRange{From: 0, To: 8}, Revision: 20,
 		})
@@ -23,7 +23,7 @@
 	for i, m := range n.members {
 		d := n.daemons[m.Name]
 		d.exchange.state.Zone = m.Zone
-		d.table.Merge(k, n.clock.Now())
+		d.table.Merge(update, n.clock.Now())
 		for j := i; j < upstreams; j += len(n.members) {
 			d.table.View().ByID(fmt.Sprintf("u%04d", j)).Reserve(busyTokens(j % 3))
 		}
@@ -37,7 +37,7 @@
 func (n *network) expectBusyTokens(t *testing.T, upstreams int) {
 	t.Helper()
 	for _, m := range n.members {
-		if n.cut[m.Name] {
+		if n.unreachable[m.Name] {
 			continue
 		}
 		for j := range upstreams {
@@ -52,7 +52,7 @@
 
 // Guards against sums that name all upstreams of a large fleet in both trees: with 2,922 engines
 // a daemon that sends them to eight children exceeds its link of 20 Mbit/s. When many upstreams
-// are in use, a daemon receives those of its own zone and averages for the others.
+// are in use, a daemon receives the uses of those in its own zone, and averages for the others.
 func TestLargeSumsNameUpstreamsOfOneZone(t *testing.T) {
 	const upstreams = 3 * maxNamedUses
 	n := newBusyNetwork(99, upstreams) // upstream i is used by a daemon of its zone
@@ -74,12 +74,12 @@
 			t.Fatalf("%s received %d bytes and the upstreams of %d trees, want 1 tree, error %v", m.Name, len(data), named, err)
 		}
 	}
-	n.cut[n.members[0].Name] = true // the root of the tree in use
+	n.unreachable[n.members[0].Name] = true // the root of the tree in use
 	n.runRounds(int(newsTTL/roundInterval) + rounds)
 	for _, m := range n.members[1:] {
 		u := n.daemons[m.Name].table.View().ByID("u0001")
 		if u.Tokens() == 0 {
-			t.Fatalf("%s has no tokens of other daemons while a root is unreachable", m.Name)
+			t.Fatalf("%s counts no tokens of other daemons while a root is unreachable", m.Name)
 		}
 	}
 }
