--- a/coordination/suspect/content.go
+++ b/coordination/suspect/content.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Content identifies what a caller asks for. A repeated request has the same content under another
-// request id, on any daemon.
+// Content is a hash that identifies what a caller asks for. A repeated request has the same content on
+// any daemon, also under another request id.
 type Content uint64
 
 // ContentOf returns the content of a request: the client account or "", the host, the path with
--- a/coordination/suspect/keeper.go
+++ b/coordination/suspect/keeper.go
@@ -13,10 +13,10 @@
 	"spanrill/events"
 )
 
-// Keeper stores the contents that are withheld or proved, so that they survive a restart of all
-// daemons: callers repeat their requests afterwards, and each daemon would let these crash further
-// engines. One daemon at a time does this. While nothing changes, it makes one call to the store,
-// when it becomes active.
+// Keeper keeps the contents that are withheld or proved in the store, so that they survive a restart
+// of all daemons. Callers repeat their requests afterwards, which would crash more engines otherwise.
+// One daemon at a time is active. It makes one call to the store when it becomes active, and further
+// ones only when marks change.
 type Keeper struct {
 	ledger   *Ledger
 	store    spanrill.ObjectStore
@@ -27,7 +27,7 @@
 
 	loaded        bool
 	version       spanrill.Version
-	writtenDigest uint64          // of the marks in the store
+	writtenDigest uint64          // digest of the marks in the store
 	retryAt       spanrill.Millis // no call before this time, after one that failed
 	loadedEra     uint64          // era of the store when the marks were loaded
 }
@@ -44,14 +44,14 @@
 const (
 	// storeKey is the key of the marks in the store.
 	storeKey = "suspects/kept"
-	// syncInterval is the pause between two calls of Sync: new marks are stored within this time.
+	// syncInterval is the pause between two calls of Sync, and so the longest delay of new marks.
 	syncInterval spanrill.Millis = 500
-	// errorBackoff is the pause after a failed call.
+	// errorBackoff is the pause after a failed call to the store.
 	errorBackoff = 2 * spanrill.Second
 )
 
-// storedMark is a mark in the store. Its time is wall-clock time, which stays valid when a daemon
-// and its own clock end.
+// storedMark is a loss in the store. Its time is wall-clock time, because a daemon's own clock does
+// not outlast the daemon.
 type storedMark struct {
 	Content  string          `json:"content"`
 	Upstream uint32          `json:"upstream"`
@@ -84,8 +84,8 @@
 	return ctx.Err()
 }
 
-// Sync loads the stored marks when the keeper becomes active, and writes the marks that have
-// changed since.
+// Sync loads the stored marks into the ledger when the keeper becomes active, and writes the ledger's
+// marks to the store when they have changed. It does nothing while the keeper is not active.
 func (k *Keeper) Sync(ctx context.Context) {
 	if !k.isActive() {
 		k.loaded = false
@@ -138,7 +138,7 @@
 	}
 	var stored storedMarks
 	if err := json.Unmarshal(object.Value, &stored); err != nil {
-		events.SuspectsStoreFailed.Log(k.log, logrus.Fields{"error": fmt.Errorf("decode marks: %w", err)}) // the next write replaces it
+		events.SuspectsStoreFailed.Log(k.log, logrus.Fields{"error": fmt.Errorf("decode marks: %w", err)}) // the next write replaces the value
 	}
 	marks := k.decode(stored)
 	added := k.ledger.Merge(marks)
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// digestOf returns the digest of the given marks alone: the ledger may know more than the store.
+// digestOf returns the digest of the given marks alone. That of the ledger may cover more.
 func (k *Keeper) digestOf(marks []Mark) uint64 {
 	scratch := New(k.clock)
 	scratch.Merge(marks)
@@ -162,8 +162,8 @@
 	return stored
 }
 
-// decode skips marks that cannot be parsed. A mark from the future, as after the wall clock was
-// set back, gets age 0.
+// decode returns the stored marks without those that cannot be parsed. A mark from the future, as
+// after the wall clock was set back, gets age 0.
 func (k *Keeper) decode(stored storedMarks) []Mark {
 	marks := make([]Mark, 0, len(stored.Marks))
 	for _, m := range stored.Marks {
--- a/coordination/suspect/keeper_test.go
+++ b/coordination/suspect/keeper_test.go
@@ -12,35 +12,35 @@
 	"spanrill/clock"
 )
 
-// memoryStore is a store of one object.
+// memoryStore is a store of one object that counts its calls.
 type memoryStore struct {
 	spanrill.ObjectStore
-	object spanrill.Object
-	calls  int
-	down   bool
+	object      spanrill.Object
+	calls       int
+	unavailable bool
 }
 
-func (c *memoryStore) Get(context.Context, string) (spanrill.Object, error) {
-	c.calls++
+func (s *memoryStore) Get(context.Context, string) (spanrill.Object, error) {
+	s.calls++
 	switch {
-	case c.down:
+	case s.unavailable:
 		return spanrill.Object{}, spanrill.ErrUnavailable
-	case c.object.Version == "":
+	case s.object.Version == "":
 		return spanrill.Object{}, spanrill.ErrNotFound
 	}
-	return c.object, nil
+	return s.object, nil
 }
 
-func (c *memoryStore) Put(_ context.Context, _ string, value []byte, expect spanrill.Version) (spanrill.Version, error) {
-	c.calls++
+func (s *memoryStore) Put(_ context.Context, _ string, value []byte, expect spanrill.Version) (spanrill.Version, error) {
+	s.calls++
 	switch {
-	case c.down:
+	case s.unavailable:
 		return "", spanrill.ErrUnavailable
-	case c.object.Version != expect:
+	case s.object.Version != expect:
 		return "", spanrill.ErrConflict
 	}
-	c.object = spanrill.Object{Value: value, Version: spanrill.Version(strconv.Itoa(c.calls))}
-	return c.object.Version, nil
+	s.object = spanrill.Object{Value: value, Version: spanrill.Version(strconv.Itoa(s.calls))}
+	return s.object.Version, nil
 }
 
 func discardLogger() logrus.FieldLogger {
@@ -49,15 +49,15 @@
 	return log
 }
 
-// proveContent records the crash of three upstreams under a content, which proves it.
+// proveContent records the crash of provedThreshold upstreams under a content.
 func proveContent(l *Ledger, c Content, at spanrill.Millis) {
 	for u := range uint32(provedThreshold) {
 		l.RecordLoss(c, Loss{Upstream: u, At: at, Fresh: true})
 	}
 }
 
-// Marks written by one daemon are known to a daemon that starts after all others have ended. A
-// fleet without losses makes one call to the store.
+// A daemon that starts after all others have ended knows the marks that one of them stored. Without
+// losses, a keeper makes one call to the store.
 func TestMarksSurviveRestartOfAllDaemons(t *testing.T) {
 	c, store, ctx := clock.NewManual(), &memoryStore{}, context.Background()
 	always := func() bool { return true }
@@ -68,7 +68,7 @@
 		keeper.Sync(ctx)
 	}
 	if store.calls != 1 {
-		t.Errorf("%d calls without losses, want 1", store.calls)
+		t.Errorf("%d calls to the store without losses, want 1", store.calls)
 	}
 	proveContent(first, 7, c.Now())
 	keeper.Sync(ctx)
@@ -79,8 +79,8 @@
 	}
 }
 
-// No marks are lost when two daemons are active at the same time, when the store is unavailable
-// for a while, or when the stored bytes cannot be decoded.
+// No marks are lost when two daemons are active at the same time and the store is unavailable for a
+// while. Stored bytes that cannot be decoded are overwritten with later marks.
 func TestConcurrentKeepersLoseNoMarks(t *testing.T) {
 	c, store, ctx := clock.NewManual(), &memoryStore{}, context.Background()
 	ledgers := []*Ledger{New(c), New(c)}
@@ -99,15 +99,15 @@
 	syncAll()
 	proveContent(ledgers[0], 1, c.Now())
 	proveContent(ledgers[1], 2, c.Now())
-	store.down = true
+	store.unavailable = true
 	syncAll()
-	store.down = false
+	store.unavailable = false
 	syncAll()
 	next := New(c)
 	k := NewKeeper(next, store, c, discardLogger(), func() bool { return true })
 	k.Sync(ctx)
 	if !next.Begin(1).Check().Proved() || !next.Begin(2).Check().Proved() {
-		t.Error("the store lacks marks of one of the two daemons")
+		t.Error("the store lacks marks of at least one of the two daemons")
 	}
 	store.object.Value = []byte(`{"marks": "none"}`)
 	next = New(c)
@@ -118,7 +118,7 @@
 	after := New(c)
 	NewKeeper(after, store, c, discardLogger(), func() bool { return true }).Sync(ctx)
 	if !after.Begin(3).Check().Proved() {
-		t.Error("no marks are written over bytes that cannot be decoded")
+		t.Error("bytes that cannot be decoded are not replaced by new marks")
 	}
 }
 
--- a/coordination/suspect/ledger.go
+++ b/coordination/suspect/ledger.go
@@ -11,7 +11,7 @@
 type Loss struct {
 	Upstream uint32          // hash of its name
 	At       spanrill.Millis // on the ledger's clock
-	Fresh    bool            // the request had started there at most FreshTime ago, or not yet
+	Fresh    bool            // the first event from there came at most FreshTime before the crash, or never
 }
 
 // loss is a Loss in the ledger.
@@ -20,15 +20,15 @@
 	recordedAt spanrill.Millis // when this daemon recorded it
 }
 
-// contentState is what is known of a content.
+// contentState is what the ledger knows of a content: its losses and its last trial.
 type contentState struct {
 	losses          []loss
-	lastTrial       spanrill.Millis // when it was last tried after being withheld, on any daemon
+	lastTrialAt     spanrill.Millis // when its last trial was sent, by any daemon
 	hasTrial        bool
 	trialRecordedAt spanrill.Millis // when this daemon recorded that trial
 }
 
-// Verdict tells whether a request may be sent.
+// Verdict is the decision whether a request may be sent.
 type Verdict struct {
 	losses     int
 	refused    bool
@@ -54,12 +54,12 @@
 	clock  spanrill.Clock
 	random func() float64 // from 0 to 1
 
-	mu         sync.Mutex
-	suspects   map[Content]*contentState
-	served     *recentlyServed
-	trials     int             // trials in progress on this daemon
-	lastNewsAt spanrill.Millis // when a new loss or trial was last recorded
-	cached     digestCache
+	mu             sync.Mutex
+	suspects       map[Content]*contentState
+	served         *recentlyServed
+	trials         int             // trials in progress on this daemon
+	lastRecordedAt spanrill.Millis // when a new loss or a peer's trial was last recorded
+	cached         digestCache
 }
 
 // digestCache holds the last digest of the contents that are withheld or proved.
@@ -88,7 +88,7 @@
 
 // RecordLoss records that an upstream has crashed under a request, and returns the verdict on the
 // request. Losses of contents that were served recently are ignored: many callers may send the
-// same content, and it did not crash the upstream that answered it.
+// same content, and the upstream that answered one of them did not crash.
 func (l *Ledger) RecordLoss(c Content, lost Loss) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +103,7 @@
 func (l *Ledger) record(c Content, lost Loss, now spanrill.Millis) bool {
 	isNew := l.insert(c, lost, now)
 	if isNew {
-		l.lastNewsAt, l.cached.valid = now, false
+		l.lastRecordedAt, l.cached.valid = now, false
 	}
 	return isNew
 }
@@ -117,7 +117,7 @@
 	}
 	if s == nil {
 		if l.evict(now); len(l.suspects) >= maxContents {
-			return false // all of them are proved
+			return false // all contents are proved, so none was evicted
 		}
 		s = &contentState{}
 		l.suspects[c] = s
@@ -144,8 +144,8 @@
 const maxLosses = 6
 
 // evict makes room when the ledger is full. It removes expired contents, and if that is not
-// enough, those that are not proved and have the oldest losses: an eighth at a time, so that a
-// flood of losses does not sort all contents for each of them. The caller must hold l.mu.
+// enough, unproved contents with the oldest losses. It removes an eighth at a time, because it sorts
+// all contents, and must not do so for each of many losses. The caller must hold l.mu.
 func (l *Ledger) evict(now spanrill.Millis) {
 	if len(l.suspects) < maxContents {
 		return
@@ -155,7 +155,7 @@
 		if s.isExpired(now) {
 			delete(l.suspects, c)
 		} else if !s.isProved() {
-			ages = append(ages, now-s.lastLoss())
+			ages = append(ages, now-s.lastLossAt())
 		}
 	}
 	excess := len(l.suspects) - maxContents*7/8
@@ -165,15 +165,15 @@
 	slices.Sort(ages)
 	minAge := ages[max(0, len(ages)-excess)]
 	for c, s := range l.suspects {
-		if excess > 0 && !s.isProved() && now-s.lastLoss() >= minAge {
+		if excess > 0 && !s.isProved() && now-s.lastLossAt() >= minAge {
 			delete(l.suspects, c)
 			excess--
 		}
 	}
 }
 
-// lastLoss returns the time of the latest loss.
-func (s *contentState) lastLoss() spanrill.Millis {
+// lastLossAt returns the time of the latest loss.
+func (s *contentState) lastLossAt() spanrill.Millis {
 	at := s.losses[0].At
 	for _, lost := range s.losses[1:] {
 		at = max(at, lost.At)
@@ -181,14 +181,13 @@
 	return at
 }
 
-// withheldSince returns the time from which withholdTime counts: the last loss or trial. After a
-// trial without result, as when the upstream has no room, the next one waits as long as after a
-// loss.
+// withheldSince returns the time from which withholdTime counts: the last loss or trial. A trial
+// without a result, such as one that the upstream refused, delays the next one as much as a loss.
 func (s *contentState) withheldSince() spanrill.Millis {
 	if s.hasTrial {
-		return max(s.lastLoss(), s.lastTrial)
+		return max(s.lastLossAt(), s.lastTrialAt)
 	}
-	return s.lastLoss()
+	return s.lastLossAt()
 }
 
 // isExpired reports whether the losses are too old to count.
@@ -197,7 +196,7 @@
 	if s.isProved() {
 		ttl = provedTTL
 	}
-	return now-s.lastLoss() >= ttl
+	return now-s.lastLossAt() >= ttl
 }
 
 func (s *contentState) isProved() bool { return len(s.losses) >= provedThreshold }
@@ -236,27 +235,27 @@
 type Guard struct {
 	ledger  *Ledger
 	content Content
-	trial   bool // the request is the trial of a withheld content; others wait for its end
-	sent    bool
-	sentAt  spanrill.Millis // when it was first sent in its trial
+	isTrial bool            // the request is the trial of a withheld content; other trials wait for its end
+	sent    bool            // the trial was sent to an upstream
+	sentAt  spanrill.Millis // when it was first sent
 }
 
-// Begin starts to track a request that has arrived. The caller must call End.
+// Begin returns a guard for a request that has arrived. The caller must call End on it.
 func (l *Ledger) Begin(c Content) *Guard { return &Guard{ledger: l, content: c} }
 
-// Check returns whether the request may be sent now, for the first time or again. It starts a
-// trial if the content was withheld until now.
+// Check returns the verdict on sending the request now, for the first time or again. If the content
+// was withheld until now, the request becomes its trial.
 func (g *Guard) Check() Verdict {
 	l := g.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	v := l.evaluate(g.content, now, g.trial)
+	v := l.evaluate(g.content, now, g.isTrial)
 	s := l.suspects[g.content]
 	switch {
 	case v.refused || s == nil || !s.isWithheld():
-	case !g.trial:
-		g.trial = true
+	case !g.isTrial:
+		g.isTrial = true
 		l.trials++
 	case g.sent && now-g.sentAt < trialTime:
 		v.refused, v.retryAfter = true, l.jitteredWait(withholdTime)
@@ -268,7 +267,7 @@
 // trial, which must be announced to all daemons at once. In a trial the request goes to one
 // upstream only: after a refusal or a failure there it must not reach another one.
 func (g *Guard) RecordSent() (begins bool) {
-	if !g.trial || g.sent {
+	if !g.isTrial || g.sent {
 		return false
 	}
 	l := g.ledger
@@ -281,35 +280,35 @@
 	return true
 }
 
-// recordTrial records a trial of the content, and reports whether it was new.
-func (s *contentState) recordTrial(at, now spanrill.Millis) bool {
-	if s.hasTrial && at-s.lastTrial < trialMergeWindow {
+// recordTrial records a trial that was sent at a time, and reports whether it was new.
+func (s *contentState) recordTrial(sentAt, now spanrill.Millis) bool {
+	if s.hasTrial && sentAt-s.lastTrialAt < trialMergeWindow {
 		return false
 	}
-	s.hasTrial, s.lastTrial, s.trialRecordedAt = true, at, now
+	s.hasTrial, s.lastTrialAt, s.trialRecordedAt = true, sentAt, now
 	return true
 }
 
 // jitteredWait adds jitter to a caller's wait, so that callers of one content return at different
-// times. Four callers with the same wait returned to four daemons within 72 ms, and two more
-// upstreams crashed.
+// times. Without it, four callers returned to four daemons within 72 ms, and crashed two more
+// upstreams.
 func (l *Ledger) jitteredWait(wait spanrill.Millis) spanrill.Millis {
 	return wait + spanrill.Millis(l.random()*float64(retryAfterJitter))
 }
 
 // End ends the tracking of the request, and its trial if it is one.
 func (g *Guard) End() {
-	if !g.trial {
+	if !g.isTrial {
 		return
 	}
-	g.trial = false
+	g.isTrial = false
 	g.ledger.mu.Lock()
 	defer g.ledger.mu.Unlock()
 	g.ledger.trials--
 }
 
-// evaluate returns the verdict on a content; isTrial tells whether the request is its trial. The
-// caller must hold l.mu.
+// evaluate returns the verdict on a content. A request that is its trial (isTrial) is refused only if
+// the content is proved. The caller must hold l.mu.
 func (l *Ledger) evaluate(c Content, now spanrill.Millis, isTrial bool) Verdict {
 	s := l.suspects[c]
 	if s == nil || s.isExpired(now) {
--- a/coordination/suspect/ledger_test.go
+++ b/coordination/suspect/ledger_test.go
@@ -8,7 +8,7 @@
 	"spanrill/clock"
 )
 
-// event is what happens to a content after a delay.
+// event is a crash under a content, or its complete answer, after a delay.
 type event struct {
 	delay        spanrill.Millis
 	lostUpstream uint32 // upstream that crashes, or 0
@@ -57,7 +57,7 @@
 			}
 			v := l.Begin(7).Check()
 			if v.Refused() != c.refused || v.Proved() != c.proved || v.Refused() && v.RetryAfter() <= 0 {
-				t.Fatalf("refused %t, proved %t, retry after %d ms", v.Refused(), v.Proved(), v.RetryAfter())
+				t.Fatalf("refused %t, proved %t, retry after %d ms; want the verdict of the case, and a Retry-After if refused", v.Refused(), v.Proved(), v.RetryAfter())
 			}
 			if other := l.Begin(8).Check(); other.Refused() {
 				t.Fatal("another request is refused")
@@ -77,7 +77,7 @@
 	c.Advance(withholdTime)
 	first, second := l.Begin(0), l.Begin(1)
 	if first.Check().Refused() || first.Check().Refused() || !second.Check().Refused() {
-		t.Fatal("want one trial, which may continue")
+		t.Fatal("the first trial may not continue, or a second one starts; want one trial that continues")
 	}
 	first.End()
 	if second.Check().Refused() {
@@ -116,10 +116,10 @@
 	}
 }
 
-// A request arrives once a second, at a daemon that has not had it, and crashes the engine that
-// runs it with ten bystanders, two of which were sent there just before. No more than three
-// engines crash, however large the fleet is, and no bystander is refused in the end: none is
-// withheld for longer than the engines need to come back.
+// A request arrives once a second, each time at another daemon if there are several, and crashes the
+// engine that runs it with ten bystanders, two of which have just been sent there. However large the
+// fleet is, provedThreshold engines crash, and no bystander is refused in the end: none is withheld
+// for longer than the engines need to come back.
 func TestLossesOfOneRequestAreBounded(t *testing.T) {
 	for _, n := range []int{1, 7, 73, 300} {
 		t.Run(fmt.Sprint(n, " daemons"), func(t *testing.T) {
@@ -155,9 +155,9 @@
 	}
 }
 
-// A starting daemon learns which requests are withheld or proved long after the last loss, from
-// its peers as well as from the store.
-func TestStartingDaemonLearnsHeldRequests(t *testing.T) {
+// Long after the last loss, a starting daemon learns from its peers as well as from the store which
+// requests are withheld or proved.
+func TestStartingDaemonLearnsBlockedContents(t *testing.T) {
 	f := newTestFleet(2)
 	for u := range uint32(3) {
 		f.daemons[0].RecordLoss(1, Loss{Upstream: u, At: f.clock.Now(), Fresh: true})
@@ -172,30 +172,30 @@
 		}
 	}
 	if marks := f.daemons[0].MarksFor(f.daemons[1].Digest()); len(marks) > 0 {
-		t.Errorf("%d marks are sent to a daemon that knows them", len(marks))
+		t.Errorf("%d marks are sent to a daemon that knows them, want none", len(marks))
 	}
 }
 
 // The ledger, its news and the stored marks are bounded, whatever peers send.
-func TestBounds(t *testing.T) {
+func TestLedgerSizeIsBounded(t *testing.T) {
 	c := clock.NewManual()
 	l := New(c)
 	for i := range 3 * maxContents {
 		l.Merge([]Mark{{Content: Content(i), Upstream: uint32(i), Fresh: true}, {Content: 1, Upstream: uint32(i), Fresh: true}, {Content: 2, Age: -1}})
 	}
 	if n := len(l.suspects); n > maxContents {
-		t.Errorf("%d contents are recorded", n)
+		t.Errorf("%d contents are recorded, want at most maxContents", n)
 	}
 	if sent, stored := len(l.MarksFor(1)), len(l.BlockedMarks()); sent > maxNewsMarks || stored > maxStoredMarks {
-		t.Errorf("%d marks sent and %d stored", sent, stored)
+		t.Errorf("%d marks sent and %d stored, want at most maxNewsMarks and maxStoredMarks", sent, stored)
 	}
 	if n := len(l.suspects[1].losses); n > maxLosses {
-		t.Errorf("%d losses of one content", n)
+		t.Errorf("%d losses of one content, want at most maxLosses", n)
 	}
 }
 
 // The content differs if any part of the request does, or if its parts are divided differently.
-func TestContent(t *testing.T) {
+func TestContentIdentifiesRequest(t *testing.T) {
 	same := ContentOf("a", "h", "/p", []byte("b"))
 	if same != ContentOf("a", "h", "/p", []byte("b")) {
 		t.Fatal("the same request has two contents")
@@ -205,7 +205,7 @@
 		ContentOf("a", "h", "/p", []byte("c")), ContentOf("ah", "", "/p", []byte("b")), ContentOf("a", "h/p", "", []byte("b")),
 	} {
 		if other == same {
-			t.Fatal("two requests have one content")
+			t.Fatal("two different requests have the same content")
 		}
 	}
 }
--- a/coordination/suspect/marks.go
+++ b/coordination/suspect/marks.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	// announceTime is how long a daemon reports a new loss to peers: twelve rounds of news. When
-	// 300 daemons ask four others in each round, all know a loss after four rounds (one run of the
-	// simulation in the tests).
+	// announceTime is how long a daemon reports a new loss to all peers that ask: twelve rounds of
+	// news. When 300 daemons ask four others in each round, all know a loss after four rounds (one
+	// run of the simulation in the tests).
 	announceTime = 3 * spanrill.Second
 	// maxNewsMarks bounds the marks in one answer, and maxStoredMarks those in the store. A mark
 	// takes up to 25 bytes in a message, so an answer grows by at most 12.8 KB.
@@ -29,14 +29,14 @@
 	maxStoredMarks = 512
 )
 
-// MarksFor returns the marks recorded recently. For a peer with a different digest it also returns
-// the losses of all contents that are withheld or proved, whenever they were recorded.
+// MarksFor returns the marks for a peer with the given digest: those recorded recently and, if the
+// digest differs from this ledger's, also all losses of contents that are withheld or proved.
 func (l *Ledger) MarksFor(digest uint64) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	differs := digest != l.digest(now)
-	if !differs && now-l.lastNewsAt >= announceTime {
+	if !differs && now-l.lastRecordedAt >= announceTime {
 		return nil
 	}
 	var marks []Mark
@@ -89,7 +89,7 @@
 }
 
 func (s *contentState) trialMark(c Content, now spanrill.Millis) Mark {
-	return Mark{Content: c, Age: now - s.lastTrial, Trial: true}
+	return Mark{Content: c, Age: now - s.lastTrialAt, Trial: true}
 }
 
 // isBlocked reports whether the content is withheld or proved.
@@ -101,7 +101,7 @@
 	return Mark{Content: c, Upstream: l.Upstream, Age: now - l.At, Fresh: l.Fresh}
 }
 
-// newest sorts marks by age and returns at most the given number of the youngest.
+// newest sorts marks by age and returns the youngest, at most limit.
 func newest(marks []Mark, limit int) []Mark {
 	slices.SortFunc(marks, func(a, b Mark) int { return int(a.Age - b.Age) })
 	return marks[:min(limit, len(marks))]
@@ -139,7 +139,7 @@
 }
 
 // Merge merges marks from another daemon or from the store, and returns how many losses were new.
-// Marks with impossible ages are ignored.
+// It ignores marks with a negative age or one from provedTTL, and marks of contents served recently.
 func (l *Ledger) Merge(marks []Mark) (added int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,14 +159,14 @@
 	return added
 }
 
-// mergeTrial records that another daemon tries a content that this ledger knows. The caller must
-// hold l.mu.
+// mergeTrial records another daemon's trial, if it is recent and this ledger knows the content. The
+// caller must hold l.mu.
 func (l *Ledger) mergeTrial(m Mark, now spanrill.Millis) {
 	s := l.suspects[m.Content]
 	if s == nil || m.Age >= withholdTime {
 		return
 	}
 	if s.recordTrial(now-m.Age, now) {
-		l.lastNewsAt = now
+		l.lastRecordedAt = now
 	}
 }
--- a/coordination/suspect/served.go
+++ b/coordination/suspect/served.go
@@ -5,8 +5,8 @@
 // servedSpan is the shortest time for which a content counts as served recently.
 const servedSpan = 10 * spanrill.Second
 
-// recentlyServed is the set of contents that were answered recently, in two spans of servedSpan.
-// At the 55 requests a second of a daemon in the largest planned fleet it holds 1,100 contents.
+// recentlyServed is the set of contents that were answered in the current and the previous span of
+// servedSpan. At the 55 requests a second of a daemon in the largest planned fleet it holds 1,100.
 type recentlyServed struct {
 	current, previous map[Content]bool
 	currentStart      spanrill.Millis // when the current span began
--- a/coordination/suspect/trial_test.go
+++ b/coordination/suspect/trial_test.go
@@ -9,19 +9,19 @@
 	"spanrill/rng"
 )
 
-// Guards against one trial per daemon instead of one in the fleet. Three upstreams had crashed
-// under a request, and two of these crashes made all six daemons withhold it. 10 s later its
-// callers, which had received the same Retry-After, came to four daemons within 72 ms (at 36.13,
-// 36.16, 36.19 and 36.20 s). Each daemon tried the request, because losses were exchanged but
-// trials were not, and two more upstreams crashed, at 36.26 and 36.28 s.
+// Guards against one trial per daemon instead of one in the fleet. It comes about when daemons
+// exchange losses but not trials: callers with the same Retry-After return to several daemons at
+// once, and each of these starts a trial. In a fleet of six daemons, a request was withheld for 10 s
+// after crashes of three upstreams. Then four callers returned to four daemons within 72 ms (at
+// 36.13, 36.16, 36.19 and 36.20 s), and two more upstreams crashed, at 36.26 and 36.28 s.
 func TestOneTrialAcrossDaemons(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		gap     spanrill.Millis // between two callers
 		callers int
 	}{
-		{"as observed", 24, 4},
-		{"many callers, no further apart than news takes", 5, 40},
+		{"four callers 24 ms apart", 24, 4},
+		{"40 callers 5 ms apart, no further than news takes", 5, 40},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(6)
@@ -40,7 +40,7 @@
 						other.Merge(daemon.ContentMarks(1))
 					}
 				} else if v.RetryAfter() <= 0 {
-					t.Errorf("caller %d: refused %t, retry after %d ms", i, v.Refused(), v.RetryAfter())
+					t.Errorf("caller %d: refused %t, retry after %d ms; want a positive Retry-After", i, v.Refused(), v.RetryAfter())
 				}
 				f.clock.Advance(c.gap)
 			}
@@ -52,7 +52,7 @@
 }
 
 // A trial that its upstream refuses does not go to another one, and the next trial waits as long
-// as after a loss. A trial that has run for trialTime may go to any upstream.
+// as after a loss. After trialTime, a trial may go to another upstream.
 func TestTrialIsSentToOneUpstream(t *testing.T) {
 	startTrial := func() (*clock.Manual, *Ledger, *Guard) {
 		c := clock.NewManual()
@@ -62,7 +62,7 @@
 		c.Advance(withholdTime)
 		guard := l.Begin(1)
 		if guard.Check().Refused() || guard.Check().Refused() {
-			t.Fatal("no trial")
+			t.Fatal("the request is refused after withholdTime, want a trial")
 		}
 		guard.RecordSent()
 		return c, l, guard
@@ -70,12 +70,12 @@
 	c, l, guard := startTrial()
 	c.Advance(5)
 	if !guard.Check().Refused() {
-		t.Error("a refused trial goes to another upstream")
+		t.Error("a trial goes to another upstream within trialTime")
 	}
 	guard.End()
 	c.Advance(withholdTime - 6)
 	if !l.Begin(1).Check().Refused() {
-		t.Error("the next trial starts too early")
+		t.Error("the next trial starts before withholdTime is over")
 	}
 	c.Advance(1)
 	if l.Begin(1).Check().Refused() {
@@ -84,7 +84,7 @@
 	c, _, guard = startTrial()
 	c.Advance(trialTime)
 	if guard.Check().Refused() {
-		t.Error("a trial that has run for trialTime does not continue")
+		t.Error("a trial is still refused after trialTime")
 	}
 }
 
@@ -99,7 +99,7 @@
 	for range 3 {
 		guard := l.Begin(1)
 		if guard.Check().Refused() {
-			t.Fatal("withheld although nothing was sent")
+			t.Fatal("a trial is refused although the previous one was not sent")
 		}
 		guard.End()
 	}
@@ -116,13 +116,13 @@
 	for range 100 {
 		after := l.Begin(1).Check().RetryAfter()
 		if after < withholdTime || after > withholdTime+retryAfterJitter {
-			t.Fatalf("retry after %d ms", after)
+			t.Fatalf("retry after %d ms, want from withholdTime to withholdTime plus retryAfterJitter", after)
 		}
 		perWindow[after/window]++
 	}
 	for at, n := range perWindow {
 		if n > 15 { // 5 on average
-			t.Errorf("%d of 100 callers return in the 100 ms from %s ms", n, fmt.Sprint(at*window))
+			t.Errorf("%d of 100 callers return in the 100 ms from %s ms, want at most 15", n, fmt.Sprint(at*window))
 		}
 	}
 }
