--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -10,10 +10,11 @@
 	"spanrill/state/fleet"
 )
 
-// sendError says why an attempt brought no events.
+// sendError is the failure of an attempt that delivered no event, and tells whether the request may
+// have run.
 type sendError struct {
 	outcome       spanrill.Outcome
-	retry         meter.Retry
+	retryReason   meter.Retry // why the request is sent again, if it is
 	cause         error
 	engineAtFault *fleet.Upstream // engine that refused, or nil
 	misdirected   bool            // the engine does not hold the layers that its entry lists
@@ -27,43 +28,44 @@
 
 // newCallFailure returns the sendError for a call without an answer.
 func newCallFailure(err error) *sendError {
-	failure := &sendError{outcome: spanrill.OutcomeUnknown, retry: meter.RetryCut, cause: err}
+	failure := &sendError{outcome: spanrill.OutcomeUnknown, retryReason: meter.RetryCut, cause: err}
 	var call *spanrill.CallError
 	if errors.As(err, &call) {
 		failure.outcome = call.Outcome()
 		if call.Phase == spanrill.PhaseDial {
-			failure.retry = meter.RetryDial
+			failure.retryReason = meter.RetryDial
 		}
 	}
 	if failedPresendCheck(err) {
-		failure.retry = meter.RetryWithheld
+		failure.retryReason = meter.RetryWithheld
 	}
 	return failure
 }
 
-// newRefusalError returns the sendError for an engine's answer that it did not run the request. The
-// engine at fault may be a later one of the path.
+// newRefusalError returns the sendError for an answer that says that the request was not run. The
+// answer may name a later engine of the path as the cause.
 func (g *generation) newRefusalError(first *fleet.Upstream, head spanrill.UpstreamResponse, status int) *sendError {
 	atFault := first
 	if u := g.relay.Fleet.View().ByAddr(head.FailedAddr); u != nil && head.FailedAddr != "" {
 		atFault = u
 	}
 	return &sendError{
-		outcome: spanrill.OutcomeNotRun, retry: meter.RetryRefused, engineAtFault: atFault,
+		outcome: spanrill.OutcomeNotRun, retryReason: meter.RetryRefused, engineAtFault: atFault,
 		misdirected: status == fasthttp.StatusMisdirectedRequest,
 		cause:       errors.Errorf("engine %s refused with status %d", atFault.ID(), status),
 	}
 }
 
 // recordFailure records a failed attempt for its engines and for the limits on further attempts.
+// The attempt was sent to first, the first engine of its path.
 func (g *generation) recordFailure(first *fleet.Upstream, failure *sendError) {
 	now := g.relay.Clock.Now()
 	switch {
 	case failure.engineAtFault != nil:
 		g.recordRefusal(first, failure, now)
-	case failure.retry == meter.RetryBadToken:
+	case failure.retryReason == meter.RetryBadToken:
 		first.RecordFailure(now)
-	case failure.retry == meter.RetryWithheld:
+	case failure.retryReason == meter.RetryWithheld:
 		g.avoid[first.ID()] = true
 	case g.ctx.Err() == nil && !errors.Is(failure, errStageDead):
 		g.avoid[first.ID()] = true
@@ -77,7 +79,7 @@
 		g.mayHaveRun = true
 		g.ranOn[first.ID()] = true
 	}
-	if failure.retry == meter.RetryDial || failure.retry == meter.RetryWithheld {
+	if failure.retryReason == meter.RetryDial || failure.retryReason == meter.RetryWithheld {
 		g.uncountSend(first)
 	}
 	if spanrill.IsConnectionRefused(failure) {
@@ -85,9 +87,9 @@
 	}
 }
 
-// recordRefusal records a refusal. An engine that refused has not run the request, and the limit on
-// engines counts those that ran it. A stream that has begun may therefore go to another engine
-// instead.
+// recordRefusal records that an engine refused the request, which has therefore not run there. Once
+// the stream has begun, the first engine no longer counts toward the limit on engines, which is for
+// engines that ran the request, so that another one can be used instead.
 func (g *generation) recordRefusal(first *fleet.Upstream, failure *sendError, now spanrill.Millis) {
 	atFault := failure.engineAtFault
 	g.refusals++
@@ -102,25 +104,26 @@
 	}
 }
 
-// uncountSend removes an engine that did not run the request from those to which it counts as sent.
-// An engine that ran the request earlier stays: it counts toward the limit on engines.
+// uncountSend removes an engine that did not run the request from those that count toward the limit
+// on engines. An engine that ran it in an earlier attempt still counts.
 func (g *generation) uncountSend(first *fleet.Upstream) {
 	if !g.ranOn[first.ID()] {
 		delete(g.sentTo, first.ID())
 	}
 }
 
-// misdirectedAvoidTime is how long an engine is avoided that does not hold the layers that its
-// entry lists. The entry is corrected within a heartbeat.
+// misdirectedAvoidTime is how long requests avoid an engine that lacks layers that its entry lists.
+// The entry is corrected within a heartbeat.
 const misdirectedAvoidTime spanrill.Millis = 600
 
-// retryOrRefuse returns nil if a failed attempt is followed by another one, or else a refusal.
+// retryOrRefuse releases a failed attempt and decides what follows. It returns nil if the request
+// is to be sent again, or else the refusal to answer with.
 func (g *generation) retryOrRefuse(err error) *spanrill.Refusal {
 	var failure *sendError
 	if !errors.As(err, &failure) {
 		failure = &sendError{outcome: spanrill.OutcomeUnknown, cause: err}
 	}
-	failed := g.firstEngine
+	failedEngine := g.firstEngine
 	g.release()
 	if failure.outcome != spanrill.OutcomeNotRun {
 		g.mayHaveRun = true
@@ -128,20 +131,21 @@
 	if g.ctx.Err() != nil {
 		return g.endedRefusal(g.mayHaveRun)
 	}
-	if !g.mayRepeat(failure) {
+	if !g.mayRetryChained(failure) {
 		return g.giveUpRefusal(failure)
 	}
-	g.relay.Meters.CountRetry(failure.retry)
-	g.logRetry(failed, failure.retry.String(), failure.outcome, failure.cause)
+	g.relay.Meters.CountRetry(failure.retryReason)
+	g.logRetry(failedEngine, failure.retryReason.String(), failure.outcome, failure.cause)
 	return nil
 }
 
-// mayRepeat reports whether another attempt is allowed.
-func (g *generation) mayRepeat(failure *sendError) bool {
+// mayRetryChained reports whether another attempt is allowed. Unless the engine accepted no
+// connection or was not sent the request, an allowed attempt takes a retry from the budget.
+func (g *generation) mayRetryChained(failure *sendError) bool {
 	if failure.outcome != spanrill.OutcomeNotRun && g.route.Repeat == spanrill.RepeatNever {
 		return false
 	}
-	if failure.retry == meter.RetryDial || failure.retry == meter.RetryWithheld {
+	if failure.retryReason == meter.RetryDial || failure.retryReason == meter.RetryWithheld {
 		return len(g.avoid) <= maxDialTries
 	}
 	if g.sends >= g.route.MaxAttempts+maxExtraSends {
@@ -158,26 +162,27 @@
 	return false
 }
 
-// maxDialTries is the number of engines that may fail to accept a connection before the request is
-// given up.
+// maxDialTries limits the attempts after a failed connection or a failed check before sending: the
+// request is given up once it avoids more than this many engines.
 const maxDialTries = 3
 
-// maxExtraSends is how often a request may be sent beyond its route's limit on engines: again to
-// the same engine on another path, or to another engine after one has terminated.
+// maxExtraSends is how often a request may be sent beyond its route's limit on engines: to the same
+// engine again with another path, or to another engine after one has terminated.
 const maxExtraSends = 2
 
-// allowedFirstEngines returns the engines that may be the first of the next path, or nil if any
-// may. Once the request was sent to as many engines as its route allows, only these are allowed.
+// allowedFirstEngines returns the ids of the engines at which the next path may start, or nil if
+// any may. Once the request has been sent to as many engines as its route allows, only those
+// remain. Terminated engines do not count.
 func (g *generation) allowedFirstEngines() map[string]bool {
-	n := 0
+	live := 0
 	ids := make(map[string]bool, len(g.sentTo))
 	for id, u := range g.sentTo {
 		ids[id] = true
 		if !isTerminated(u) {
-			n++
+			live++
 		}
 	}
-	if n < g.route.MaxAttempts {
+	if live < g.route.MaxAttempts {
 		return nil
 	}
 	return ids
@@ -188,6 +193,7 @@
 // entry was removed, and an engine that does not answer may recover.
 func isTerminated(u *fleet.Upstream) bool { return u.Removed() && u.Dead() }
 
+// giveUpRefusal returns the refusal for a request that is not sent again after the failure.
 func (g *generation) giveUpRefusal(failure *sendError) *spanrill.Refusal {
 	if g.mayHaveRun {
 		return spanrill.NewRefusal(spanrill.ReasonUpstreamFailed, "%v", failure.cause).
--- a/coordination/relay/attempts_test.go
+++ b/coordination/relay/attempts_test.go
@@ -12,9 +12,9 @@
 // only after one of them has terminated. A leaving engine whose entry was removed may still run it.
 func TestLeavingEngineCountsAsSentTo(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		gone, dead bool
-		wantAny    bool // whether the request may go to a third engine
+		name          string
+		removed, dead bool
+		wantAny       bool // whether the request may go to a third engine
 	}{
 		{"both work", false, false, false},
 		{"one does not answer and may recover", false, true, false},
@@ -30,7 +30,7 @@
 				sentTo:  map[string]*fleet.Upstream{"a": a, "b": b},
 			}
 			a.SetDead(c.dead)
-			if c.gone {
+			if c.removed {
 				table.Merge(fleet.Update{Entries: []spanrill.EngineEntry{*b.Entry()}, Revision: 2}, 0)
 			}
 			if got := g.allowedFirstEngines() == nil; got != c.wantAny {
--- a/coordination/relay/brokenattempts.go
+++ b/coordination/relay/brokenattempts.go
@@ -17,7 +17,7 @@
 // brokenAttempts finds out which upstreams have crashed while they ran a request. A broken
 // connection is not enough evidence, because it may have been reset while the upstream works on. An
 // upstream counts as crashed when nothing listens at its address any more, or when it has been
-// started again.
+// restarted.
 type brokenAttempts struct {
 	mu      sync.Mutex
 	pending []brokenAttempt // attempts whose cause of failure is not known yet
@@ -27,24 +27,25 @@
 type brokenAttempt struct {
 	upstream    *fleet.Upstream
 	content     suspect.Content
-	request     string
+	requestID   string
 	brokeAt     spanrill.Millis
 	streamedFor spanrill.Millis // time since the attempt's first event, or 0 before it
 	leaving     bool            // the upstream had announced that it leaves
 }
 
 const (
-	// maxCauseWait is how long the cause of a broken attempt is looked for. The entry of an
-	// upstream that went silent is removed after three missed reports, and a restarted upstream has
-	// a new entry after 3 to 5 s.
+	// maxCauseWait is how long a broken attempt is pending at most. The entry of an upstream that
+	// went silent is removed after three missed reports, and a restarted upstream has a new entry
+	// after 3 to 5 s.
 	maxCauseWait = 10 * spanrill.Second
-	// maxBrokenAttempts is the maximum number of pending broken attempts. It is larger than the
-	// number of requests that a daemon runs concurrently.
+	// maxBrokenAttempts is the maximum number of pending broken attempts. It exceeds the number of
+	// requests that a daemon runs concurrently.
 	maxBrokenAttempts = 2048
 )
 
-// upstreamState reports whether the upstream has crashed or is alive. Both are false while
-// neither is known.
+// upstreamState reports whether the upstream has crashed or is alive. Both are false while neither
+// is known. A leaving upstream that was removed and does not answer counts as alive, because it
+// ends as planned.
 func (a *brokenAttempt) upstreamState() (crashed, alive bool) {
 	u := a.upstream
 	switch {
@@ -59,45 +60,45 @@
 }
 
 // add records a broken attempt and reports whether another one with the same content is pending.
-func (s *brokenAttempts) add(attempt brokenAttempt) (repeated bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	repeated = slices.ContainsFunc(s.pending, func(other brokenAttempt) bool { return other.content == attempt.content })
-	if len(s.pending) < maxBrokenAttempts {
-		s.pending = append(s.pending, attempt)
+func (b *brokenAttempts) add(attempt brokenAttempt) (repeated bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	repeated = slices.ContainsFunc(b.pending, func(other brokenAttempt) bool { return other.content == attempt.content })
+	if len(b.pending) < maxBrokenAttempts {
+		b.pending = append(b.pending, attempt)
 	}
 	return repeated
 }
 
 // take removes the broken attempts whose cause is known, or that are older than maxCauseWait, and
 // returns those whose upstreams have crashed.
-func (s *brokenAttempts) take(now spanrill.Millis) (found []brokenAttempt) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	kept := s.pending[:0]
-	for _, attempt := range s.pending {
+func (b *brokenAttempts) take(now spanrill.Millis) (crashes []brokenAttempt) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	kept := b.pending[:0]
+	for _, attempt := range b.pending {
 		crashed, alive := attempt.upstreamState()
 		switch {
 		case crashed:
-			found = append(found, attempt)
+			crashes = append(crashes, attempt)
 		case !alive && now-attempt.brokeAt < maxCauseWait:
 			kept = append(kept, attempt)
 		}
 	}
-	clear(s.pending[len(kept):])
-	s.pending = kept
-	return found
+	clear(b.pending[len(kept):])
+	b.pending = kept
+	return crashes
 }
 
-// recordBrokenAttempt records that an attempt broke off, or was continued elsewhere, because of the
-// upstream that it was sent to. Later engines of a path are not recorded: when a part of the fleet
-// fails, several of them are lost together. Recording them as well takes 64 streams for the cause
-// of three terminations when engines crash together.
+// recordBrokenAttempt records that an attempt at the upstream broke off or was continued elsewhere.
+// Only the upstream that the attempt was sent to is recorded, and no later engine of its path: when
+// part of a fleet fails, several of them are lost together, and with all of them recorded 64
+// streams were taken for the cause of three terminations.
 //
-// Whether the upstream still accepts connections is tested immediately. Without this test, nine
-// attempts at a call that crashes services crashed four of them at three daemons; with it, at
-// most three. If an attempt with this content broke off before, the result is awaited, because the
-// request must not go to the next upstream if this one has crashed too.
+// It also tests immediately whether the upstream still accepts connections. Without this test, nine
+// attempts at a call that crashes services crashed four of them at three daemons; with it, at most
+// three. If an attempt with the same content broke off before, recordBrokenAttempt waits for the
+// result, because the request must not go to the next upstream if this one has crashed too.
 func (q *request) recordBrokenAttempt(u *fleet.Upstream, streamedFor spanrill.Millis) {
 	if q.brokenOn[u] {
 		return
@@ -108,7 +109,7 @@
 	q.brokenOn[u] = true
 	r := q.relay
 	repeated := r.brokenAttempts.add(brokenAttempt{
-		upstream: u, content: q.content, request: q.head.ID, brokeAt: r.Clock.Now(), streamedFor: streamedFor, leaving: u.Leaving(),
+		upstream: u, content: q.content, requestID: q.head.ID, brokeAt: r.Clock.Now(), streamedFor: streamedFor, leaving: u.Leaving(),
 	})
 	repeated = repeated || r.Suspects.Verdict(q.content).Losses() > 0
 	check := func() {
@@ -134,23 +135,24 @@
 		if verdict.Refused() {
 			r.OnSuspected(attempt.content)
 			events.RequestSuspected.Log(r.Log, logrus.Fields{
-				"content": attempt.content.String(), "request": attempt.request, "losses": verdict.Losses(), "proved": verdict.Proved(),
+				"content": attempt.content.String(), "request": attempt.requestID, "losses": verdict.Losses(), "proved": verdict.Proved(),
 			})
 		}
 		r.failureLog.Log(events.UpstreamCrashed, r.Log, func() logrus.Fields {
 			return logrus.Fields{
-				"upstream": attempt.upstream.ID(), "addr": attempt.upstream.Addr(), "request": attempt.request, "content": attempt.content.String(),
+				"upstream": attempt.upstream.ID(), "addr": attempt.upstream.Addr(), "request": attempt.requestID, "content": attempt.content.String(),
 				"ran_ms": attempt.streamedFor, "found_after_ms": now - attempt.brokeAt,
 			}
 		})
 	}
 }
 
-// nameHash returns a hash that is the same on all daemons. Several starts under one name differ by
-// their times.
+// nameHash returns a hash of the upstream's name, which is the same on all daemons. Losses of an
+// upstream that was restarted under its name are told apart by their times.
 func nameHash(u *fleet.Upstream) uint32 { return uint32(xxhash.Sum64String(u.Name())) }
 
-// requestContent returns the identity of what the request asks for.
+// requestContent returns the content that identifies what the request asks for, for the ledger of
+// suspects.
 func (q *request) requestContent() suspect.Content {
 	account := ""
 	if q.account != nil {
@@ -160,18 +162,18 @@
 	return suspect.ContentOf(account, string(header.Host()), string(header.RequestURI()), q.body)
 }
 
-// checkSuspect returns a refusal if the request is withheld from upstreams because others have
-// crashed while they ran it, or nil.
+// checkSuspect returns a refusal if the request is withheld because upstreams have crashed while
+// they ran it, or nil.
 func (q *request) checkSuspect() *spanrill.Refusal {
-	v := q.guard.Check()
-	if !v.Refused() {
+	verdict := q.guard.Check()
+	if !verdict.Refused() {
 		return nil
 	}
 	reason := spanrill.ReasonSuspected
-	if v.Proved() {
+	if verdict.Proved() {
 		reason = spanrill.ReasonCrashesUpstreams
 	}
-	return spanrill.NewRefusal(reason, "%d upstreams have crashed while running this request", v.Losses()).WithRetryAfter(v.RetryAfter())
+	return spanrill.NewRefusal(reason, "%d upstreams have crashed while running this request", verdict.Losses()).WithRetryAfter(verdict.RetryAfter())
 }
 
 // isSuspectRefusal reports whether a refusal was made by checkSuspect.
@@ -182,7 +184,7 @@
 // recordServed records that an upstream has answered the request completely.
 func (q *request) recordServed() { q.relay.Suspects.RecordServed(q.content) }
 
-// streamingTime returns how long events have arrived from the running attempt.
+// streamingTime returns the time since the first event of the running attempt, or 0 before it.
 func (g *generation) streamingTime() spanrill.Millis {
 	if g.firstEventAt == 0 {
 		return 0
--- a/coordination/relay/callers.go
+++ b/coordination/relay/callers.go
@@ -10,8 +10,8 @@
 	"spanrill/transport/httpcall"
 )
 
-// callerConns holds the connections of running requests. A fasthttp handler is not told when its
-// caller disconnects, so the connections are checked at intervals.
+// callerConns holds the connections of running requests. It checks them at intervals, because
+// fasthttp does not notify a handler when its caller disconnects.
 type callerConns struct {
 	clock  spanrill.Clock
 	meters *meter.Meters
@@ -23,9 +23,9 @@
 // callerConn is the connection of one caller.
 type callerConn struct {
 	conn     net.Conn
-	deadline spanrill.Millis // of its request
+	deadline spanrill.Millis // of the request
 	cancel   context.CancelCauseFunc
-	lastSeen spanrill.Millis // when the connection was last found open
+	lastSeen spanrill.Millis // when the connection was last known to be open
 	left     bool            // the caller has closed the connection
 }
 
@@ -33,9 +33,9 @@
 	return &callerConns{clock: clock, meters: meters, conns: map[uint64]*callerConn{}}
 }
 
-// add registers a caller and returns the function that removes it, which is called when all work
-// for it has ended. The connection is checked here too, because the caller may have closed it
-// before its request was read.
+// add registers a caller and returns a function that removes it, to be called when all work for the
+// caller has ended. It also checks the connection, because the caller may have closed it before its
+// request was read.
 func (c *callerConns) add(conn net.Conn, deadline spanrill.Millis, cancel context.CancelCauseFunc) func() {
 	caller := &callerConn{conn: conn, deadline: deadline, cancel: cancel, lastSeen: c.clock.Now()}
 	caller.check(c.clock.Now())
@@ -84,7 +84,8 @@
 const callerCheckInterval spanrill.Millis = 150
 
 // Run checks at intervals for callers that have disconnected, for requests on engines that are to
-// give up layers, and for upstreams that crashed under a request, until the context ends.
+// give up layers, and for upstreams that have crashed while they ran a request. It returns when the
+// context ends.
 func (r *Relay) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		r.callers.check()
--- a/coordination/relay/callers_test.go
+++ b/coordination/relay/callers_test.go
@@ -25,13 +25,13 @@
 )
 
 // A caller that disconnects before its request is read is detected immediately, and one that
-// disconnects later by the next check. The metric is the time from the last check that found the
-// connection open to the end of all work.
+// disconnects later is detected by the next check. The metric is the time from the last check that
+// found the connection open to the end of all work.
 func TestCallerDisconnectIsDetected(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		early, late bool   // it disconnects before its request is read, or while it runs
-		want        string // sum of the histogram
+		early, late bool   // the caller disconnects before its request is read, or while it runs
+		wantSum     string // sum of the histogram
 	}{
 		{"disconnected before its request was read", true, false, "0.14"},
 		{"disconnected while it ran", false, true, "0.08"},
@@ -39,8 +39,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server, client := tcpPair(t)
-			disconnectIf := func(leaves bool) {
-				if leaves {
+			disconnectIf := func(disconnects bool) {
+				if disconnects {
 					_ = client.Close()
 					awaitPeerState(t, server, httpcall.ConnClosed)
 				}
@@ -59,7 +59,7 @@
 			now.Advance(40)
 			conns.check()
 			if gone := errors.Is(context.Cause(ctx), errCallerLeft); gone != (c.early || c.late) {
-				t.Fatalf("cancelled by the check: %v", gone)
+				t.Fatalf("cancelled by the check: %v, want the opposite", gone)
 			}
 			now.Advance(40)
 			unregister()
@@ -67,8 +67,8 @@
 			meters.Write(&text)
 			_, sum, _ := strings.Cut(text.String(), "\nspanrill_caller_gone_seconds_sum ")
 			sum, _, _ = strings.Cut(sum, "\n")
-			if sum != c.want {
-				t.Fatalf("sum of the histogram %q, want %q", sum, c.want)
+			if sum != c.wantSum {
+				t.Fatalf("sum of spanrill_caller_gone_seconds is %q, want %q", sum, c.wantSum)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 	limit := time.Now().Add(10 * time.Second)
 	for httpcall.ProbeConn(conn) != want {
 		if time.Now().After(limit) {
-			t.Fatalf("peer state is not %d", want)
+			t.Fatalf("peer state is not %d after 10 s", want)
 		}
 		runtime.Gosched()
 	}
@@ -101,12 +101,12 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	q := testRequest(ctx)
 	if refusal := q.checkCallerAndKey(); refusal != nil {
-		t.Fatalf("refused with %v while its caller is connected", refusal)
+		t.Fatalf("refused with %v although the caller is connected", refusal)
 	}
 	cancel(errCallerLeft)
 	for range 2 {
 		if q.checkCallerAndKey() == nil {
-			t.Fatal("would be sent although its caller has disconnected")
+			t.Fatal("not refused although the caller has disconnected")
 		}
 	}
 	if n := q.relay.Meters.CallersLeft.Get(); n != 1 {
@@ -114,8 +114,9 @@
 	}
 }
 
-// Guards against work for a request whose deadline passed while the machine was suspended, which its
-// context does not notice. It is not sent any more, and running work is cancelled by the next check.
+// Guards against work for a request whose deadline has passed while the machine was suspended,
+// which its context does not notice. The request must not be sent any more, and the next check must
+// cancel running work.
 func TestDeadlineDuringSuspend(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	q := testRequest(ctx)
@@ -127,15 +128,15 @@
 	defer conns.add(near, q.deadline, cancel)()
 	for _, c := range []struct {
 		after spanrill.Millis
-		over  bool
+		ended bool // the request is refused and cancelled
 	}{{spanrill.Second - 1, false}, {1, true}} {
 		manual.Advance(c.after)
-		if refusal := q.checkCallerAndKey(); (refusal != nil) != c.over {
-			t.Errorf("at %d ms: refused with %v", manual.Now(), refusal)
+		if refusal := q.checkCallerAndKey(); (refusal != nil) != c.ended {
+			t.Errorf("at %d ms: refusal %v, want one only from the deadline on", manual.Now(), refusal)
 		}
 		conns.check()
-		if (ctx.Err() != nil) != c.over {
-			t.Errorf("at %d ms: cancelled %t", manual.Now(), ctx.Err() != nil)
+		if (ctx.Err() != nil) != c.ended {
+			t.Errorf("at %d ms: cancelled %t, want true only from the deadline on", manual.Now(), ctx.Err() != nil)
 		}
 	}
 	if n := q.relay.Meters.CallersLeft.Get(); n != 0 {
--- a/coordination/relay/chained.go
+++ b/coordination/relay/chained.go
@@ -19,37 +19,38 @@
 type generation struct {
 	*request
 	path             *chainrouting.Path
-	avoid            map[string]bool // engines that failed this request, by id
+	avoid            map[string]bool // engines not to be used for this request any more, by id
 	answer           *httpcall.Answer
 	firstEngine      *fleet.Upstream
-	begun            bool                              // an event has reached the caller
-	lastEvent        string                            // id of the last event that the caller has, or ""
+	begun            bool                              // an event has arrived
+	lastEventID      string                            // id of the last event that the caller has, or ""
 	sentAt           spanrill.Millis                   // when the running attempt was sent
 	firstEventAt     spanrill.Millis                   // when its first event arrived, or 0
-	lastEventAt      spanrill.Millis                   // when the last event arrived, or the request if none has
+	lastEventAt      spanrill.Millis                   // when the last event arrived; before the first, when the request did
 	nextProbeSilence spanrill.Millis                   // silence after which the engines are probed next
 	moves            int                               // orders to move the request to another path
-	failedMoves      int                               // orders to move that failed since the last event
+	failedMoves      int                               // failed orders to move since the last event
 	refusals         int                               // attempts that engines have refused
 	checkNow         atomic.Pointer[func()]            // runs onSilence immediately
 	sharedPath       atomic.Pointer[chainrouting.Path] // path, for other goroutines
-	sentTo           map[string]*fleet.Upstream        // first engines that it counts as sent to, by id
-	ranOn            map[string]bool                   // first engines that have run it or may have, by id
+	sentTo           map[string]*fleet.Upstream        // first engines that count toward the limit on engines, by id
+	ranOn            map[string]bool                   // first engines that have run the request or may have, by id
 	mayHaveRun       bool                              // an attempt has run or may have
 
 	pending                  *continuation   // continuation in progress, or nil
 	nextContinuationAt       spanrill.Millis // no other continuation starts before this time
-	continuations            []*continuation // all, so that their ends can be awaited
-	nextVacateAt             spanrill.Millis // not moved off engines that give up layers before this time
-	rereadsTokens            bool            // engines that are new on its path first read all tokens so far
+	continuations            []*continuation // all that were started; endContinuations waits for them
+	nextVacateAt             spanrill.Millis // vacate tries no move before this time
+	rereadsTokens            bool            // the path has new engines that must read all tokens so far
 	nextDeliveryCheckSilence spanrill.Millis // silence after which runsUndelivered is called next
-	continuedOnSilence       bool            // a continuation was started because of silence alone
+	continuedOnSilence       bool            // a continuation was started in the current silence because of errNoEvents
 	noOtherPathLogged        bool            // logNoOtherPath has logged the current silence
 }
 
-// serveChained finds a path and sends the request. The body of the answer reads the events.
+// serveChained sends the request to a path of engines. It answers with a stream of events, with the
+// error answer of an engine, or with a refusal.
 func (q *request) serveChained() {
-	g := &generation{request: q, avoid: map[string]bool{}, sentTo: map[string]*fleet.Upstream{}, ranOn: map[string]bool{}, lastEvent: q.head.LastEventID, lastEventAt: q.start}
+	g := &generation{request: q, avoid: map[string]bool{}, sentTo: map[string]*fleet.Upstream{}, ranOn: map[string]bool{}, lastEventID: q.head.LastEventID, lastEventAt: q.start}
 	unregister := q.relay.generations.add(g)
 	finishRequest := q.finish
 	q.finish = func() {
@@ -75,11 +76,11 @@
 	resp.SetBodyStream(newEventBody(g), -1)
 }
 
-// passOnFailure passes on an engine's own error answer unchanged.
+// passOnFailure answers with an engine's error answer, unchanged.
 func (g *generation) passOnFailure() {
 	defer g.finish()
 	defer g.release()
-	body, err := g.answer.ReadAll(maxAnswer)
+	body, err := g.answer.ReadAll(maxAnswerBytes)
 	if err != nil {
 		g.refuse(spanrill.NewRefusal(spanrill.ReasonUpstreamFailed, "%v", err).WithOutcome(spanrill.OutcomeUnknown))
 		return
@@ -89,6 +90,7 @@
 	g.logEnded(g.http.Response.StatusCode(), logrus.Fields{"upstream": g.firstEngine.ID()})
 }
 
+// release closes the answer of the running attempt and releases its path.
 func (g *generation) release() {
 	if g.answer != nil {
 		g.answer.Close()
@@ -100,15 +102,17 @@
 	}
 }
 
-// setPath changes the path of the request.
+// setPath sets the path, also for other goroutines.
 func (g *generation) setPath(p *chainrouting.Path) {
 	g.path = p
 	g.sharedPath.Store(p)
 }
 
+// setCheckNow stores the function that makes onSilence run immediately.
 func (g *generation) setCheckNow(check func()) { g.checkNow.Store(&check) }
 
-// pathNeed returns what the request needs of a path.
+// pathNeed returns what the request needs of a path. An urgent request may use all of the memory of
+// the engines.
 func (g *generation) pathNeed(urgent bool) chainrouting.Need {
 	answerTokens := g.head.ExpectedTokens
 	if answerTokens == 0 {
@@ -123,7 +127,7 @@
 	}
 }
 
-// openStream makes attempts until an engine answers, or returns a refusal.
+// openStream makes attempts until an engine answers. It returns a refusal if none does.
 func (g *generation) openStream() *spanrill.Refusal {
 	for {
 		if refusal := g.findPath(); refusal != nil {
@@ -145,8 +149,8 @@
 	}
 }
 
-// repeatableFailure returns an error if the engine answered with a server error and the request may
-// be sent to another engine instead of passing that on.
+// repeatableFailure returns a *sendError if the engine answered with a server error and the request
+// can be sent to another engine instead. The error answer is kept in case no other engine answers.
 func (g *generation) repeatableFailure() error {
 	status := g.answer.Status()
 	if status < fasthttp.StatusInternalServerError || g.route.Repeat != spanrill.RepeatResume || !g.hasOtherPath() {
@@ -155,15 +159,15 @@
 	g.keepFailedAnswer()
 	g.avoid[g.firstEngine.ID()] = true
 	g.firstEngine.RecordFailure(g.relay.Clock.Now())
-	return &sendError{outcome: spanrill.OutcomeRan, retry: meter.RetryStageLost, cause: errors.Errorf("engine %s answered %d", g.firstEngine.ID(), status)}
+	return &sendError{outcome: spanrill.OutcomeRan, retryReason: meter.RetryStageLost, cause: errors.Errorf("engine %s answered %d", g.firstEngine.ID(), status)}
 }
 
-// keepFailedAnswer keeps an engine's error answer in case that no other engine gives an answer. An
-// answer that cannot be read completely is not kept.
+// keepFailedAnswer keeps an engine's error answer in case no other engine answers. An answer that
+// cannot be read completely is not kept.
 func (g *generation) keepFailedAnswer() {
 	resp := &fasthttp.Response{}
 	g.answer.Header().CopyTo(&resp.Header)
-	body, err := g.answer.ReadAll(maxAnswer)
+	body, err := g.answer.ReadAll(maxAnswerBytes)
 	if err != nil {
 		return
 	}
@@ -172,7 +176,7 @@
 }
 
 // markMayHaveRun sets the outcome of a refusal to unknown if an earlier attempt may have run. It
-// does so even if the request may safely run again, because the reported outcome must be true.
+// does so even if the route allows repeats, because the reported outcome must be true.
 func (g *generation) markMayHaveRun(refusal *spanrill.Refusal) *spanrill.Refusal {
 	if g.mayHaveRun {
 		return refusal.WithOutcome(spanrill.OutcomeUnknown)
@@ -181,19 +185,20 @@
 }
 
 const (
-	// resumePollInterval is how often a stream whose attempt has ended looks for another path:
-	// about the time of one token on a chain.
+	// resumePollInterval is how often a stream whose attempt has ended looks for another path. It
+	// is about the time of one token on a chain.
 	resumePollInterval spanrill.Millis = 15
-	// fullRetryAfter is the minimum retry time of callers that find all chains full: about the time
-	// in which a tenth of the running requests end.
+	// fullRetryAfter is the minimum retry time of callers that find all chains full. In about this
+	// time a tenth of the running requests end.
 	fullRetryAfter spanrill.Millis = 300
-	// missingLayersRetryAfter is the retry time when no chain has all layers: about the time to
-	// load one engine's layers.
+	// missingLayersRetryAfter is the retry time when no chain has all layers. It is about the time
+	// to load the layers of one engine.
 	missingLayersRetryAfter spanrill.Millis = 700
 )
 
-// findPath chooses the path of a request that has not begun. It does not wait until a chain has
-// room: other requests may take the room first, and the caller gets a retry time that is its own.
+// findPath chooses a path for a request that no engine has answered yet, or returns a refusal. It
+// does not wait until a chain has room, because other requests may take the room first. A refused
+// caller gets a retry time of its own instead.
 func (g *generation) findPath() *spanrill.Refusal {
 	path, err := g.relay.Router.Pick(g.service.Name, g.service.Model, g.pathNeed(false))
 	if err != nil {
@@ -208,6 +213,7 @@
 	return nil
 }
 
+// noPathRefusal returns the refusal of a request for which the router found no path.
 func (g *generation) noPathRefusal(err error) *spanrill.Refusal {
 	if g.ctx.Err() != nil {
 		return g.endedRefusal(g.mayHaveRun)
@@ -226,14 +232,14 @@
 }
 
 // send makes one attempt and stores the answer in g.answer. The error is a *sendError. While the
-// attempt waits for its answer, a continuation may be accepted and take its place.
+// attempt waits for its answer, an accepted continuation may replace it.
 func (g *generation) send() error {
 	req := g.requestFor(g.path)
 	defer fasthttp.ReleaseRequest(req)
 	g.recordSend()
 	g.sentTo[g.firstEngine.ID()] = g.firstEngine
 	g.sentAt, g.firstEventAt = g.relay.Clock.Now(), 0
-	g.logSent(g.firstEngine, g.path, g.lastEvent)
+	g.logSent(g.firstEngine, g.path, g.lastEventID)
 	answer, failure := g.sendAttempt(g.ctx, g.path, req, g)
 	if failure == nil {
 		g.answer = answer
@@ -253,7 +259,7 @@
 
 // requestFor builds the request for an attempt on a path.
 func (g *generation) requestFor(path *chainrouting.Path) *fasthttp.Request {
-	return g.upstreamRequest(spanrill.UpstreamRequest{EngineID: path.First().Name(), Path: path.Wire(), LastEventID: g.lastEvent, Priority: g.enginePriority()})
+	return g.upstreamRequest(spanrill.UpstreamRequest{EngineID: path.First().Name(), Path: path.Wire(), LastEventID: g.lastEventID, Priority: g.enginePriority()})
 }
 
 // silenceHandler is called while no bytes of an answer arrive; see httpcall.DoWatched.
@@ -263,8 +269,8 @@
 	setCheckNow(check func())
 }
 
-// sendAttempt makes one attempt and checks its answer. It does not change the generation, so that
-// two attempts can run concurrently.
+// sendAttempt makes one attempt and checks its answer. It does not change the generation, so two
+// attempts can run concurrently.
 func (g *generation) sendAttempt(ctx context.Context, path *chainrouting.Path, req *fasthttp.Request, handler silenceHandler) (*httpcall.Answer, *sendError) {
 	r := g.relay
 	answer, err := r.HTTP.DoWatched(r.withSendCheck(ctx, path.First()), path.First().Addr(), req, g.connectionReuse(), handler.checkInterval, handler.onSilence, handler.setCheckNow)
@@ -274,7 +280,7 @@
 	head := r.Codec.ReadResponse(answer.Header())
 	if err := g.verifyAnswer(head, answer.Header()); err != nil {
 		answer.Close()
-		return nil, &sendError{outcome: spanrill.OutcomeUnknown, retry: meter.RetryBadToken, cause: err}
+		return nil, &sendError{outcome: spanrill.OutcomeUnknown, retryReason: meter.RetryBadToken, cause: err}
 	}
 	if head.NotRun {
 		answer.Close()
@@ -283,8 +289,9 @@
 	return answer, nil
 }
 
-// enginePriority returns the priority that is sent to the engines. Resumed streams have the
-// highest, because their callers have waited already.
+// enginePriority returns the priority that is sent to the engines. Streams that have begun are sent
+// again only to be resumed. They have the highest priority, 0, because their callers have waited
+// already.
 func (g *generation) enginePriority() int {
 	if g.begun {
 		return 0
--- a/coordination/relay/continuation.go
+++ b/coordination/relay/continuation.go
@@ -18,11 +18,11 @@
 )
 
 // continuation is a second attempt at a request whose running attempt may have failed. The running
-// attempt still serves the caller until an engine has accepted the second one. If that is refused,
-// nothing changes, and the request may be sent to another engine.
+// attempt serves the caller until an engine has accepted the second one. If the second one is
+// refused, the running attempt goes on, and another continuation may be sent to another engine.
 //
-// It runs on its own goroutine, which does not change the generation. The request's goroutine takes
-// the result once done is closed.
+// A continuation runs on its own goroutine, which does not change the generation. The request's
+// goroutine takes the result once done is closed.
 type continuation struct {
 	g        *generation
 	path     *chainrouting.Path
@@ -31,8 +31,8 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	checkNow atomic.Pointer[func()]
-	adopted  atomic.Bool   // it is the running attempt now
-	done     chan struct{} // closed when it was accepted or has failed
+	adopted  atomic.Bool   // the continuation is the running attempt now
+	done     chan struct{} // closed when the continuation was accepted or has failed
 
 	mu        sync.Mutex
 	finished  bool
@@ -42,23 +42,23 @@
 }
 
 const (
-	// maxRefusals is how often a request may be refused by engines. Each refusal uses retry budget
-	// that all requests share. One more than the largest number of chains, seven.
+	// maxRefusals is how often engines may refuse a request: one more than the largest number of
+	// chains, seven. It is limited because each refusal uses retry budget that all requests share.
 	maxRefusals = 8
 	// openingCheckInterval is how often a continuation that is not accepted yet checks whether an
-	// engine of its own path has died.
+	// engine of its path has died.
 	openingCheckInterval spanrill.Millis = 100
-	// continuationPause is the pause after a continuation that failed while the running attempt
-	// stays. It leaves time for a round trip and for news from other requests, and is shorter than
-	// the shortest silence that is examined.
+	// continuationPause is the pause after a failed continuation while the running attempt goes on.
+	// It leaves time for a round trip and for other requests to find dead engines, and is shorter
+	// than the shortest silence after which engines are probed.
 	continuationPause spanrill.Millis = 30
-	// maxOpeningTime is how long a continuation may take until it is accepted. Reading the tokens
-	// of many streams one after another can take 0.8 s.
+	// maxOpeningTime is how long a continuation may wait to be accepted. An engine that reads the
+	// tokens of many streams one after another can take 0.8 s.
 	maxOpeningTime = maxResumeWait
 )
 
-// errNotOpened means that a continuation got no answer in time. Unlike a dead engine further down
-// the path, this is held against the first engine, which is avoided.
+// errNotOpened means that a continuation got no answer in time. It counts as a failure of the first
+// engine, which is then avoided. A dead engine further down the path does not.
 var errNotOpened = errors.New("continuation got no answer")
 
 // errContinued ends an attempt that was replaced by an accepted continuation.
@@ -70,8 +70,8 @@
 	return g.route.Repeat == spanrill.RepeatResume && g.sends-g.refusals < g.route.MaxAttempts+maxExtraSends && g.refusals < maxRefusals
 }
 
-// startContinuation sends the request to another path, after the last event that its caller has,
-// and reports whether it did. It leaves the running attempt, if there is one, as it is.
+// startContinuation sends the request to another path, to continue after the last event that its
+// caller has. It reports whether it did. The running attempt, if there is one, goes on.
 func (g *generation) startContinuation(cause error) bool {
 	r := g.relay
 	if !g.mayContinue() || g.pending != nil || r.Clock.Now() < g.nextContinuationAt || g.checkBeforeSend() != nil {
@@ -92,7 +92,7 @@
 		g.logNoOtherPath(errNoBudget)
 		return false
 	}
-	r.Meters.CountRetry(retryReason(cause))
+	r.Meters.CountRetry(retryReasonOf(cause))
 	g.launchContinuation(path, cause)
 	return true
 }
@@ -108,8 +108,8 @@
 // errNoBudget means that the retry budget, which all daemons share, is spent.
 var errNoBudget = errors.New("retry budget is spent")
 
-// continuationNeed returns what a continuation needs of its path, which must start at another
-// engine than the running attempt.
+// continuationNeed returns what a continuation needs of its path. The path must not start at the
+// first engine of the running attempt.
 func (g *generation) continuationNeed() chainrouting.Need {
 	need := g.pathNeed(true)
 	avoid := make(map[string]bool, len(g.avoid)+1)
@@ -123,10 +123,10 @@
 	return need
 }
 
-// launchContinuation starts the goroutine of a continuation.
+// launchContinuation registers a continuation on the path and starts the goroutine that sends it.
 func (g *generation) launchContinuation(path *chainrouting.Path, cause error) {
 	first := path.First()
-	ctx, cancel := context.WithCancel(httpcall.WithNewConn(g.ctx)) // an idle connection may be broken too
+	ctx, cancel := context.WithCancel(httpcall.WithNewConn(g.ctx)) // an idle connection may be broken as well
 	c := &continuation{g: g, path: path, sentAt: g.relay.Clock.Now(), cause: cause, ctx: ctx, cancel: cancel, done: make(chan struct{})}
 	g.pending = c
 	g.continuations = append(g.continuations, c)
@@ -134,7 +134,7 @@
 	g.sentTo[first.ID()] = first
 	req := g.requestFor(path)
 	g.logContinuation(c)
-	g.logSent(first, path, g.lastEvent)
+	g.logSent(first, path, g.lastEventID)
 	go func() {
 		c.finish(requireOK(g.sendAttempt(ctx, path, req, c)))
 		fasthttp.ReleaseRequest(req)
@@ -143,7 +143,8 @@
 	}()
 }
 
-// wake makes the request's goroutine run onSilence now, if it waits for the running attempt.
+// wake makes the request's goroutine run onSilence immediately if it is waiting for bytes of the
+// running attempt.
 func (g *generation) wake() {
 	if check := g.checkNow.Load(); check != nil {
 		(*check)()
@@ -156,10 +157,10 @@
 		return answer, failure
 	}
 	answer.Close()
-	return nil, &sendError{outcome: spanrill.OutcomeRan, retry: meter.RetryStageLost, cause: errors.Errorf("answered with status %d", answer.Status())}
+	return nil, &sendError{outcome: spanrill.OutcomeRan, retryReason: meter.RetryStageLost, cause: errors.Errorf("answered with status %d", answer.Status())}
 }
 
-// finish stores the result of the attempt.
+// finish stores the result of the attempt, or discards it if the continuation was abandoned.
 func (c *continuation) finish(answer *httpcall.Answer, failure *sendError) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,8 +170,8 @@
 	}
 }
 
-// abandon cancels the attempt and releases what it has reserved. The engine learns of it because
-// the connection is closed.
+// abandon cancels the attempt and releases its answer and its path. The engine notices because the
+// connection is closed.
 func (c *continuation) abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,6 +182,7 @@
 	}
 }
 
+// discard closes the answer, if any, and releases the path. The caller holds c.mu.
 func (c *continuation) discard() {
 	if c.answer != nil {
 		c.answer.Close()
@@ -189,7 +191,7 @@
 	c.path.Release()
 }
 
-// checkInterval returns the silence after which onSilence runs.
+// checkInterval returns the pause before the next run of onSilence while nothing arrives.
 func (c *continuation) checkInterval() spanrill.Millis {
 	if c.adopted.Load() {
 		return c.g.watchGap()
@@ -197,8 +199,8 @@
 	return openingCheckInterval
 }
 
-// onSilence ends the attempt if an engine of its path dies before the attempt is accepted, or if
-// that takes too long. Once the attempt is adopted, the generation's onSilence decides.
+// onSilence ends the attempt if an engine of its path has died or if it was not accepted in time.
+// Once the continuation is adopted, the onSilence of the generation is used.
 func (c *continuation) onSilence(silent spanrill.Millis) error {
 	if c.adopted.Load() {
 		return c.g.onSilence(silent)
@@ -226,8 +228,8 @@
 	continuationAccepted
 )
 
-// checkContinuation returns the state of the pending continuation. If it has failed, the failure is
-// recorded and none is pending any more.
+// checkContinuation returns the state of the pending continuation. It records the failure of one
+// that has failed, which is then no longer pending.
 func (g *generation) checkContinuation() continuationState {
 	if g.pending == nil {
 		return continuationNone
@@ -256,14 +258,14 @@
 	select {
 	case <-g.pending.done:
 	case <-g.ctx.Done():
-		g.mayHaveRun = true // as the continuation
+		g.mayHaveRun = true // the continuation may have run
 		return false
 	}
 	return g.checkContinuation() == continuationAccepted
 }
 
-// adoptContinuation makes the accepted continuation the running attempt and releases the previous
-// one.
+// adoptContinuation makes the accepted continuation the running attempt and releases the one that
+// it replaces.
 func (g *generation) adoptContinuation() {
 	c := g.pending
 	g.pending = nil
@@ -285,7 +287,8 @@
 	g.pending = nil
 }
 
-// endContinuations waits until no continuation uses the caller's request any more.
+// endContinuations cancels all continuations and waits until none uses the caller's request any
+// more.
 func (g *generation) endContinuations() {
 	g.abandonContinuation()
 	for _, c := range g.continuations {
--- a/coordination/relay/eventsize.go
+++ b/coordination/relay/eventsize.go
@@ -7,25 +7,25 @@
 	"spanrill"
 )
 
-// eventTokenEstimator estimates how many tokens an event of a stream holds, from which the memory
-// that running streams use on their engines is computed. It uses the number that the operator
-// configured (the steps that an engine runs in one pass), or else the mean number of events of
-// complete answers.
+// eventTokenEstimator estimates how many tokens an event of a stream holds. The memory that running
+// streams use on their engines is computed from it. The number is the configured one (the steps
+// that an engine runs in one pass), or else the configured mean number of tokens of an answer
+// divided by the mean number of events of complete answers.
 //
-// A wrong number makes the reservations wrong: with two tokens assumed for engines that send five,
-// a stream counted for 0.4 of its tokens.
+// A wrong number makes the reservations of memory wrong: with two tokens assumed for engines that
+// send five, a stream counted for 0.4 of its tokens.
 type eventTokenEstimator struct {
 	mu         sync.Mutex
 	meanEvents map[string]float64 // mean number of events of a complete answer, by service
-	samples    map[string]int     // complete answers, up to minAnswerSamples, by service
+	samples    map[string]int     // number of complete answers, up to minAnswerSamples, by service
 }
 
 const (
 	// defaultEventTokens is used while neither configuration nor samples give a number.
 	defaultEventTokens = 2
-	// minAnswerSamples is the number of complete answers from which their mean is used. The
-	// standard deviation of lengths is about their mean, so that the mean of 16 is accurate to
-	// about a quarter.
+	// minAnswerSamples is the number of complete answers from which on their mean is used, and over
+	// which it is smoothed. The standard deviation of lengths is about their mean, so the mean of
+	// 16 is accurate to about a quarter.
 	minAnswerSamples = 16
 	// maxEventTokens limits the estimate from samples.
 	maxEventTokens = 64
@@ -36,28 +36,28 @@
 }
 
 // tokensPerEvent returns how many tokens an event of a service holds.
-func (s *eventTokenEstimator) tokensPerEvent(service *spanrill.ServiceInfo) int {
+func (e *eventTokenEstimator) tokensPerEvent(service *spanrill.ServiceInfo) int {
 	if configured := service.Model.TokensPerEvent; configured > 0 {
 		return configured
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.samples[service.Name] < minAnswerSamples || service.Model.MeanAnswerTokens <= 0 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.samples[service.Name] < minAnswerSamples || service.Model.MeanAnswerTokens <= 0 {
 		return defaultEventTokens
 	}
-	mean := service.Model.MeanAnswerTokens / s.meanEvents[service.Name]
-	return int(min(maxEventTokens, max(1, math.Round(mean))))
+	tokens := service.Model.MeanAnswerTokens / e.meanEvents[service.Name]
+	return int(min(maxEventTokens, max(1, math.Round(tokens))))
 }
 
 // recordAnswer adds the number of events of an answer that arrived completely from its first event.
-func (s *eventTokenEstimator) recordAnswer(service string, events int) {
+func (e *eventTokenEstimator) recordAnswer(service string, events int) {
 	if events <= 0 {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.samples[service] < minAnswerSamples {
-		s.samples[service]++
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.samples[service] < minAnswerSamples {
+		e.samples[service]++
 	}
-	s.meanEvents[service] += (float64(events) - s.meanEvents[service]) / float64(s.samples[service])
+	e.meanEvents[service] += (float64(events) - e.meanEvents[service]) / float64(e.samples[service])
 }
--- a/coordination/relay/framing.go
+++ b/coordination/relay/framing.go
@@ -5,12 +5,12 @@
 	"strconv"
 )
 
-// framer splits a series of bytes into whole events (server-sent events of the HTML standard, which
-// end with an empty line).
+// framer splits a byte stream into whole server-sent events (HTML standard), which end with an
+// empty line.
 type framer struct {
 	buf        []byte
-	lastID     string
-	lastNumber int64 // lastID as a number, or -1
+	lastID     string // id of the last event, from the caller or in the stream
+	lastNumber int64  // lastID as a number, or -1
 }
 
 func newFramer(lastID string) *framer {
@@ -26,8 +26,9 @@
 	}
 }
 
-// feed adds bytes, appends the events that are now complete to out, and returns their number. An
-// event whose id is not greater than the last one was received before and is left out.
+// feed adds data to the buffer, appends the events that are now complete to out, and returns out
+// and their number. An event is left out if its id is not greater than the last one, because it was
+// received before.
 func (f *framer) feed(out, data []byte) ([]byte, int) {
 	f.buf = append(f.buf, data...)
 	events := 0
@@ -54,18 +55,19 @@
 // dropPartial removes an incomplete event.
 func (f *framer) dropPartial() { f.buf = f.buf[:0] }
 
-// eventEnd returns the length of the first event including its empty line, or -1.
+// eventEnd returns the length of the first event in b including its empty line, or -1 if it is
+// incomplete.
 func eventEnd(b []byte) int {
-	at := 0
-	for at < len(b) {
-		nl := bytes.IndexByte(b[at:], '\n')
+	pos := 0
+	for pos < len(b) {
+		nl := bytes.IndexByte(b[pos:], '\n')
 		if nl < 0 {
 			return -1
 		}
-		line := b[at : at+nl]
-		at += nl + 1
+		line := b[pos : pos+nl]
+		pos += nl + 1
 		if len(line) == 0 || len(line) == 1 && line[0] == '\r' {
-			return at
+			return pos
 		}
 	}
 	return -1
@@ -73,7 +75,8 @@
 
 var idField = []byte("id:")
 
-// recordIfNew reports whether an event was not received before, and records its id.
+// recordIfNew records the id of an event and returns true, or returns false if the event was
+// received before.
 func (f *framer) recordIfNew(event []byte) bool {
 	for line := range bytes.Lines(event) {
 		rest, ok := bytes.CutPrefix(line, idField)
--- a/coordination/relay/framing_test.go
+++ b/coordination/relay/framing_test.go
@@ -31,14 +31,14 @@
 				out, _ = f.feed(out, []byte(p))
 			}
 			if string(out) != c.want || f.hasPartial() != c.partial || f.lastID != c.lastID {
-				t.Fatalf("%q, partial %t, last id %q; want %q, %t, %q", out, f.hasPartial(), f.lastID, c.want, c.partial, c.lastID)
+				t.Fatalf("got %q, partial %t, last id %q; want %q, %t, %q", out, f.hasPartial(), f.lastID, c.want, c.partial, c.lastID)
 			}
 		})
 	}
 }
 
-// Guards against lost, repeated or reordered events when a stream breaks off anywhere and is resumed
-// after its last event, in pieces of any size.
+// Guards against lost, repeated or reordered events when a stream breaks off at any byte and is
+// resumed after its last whole event, read in pieces of any size.
 func FuzzResumedStream(f *testing.F) {
 	f.Add(uint8(10), uint8(3), uint16(25))
 	f.Add(uint8(40), uint8(1), uint16(0))
--- a/coordination/relay/limits.go
+++ b/coordination/relay/limits.go
@@ -7,15 +7,16 @@
 	"spanrill/state/fleet"
 )
 
-// limitRetryTimes computes retry times for callers that are refused because of rate limits. They
-// are spaced at this daemon's share of the combined limits, so that callers do not return together.
+// limitRetryTimes computes retry times for callers that are refused because of rate limits. The
+// times are spaced according to this daemon's share of the combined limits, so that callers do not
+// return together.
 type limitRetryTimes struct {
 	mu   sync.Mutex
 	next map[string]spanrill.Millis // by service, retry time of the caller that was refused last
 }
 
-// minUpstreamRate is the minimum rate per upstream, in requests per second, from which retry times
-// are computed.
+// minUpstreamRate is the lowest rate of an upstream that is assumed for retry times, in requests
+// per second.
 const minUpstreamRate = 0.25
 
 // take returns how long the next caller of a service should wait before it retries.
@@ -39,8 +40,8 @@
 	return next - now
 }
 
-// limitRefusal refuses a request whose upstreams have exhausted their rate limits. No engine
-// has run it.
+// limitRefusal returns the refusal of a request whose possible upstreams have exhausted their rate
+// limits. Its outcome is that no upstream has run the request.
 func (q *request) limitRefusal(limited []*fleet.Upstream) *spanrill.Refusal {
 	r := q.relay
 	return spanrill.NewRefusal(spanrill.ReasonUpstreamsLimited, "%d upstreams that could take it have exhausted their rate limits", len(limited)).
--- a/coordination/relay/limits_test.go
+++ b/coordination/relay/limits_test.go
@@ -30,11 +30,11 @@
 	for i := range 8 {
 		refusal := q.noUpstreamRefusal(&attempt{})
 		if refusal.Reason() != spanrill.ReasonUpstreamsLimited || refusal.Outcome() != spanrill.OutcomeNotRun {
-			t.Fatalf("refused with %v", refusal)
+			t.Fatalf("refused with %v, want ReasonUpstreamsLimited and OutcomeNotRun", refusal)
 		}
 		after := refusal.RetryAfter()
 		if after < 400 || i > 0 && after-last != 500 {
-			t.Errorf("caller %d retries after %d ms, the previous one after %d ms", i, after, last)
+			t.Errorf("caller %d retries after %d ms and the previous one after %d ms, want at least 400 ms and a gap of 500 ms", i, after, last)
 		}
 		last = after
 	}
@@ -45,7 +45,7 @@
 	q, _, _ := limitedRequest(t, 1000, 1)
 	for range 10 {
 		if after := q.noUpstreamRefusal(&attempt{}).RetryAfter(); after > maxRetryWait {
-			t.Errorf("retry after %d ms, want at most %d", after, maxRetryWait)
+			t.Errorf("retry after %d ms, want at most %d ms", after, maxRetryWait)
 		}
 	}
 }
@@ -58,10 +58,10 @@
 	a := attempt{upstream: u}
 	a.recordFailure(q.relay.Clock.Now(), &spanrill.CallError{Phase: spanrill.PhaseDial, Cause: fleet.ErrLimited})
 	if a.reached || a.outcome != spanrill.OutcomeNotRun || u.Avoided(q.relay.Clock.Now()) || u.FailureRate(q.relay.Clock.Now()) > 0 {
-		t.Errorf("reached %t, outcome %v, avoided %t, risk %v", a.reached, a.outcome, u.Avoided(q.relay.Clock.Now()), u.FailureRate(q.relay.Clock.Now()))
+		t.Errorf("reached %t, outcome %v, avoided %t, failure rate %v; want false, not run, false, 0", a.reached, a.outcome, u.Avoided(q.relay.Clock.Now()), u.FailureRate(q.relay.Clock.Now()))
 	}
-	if !q.mayRetry(&a) {
-		t.Error("the request is not retried")
+	if !q.mayRetryPlain(&a) {
+		t.Error("retry not allowed after a denied permit")
 	}
 }
 
--- a/coordination/relay/log.go
+++ b/coordination/relay/log.go
@@ -10,8 +10,8 @@
 	"spanrill/state/fleet"
 )
 
-// logFields returns the fields of each log line about a request: its id, the configuration that it
-// was decided with, and the age of that configuration.
+// logFields returns the fields of each log line about a request: its id and what is known about it
+// so far, the configuration by which it was routed, and the age of that configuration.
 func (q *request) logFields() logrus.Fields {
 	r := q.relay
 	f := logrus.Fields{"request": q.head.ID, "ms": r.Clock.Now() - q.start, "sends": q.sends}
@@ -38,7 +38,7 @@
 	return f
 }
 
-func (q *request) logSent(u *fleet.Upstream, path *chainrouting.Path, lastEvent string) {
+func (q *request) logSent(u *fleet.Upstream, path *chainrouting.Path, lastEventID string) {
 	q.relay.routineLog.Log(events.RequestSent, q.relay.Log, func() logrus.Fields {
 		f := q.logFields()
 		f["upstream"], f["calls"] = u.ID(), u.Calls()
@@ -47,8 +47,8 @@
 		if path != nil {
 			f["path"], f["prompt"], f["considered"] = path.String(), q.head.PromptTokens, path.DescribeCandidates()
 		}
-		if lastEvent != "" {
-			f["behind_event"] = lastEvent
+		if lastEventID != "" {
+			f["behind_event"] = lastEventID
 		}
 		return f
 	})
@@ -70,8 +70,8 @@
 	}
 }
 
-// logNoOtherPath logs, once for each silence, that a request finds no second path and why each
-// chain was rejected.
+// logNoOtherPath logs, once in each silence, that a request finds no second path and why each chain
+// was rejected.
 func (g *generation) logNoOtherPath(err error) {
 	if g.noOtherPathLogged {
 		return
@@ -84,13 +84,13 @@
 	})
 }
 
-// consideredChains returns why each chain was rejected, if the error says so.
+// consideredChains returns why each chain was rejected, or nil if the error is not about that.
 func consideredChains(err error) []string {
-	var none *chainrouting.NoPathError
-	if !errors.As(err, &none) {
+	var noPath *chainrouting.NoPathError
+	if !errors.As(err, &noPath) {
 		return nil
 	}
-	return none.DescribeCandidates()
+	return noPath.DescribeCandidates()
 }
 
 func (q *request) logEnded(status int, extra logrus.Fields) {
--- a/coordination/relay/maysend.go
+++ b/coordination/relay/maysend.go
@@ -20,8 +20,8 @@
 	return q.checkUpstreamsFresh()
 }
 
-// recordSend counts that the request is sent. If this is the trial of a withheld request, it tells
-// the other daemons.
+// recordSend counts an attempt that is about to be sent. If it is the trial of a withheld request,
+// the other daemons are informed.
 func (q *request) recordSend() {
 	q.sends++
 	if q.guard.RecordSent() {
@@ -30,9 +30,9 @@
 	}
 }
 
-// checkCallerAndKey checks, since the request may have waited or this process may have been
-// suspended, that the caller is still connected, that the configuration is fresh, and that the
-// newest one still has the key.
+// checkCallerAndKey returns a refusal if the request has ended or, for a request with a key, if the
+// configuration is out of date or the newest one no longer has the key. Otherwise it returns nil.
+// All this may have changed while the request waited or this process was suspended.
 func (q *request) checkCallerAndKey() *spanrill.Refusal {
 	if q.ctx.Err() != nil {
 		return q.endedRefusal(false)
@@ -44,7 +44,7 @@
 		return nil
 	}
 	if !q.configFresh() {
-		return q.configStale()
+		return q.staleConfigRefusal()
 	}
 	if newest := q.relay.Config.Table(); newest != q.table {
 		if _, ok := newest.Account(q.head.APIKey); !ok {
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// checkUpstreamsFresh refuses a request if this daemon's entries of upstreams are old while the
-// store answers other daemons: an upstream may have announced that it leaves. The maximum age
-// leaves time for a new connection.
+// checkUpstreamsFresh returns a refusal, or nil. It refuses if this daemon's entries of upstreams
+// are out of date while the store answers other daemons, because an upstream may have announced
+// meanwhile that it leaves. The maximum age leaves time for opening a connection.
 func (q *request) checkUpstreamsFresh() *spanrill.Refusal {
 	age, stale := q.relay.Fleet.Stale()
 	if !stale {
--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -14,11 +14,11 @@
 	"spanrill/transport/httpcall"
 )
 
-// maxAnswer is the maximum size of an answer that is read completely into memory, in bytes.
-const maxAnswer = 32 << 20
+// maxAnswerBytes is the maximum size of an answer that is read completely into memory, in bytes.
+const maxAnswerBytes = 32 << 20
 
 // servePlain sends a request to an upstream of a plain service, and to others if that fails and the
-// route allows it.
+// route allows it. It passes on the answer or refuses the request.
 func (q *request) servePlain() {
 	defer q.finish()
 	tried := map[string]bool{}
@@ -36,11 +36,11 @@
 		tried[u.ID()] = true
 		last = q.attemptPlain(u, last)
 		q.keepAnswer(last)
-		if last.isFinal() || q.ctx.Err() != nil || !q.mayRetry(&last) {
+		if last.isFinal() || q.ctx.Err() != nil || !q.mayRetryPlain(&last) {
 			break
 		}
-		q.relay.Meters.CountRetry(last.retry)
-		q.logRetry(u, last.retry.String(), last.outcome, last.err)
+		q.relay.Meters.CountRetry(last.retryReason)
+		q.logRetry(u, last.retryReason.String(), last.outcome, last.err)
 	}
 	q.answerPlain(&last)
 }
@@ -52,10 +52,10 @@
 	notRun            bool               // the upstream says that it did not run the request
 	outcome           spanrill.Outcome
 	reached           bool // bytes may have been sent
-	sends             int  // attempts up to this one that reached an upstream
+	sends             int  // attempts that reached an upstream, including this one
 	sentAt            spanrill.Millis
-	earlierMayHaveRun bool // an earlier attempt may have run
-	retry             meter.Retry
+	earlierMayHaveRun bool        // an earlier attempt may have run
+	retryReason       meter.Retry // why the request is sent again, if it is
 	err               error
 }
 
@@ -64,9 +64,10 @@
 	return a.resp != nil && !a.notRun && a.resp.StatusCode() < fasthttp.StatusInternalServerError
 }
 
-// mayRetry reports whether another attempt is allowed. A request that did not run may always be
-// sent to another upstream. One that may have run may only if the route allows repeats.
-func (q *request) mayRetry(a *attempt) bool {
+// mayRetryPlain reports whether another attempt is allowed. One that follows an attempt that
+// reached an upstream is subject to the route's limit and takes a retry from the budget. If the
+// request may have run, the route must also allow repeats.
+func (q *request) mayRetryPlain(a *attempt) bool {
 	if failedPresendCheck(a.err) {
 		return true
 	}
@@ -110,22 +111,22 @@
 	return last.refusal(q, "no upstream of the service takes requests")
 }
 
-// notRunRefusal returns the refusal of a request whose last attempt brought no answer. If all other
-// upstreams rest or have exhausted their rate limits, the caller should retry when one of them
-// takes requests.
+// notRunRefusal returns the refusal of a request whose last attempt gave no answer to pass on. If
+// all upstreams rest or have exhausted their rate limits, the caller is asked to retry when one of
+// them takes requests again.
 func (q *request) notRunRefusal(a *attempt) *spanrill.Refusal {
 	refusal := a.refusal(q, "the upstream did not run the request")
 	if refusal.RetryAfter() > 0 && q.pickPlain(nil) == nil {
-		after := restRetryAfter(q.restingUpstreams(), q.relay.Clock.Now())
+		wait := restRetryAfter(q.restingUpstreams(), q.relay.Clock.Now())
 		if limited := q.blockedBy(fleet.ErrLimited); len(limited) > 0 {
-			after = q.limitRefusal(limited).RetryAfter()
+			wait = q.limitRefusal(limited).RetryAfter()
 		}
-		return refusal.WithRetryAfter(max(refusal.RetryAfter(), after))
+		return refusal.WithRetryAfter(max(refusal.RetryAfter(), wait))
 	}
 	return refusal
 }
 
-// keepAnswer keeps an upstream's complete answer in case that further attempts bring none. One
+// keepAnswer keeps an upstream's complete answer in case further attempts give none. An answer
 // whose status promises that the request has not run is not kept, because another attempt may have
 // run it.
 func (q *request) keepAnswer(a attempt) {
@@ -143,7 +144,7 @@
 	q.refuse(refusal)
 }
 
-// passOnAnswer passes on an upstream's complete answer.
+// passOnAnswer answers with an upstream's complete answer.
 func (q *request) passOnAnswer(a *attempt) {
 	r := q.relay
 	resp := &q.http.Response
@@ -174,7 +175,8 @@
 	return spanrill.NewRefusal(spanrill.ReasonUpstreamFailed, "the upstream failed: %v", a.err).WithOutcome(spanrill.OutcomeUnknown)
 }
 
-// markMayHaveRun sets the outcome of a refusal to unknown if an attempt may have run.
+// markMayHaveRun sets the outcome of a refusal to unknown if this or an earlier attempt may have
+// run.
 func (a attempt) markMayHaveRun(refusal *spanrill.Refusal) *spanrill.Refusal {
 	if a.earlierMayHaveRun || a.reached && a.outcome != spanrill.OutcomeNotRun {
 		return refusal.WithOutcome(spanrill.OutcomeUnknown)
@@ -182,10 +184,12 @@
 	return refusal
 }
 
-// plainRetryAfter is about the duration of a few calls of a plain service.
+// plainRetryAfter is the retry time of callers that no upstream of a plain service serves: about
+// the duration of a few calls.
 const plainRetryAfter spanrill.Millis = 150
 
-// attemptPlain makes one attempt. Previous is the attempt before it.
+// attemptPlain makes one attempt at the upstream and returns its result. Previous is the result of
+// the attempt before, or zero.
 func (q *request) attemptPlain(u *fleet.Upstream, previous attempt) attempt {
 	r := q.relay
 	a := attempt{upstream: u, sends: previous.sends, sentAt: r.Clock.Now(), earlierMayHaveRun: previous.earlierMayHaveRun || previous.reached && previous.outcome != spanrill.OutcomeNotRun}
@@ -211,15 +215,15 @@
 	return a
 }
 
-// connectionReuse returns whether the request may be sent on an idle connection. A request that
-// must not be repeated may not, because the upstream can close such a connection at the same
-// moment.
+// connectionReuse returns whether the request may be sent on an idle connection. One that must not
+// be repeated may not, because the upstream can close an idle connection just when the request is
+// sent.
 func (q *request) connectionReuse() httpcall.Reuse {
 	return httpcall.Reuse(q.route.Repeat != spanrill.RepeatNever)
 }
 
-// attemptContext limits the time of an attempt after which another one is possible, so that the
-// second can still meet the target.
+// attemptContext returns the context of an attempt. If another attempt may follow, the time of this
+// one is limited so that the next can still meet the route's target.
 func (q *request) attemptContext(sends int) (context.Context, context.CancelFunc) {
 	if q.route.Repeat != spanrill.RepeatSafe || sends+1 >= q.route.MaxAttempts || q.route.LatencyTarget <= 0 {
 		return context.WithCancel(q.ctx)
@@ -228,34 +232,34 @@
 }
 
 const (
-	// firstAttemptPercent is the share of the route's target that is left to an attempt that is not
-	// the last one. With 60 ms of work and a target of 300 ms this is four times the work, which
-	// one call in a few hundred exceeds.
+	// firstAttemptPercent is the percentage of the route's target that an attempt may take if
+	// another one may follow. With 60 ms of work and a target of 300 ms this is four times the
+	// work, which one call in a few hundred exceeds.
 	firstAttemptPercent = 80
 	percent             = 100
 )
 
-// recordFailure records the error of a call that brought no answer, in the attempt and for the
+// recordFailure records the error of a call that brought no answer, both in the attempt and for the
 // upstream.
 func (a *attempt) recordFailure(now spanrill.Millis, err error) {
-	a.err, a.outcome, a.retry = err, spanrill.OutcomeUnknown, meter.RetryCut
+	a.err, a.outcome, a.retryReason = err, spanrill.OutcomeUnknown, meter.RetryCut
 	var call *spanrill.CallError
 	if errors.As(err, &call) {
 		a.outcome = call.Outcome()
 		a.reached = call.Phase != spanrill.PhaseDial
 		if call.Phase == spanrill.PhaseDial {
-			a.retry = meter.RetryDial
+			a.retryReason = meter.RetryDial
 		}
 	}
 	if a.reached {
 		a.sends++
 	}
 	if failedPresendCheck(err) {
-		a.retry = meter.RetryWithheld
+		a.retryReason = meter.RetryWithheld
 		return
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		a.retry = meter.RetryStalled
+		a.retryReason = meter.RetryStalled
 	}
 	a.upstream.RecordFailure(now)
 	a.upstream.Avoid(now + failedAvoidTime)
@@ -264,32 +268,32 @@
 	}
 }
 
-// failedAvoidTime is how long other upstreams are preferred after a call without an answer.
+// failedAvoidTime is how long other upstreams are preferred to one that did not answer a call.
 const failedAvoidTime spanrill.Millis = 400
 
 // errWrongRequestID means that an answer belongs to another request.
 var errWrongRequestID = errors.New("answer has the id of another request")
 
 // errUnsigned means that a successful answer lacks the upstream's signature or the request id, or
-// has a content encoding, which is never asked for.
+// has a content encoding, which requests never ask for.
 var errUnsigned = errors.New("answer is not signed by the upstream, or is encoded")
 
 // readPlain reads the complete answer and classifies it.
 func (q *request) readPlain(a *attempt, answer *httpcall.Answer) {
 	r := q.relay
-	body, err := answer.ReadAll(maxAnswer)
+	body, err := answer.ReadAll(maxAnswerBytes)
 	now := r.Clock.Now()
 	if err != nil {
-		a.sends--
+		a.sends-- // recordFailure counts it again
 		a.recordFailure(now, err)
 		q.recordBrokenAttempt(a.upstream, 0)
 		return
 	}
 	head := r.Codec.ReadResponse(answer.Header())
 	if err := q.verifyAnswer(head, answer.Header()); err != nil {
-		a.sends--
+		a.sends-- // recordFailure counts it again
 		a.recordFailure(now, &spanrill.CallError{Phase: spanrill.PhaseAnswer, Written: 1, Cause: err})
-		a.retry = meter.RetryBadToken
+		a.retryReason = meter.RetryBadToken
 		return
 	}
 	a.resp = &fasthttp.Response{}
@@ -301,18 +305,18 @@
 	a.classifyAnswer(now, head)
 }
 
-// classifyAnswer sets the attempt's outcome from a complete answer, and records the result for the
-// upstream.
+// classifyAnswer sets the attempt's outcome from its complete answer, and records the result for
+// the upstream.
 func (a *attempt) classifyAnswer(now spanrill.Millis, head spanrill.UpstreamResponse) {
 	a.outcome = spanrill.OutcomeRan
 	a.upstream.RecordListening(now)
 	switch {
 	case head.NotRun:
-		a.notRun, a.outcome, a.retry = true, spanrill.OutcomeNotRun, meter.RetryRefused
+		a.notRun, a.outcome, a.retryReason = true, spanrill.OutcomeNotRun, meter.RetryRefused
 		a.err = errors.Errorf("refused with status %d", a.resp.StatusCode())
 		a.upstream.RecordRefusal(now, false)
 	case a.resp.StatusCode() >= fasthttp.StatusInternalServerError:
-		a.retry = meter.RetryStageLost
+		a.retryReason = meter.RetryStageLost
 		a.err = errors.Errorf("status %d", a.resp.StatusCode())
 		a.upstream.RecordFailure(now)
 	default:
@@ -321,8 +325,8 @@
 	}
 }
 
-// verifyAnswer checks that an answer belongs to this request and was made by the upstream. It also
-// records whether the request has run.
+// verifyAnswer returns an error unless the answer belongs to this request and, if successful, was
+// made by the upstream. It also records that the request has run, unless the answer says otherwise.
 func (q *request) verifyAnswer(head spanrill.UpstreamResponse, h *fasthttp.ResponseHeader) error {
 	if head.RequestID != "" && head.RequestID != q.head.ID {
 		return errWrongRequestID
--- a/coordination/relay/plain_test.go
+++ b/coordination/relay/plain_test.go
@@ -21,14 +21,14 @@
 	return &request{ctx: context.Background(), relay: r, guard: suspect.New(c).Begin(0), route: &spanrill.Route{}, service: &spanrill.ServiceInfo{Name: "s"}}, c
 }
 
-// A daemon with old entries of upstreams sends requests if the store answers no daemon. If it answers
-// others, the daemon refuses requests until it has newer entries.
+// A daemon with old entries of upstreams sends requests if the store answers no daemon. If the
+// store answers others, the daemon refuses requests until its entries are confirmed.
 func TestStaleUpstreamEntries(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		age    spanrill.Millis // of the entries
-		others spanrill.Millis // age of the entries of other daemons, or -1 if unknown
-		want   bool            // whether requests are sent
+		name      string
+		age       spanrill.Millis // of the entries
+		othersAge spanrill.Millis // of the entries of other daemons, or -1 if unknown
+		wantSent  bool            // whether requests are sent
 	}{
 		{"new", 600, 100, true},
 		{"new enough for a connection attempt, others have newer ones", testDrain - 400, 100, true},
@@ -40,21 +40,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			q, manual := plainRequest()
 			manual.Advance(c.age)
-			if c.others >= 0 {
-				q.relay.Fleet.RecordStoreAvailable(c.age-c.others, c.age-c.others)
+			if c.othersAge >= 0 {
+				q.relay.Fleet.RecordStoreAvailable(c.age-c.othersAge, c.age-c.othersAge)
 			}
 			refusal := q.checkBeforeSend()
-			if (refusal == nil) != c.want {
-				t.Fatalf("refused with %v", refusal)
+			if (refusal == nil) != c.wantSent {
+				t.Fatalf("refusal %v, want none exactly in cases with wantSent", refusal)
 			}
 			if refusal == nil {
 				return
 			}
 			if refusal.Reason() != spanrill.ReasonUpstreamsStale || refusal.RetryAfter() <= 0 {
-				t.Fatalf("refused with %v", refusal)
+				t.Fatalf("refused with %v, want ReasonUpstreamsStale with a retry time", refusal)
 			}
 			if q.relay.Fleet.ConfirmUnchanged(2, 1, manual.Now()); q.checkBeforeSend() != nil {
-				t.Fatal("refused after the entries were confirmed")
+				t.Fatal("refused although the entries were confirmed")
 			}
 		})
 	}
@@ -67,13 +67,13 @@
 	q.relay.Fleet.RecordStoreFailure()
 	q.relay.Fleet.Merge(fleet.Update{Revision: 2, LastChange: 2}, manual.Now())
 	const latest = testDrain - 350 // the time of a connection attempt
-	sent := spanrill.Millis(0)
+	lastSent := spanrill.Millis(0)
 	for ; manual.Now() < testDrain; manual.Advance(10) {
 		if q.pickPlain(nil) != nil {
-			sent = manual.Now()
+			lastSent = manual.Now()
 		}
 	}
-	if sent < latest-100 || sent > latest {
-		t.Fatalf("the last request is sent after %d ms, want about %d", sent, latest)
+	if lastSent < latest-100 || lastSent > latest {
+		t.Fatalf("last request sent after %d ms, want %d ms or up to 100 ms less", lastSent, latest)
 	}
 }
--- a/coordination/relay/refuse.go
+++ b/coordination/relay/refuse.go
@@ -15,10 +15,10 @@
 // errCallerLeft is the cancellation cause of a request whose caller has closed its connection.
 var errCallerLeft = errors.New("caller disconnected")
 
-// refuse answers a request that is given up with an error.
+// refuse answers the request with the error that the refusal describes.
 //
-// The statuses 429 and 503 promise that the request has not run. A refusal whose outcome is unknown
-// is never sent with one of these.
+// The statuses 408, 421, 429 and 503 promise that the request has not run. A refusal whose outcome
+// is unknown never has one of these.
 func (q *request) refuse(refusal *spanrill.Refusal) {
 	r := q.relay
 	r.Meters.CountRefusal(refusal.Reason())
@@ -44,8 +44,8 @@
 	}
 }
 
-// statusOf returns the status of a refusal. For a request that may have run it is never one that
-// promises the opposite, but 502 or 504.
+// statusOf returns the status of a refusal. If the request may have run, 502 replaces a status that
+// promises the opposite.
 func statusOf(refusal *spanrill.Refusal) int {
 	status := refusal.Reason().Status()
 	if refusal.Outcome() == spanrill.OutcomeNotRun {
@@ -66,8 +66,8 @@
 	return false
 }
 
-// retryAfter returns the time after which the caller should retry, which each answer with status
-// 503 or 429 has.
+// retryAfter returns the time after which the caller should retry, or 0 to state none. Answers with
+// status 503 or 429 always have one.
 func retryAfter(refusal *spanrill.Refusal, status int) spanrill.Millis {
 	if status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests {
 		return max(refusal.RetryAfter(), minRetryAfter)
@@ -78,8 +78,8 @@
 // minRetryAfter is the shortest retry time that callers are given.
 const minRetryAfter spanrill.Millis = 100
 
-// endedRefusal returns the refusal for a request that has exceeded its deadline or whose caller has
-// disconnected.
+// endedRefusal returns the refusal of a request that has exceeded its deadline or whose caller has
+// disconnected. Sent tells whether an attempt may have reached an upstream.
 func (q *request) endedRefusal(sent bool) *spanrill.Refusal {
 	q.recordCallerLeft(sent)
 	refusal := spanrill.NewRefusal(spanrill.ReasonUpstreamTimeout, "no answer within %d ms", q.relay.Clock.Now()-q.start)
--- a/coordination/relay/refuse_test.go
+++ b/coordination/relay/refuse_test.go
@@ -17,7 +17,7 @@
 		for _, outcome := range []spanrill.Outcome{spanrill.OutcomeUnknown, spanrill.OutcomeRan} {
 			refusal := spanrill.NewRefusal(reason, "x").WithOutcome(outcome)
 			if status := statusOf(refusal); promises[status] {
-				t.Errorf("%s with outcome %s has the status %d", reason.Code(), outcome, status)
+				t.Errorf("%s with outcome %s has the status %d, which promises that the request has not run", reason.Code(), outcome, status)
 			}
 		}
 		refusal := spanrill.NewRefusal(reason, "x")
@@ -46,13 +46,13 @@
 			q.hasRun.Store(c.ran)
 			q.refuse(spanrill.NewRefusal(spanrill.ReasonChainsFull, "x").WithOutcome(c.outcome))
 			if got := q.relay.Meters.RefusedAfterRun.Get(); got != c.want {
-				t.Fatalf("counted %d, want %d", got, c.want)
+				t.Fatalf("%d false promises counted, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// noHeadersCodec adds no headers to a refusal.
+// noHeadersCodec is a HeaderCodec that adds no headers to a refusal.
 type noHeadersCodec struct{ spanrill.HeaderCodec }
 
 func (noHeadersCodec) WriteRefusal(*fasthttp.ResponseHeader, string, spanrill.Millis) {}
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -80,8 +80,8 @@
 	Log     logrus.FieldLogger
 	Meters  *meter.Meters
 	Random  *rng.Source
-	// StoreUnresponsive reports whether the store does not answer, so that a daemon that lacks the
-	// configuration or the upstreams will not have them soon.
+	// StoreUnresponsive reports whether the store does not answer. A daemon that lacks the
+	// configuration or the upstreams then will not get them soon.
 	StoreUnresponsive func() bool
 }
 
@@ -124,10 +124,10 @@
 	}
 }
 
-// InFlight returns the number of requests that are not answered completely.
+// InFlight returns the number of requests that are not completely answered yet.
 func (r *Relay) InFlight() int64 { return r.inFlight.Load() }
 
-// CloseConnections makes each answer close its connection, for a graceful shutdown.
+// CloseConnections makes every further answer close its connection, for a graceful shutdown.
 func (r *Relay) CloseConnections() { r.closing.Store(true) }
 
 // RefuseNewRequests makes the relay refuse new requests, for the end of a graceful shutdown.
@@ -145,11 +145,11 @@
 	account          *spanrill.Account
 	service          *spanrill.ServiceInfo
 	start            spanrill.Millis
-	deadline         spanrill.Millis // the answer is useless after this time
+	deadline         spanrill.Millis // the caller expects no answer after this time
 	body             []byte
-	finish           func()
-	sends            int
-	callerLeftLogged bool // the caller's disconnection was counted and logged
+	finish           func() // releases what the request holds, called once at its end
+	sends            int    // number of attempts so far
+	callerLeftLogged bool   // the caller's disconnection was counted and logged
 
 	hasRun     atomic.Bool // an upstream has answered without saying that it did not run the request
 	keptAnswer *attempt    // answer of an upstream that is passed on if later attempts bring none, or nil
@@ -217,9 +217,11 @@
 }
 
 const (
-	// notReadyRetryAfter is about how long a daemon takes to read the configuration.
+	// notReadyRetryAfter is the retry time while the configuration lacks something: about how long
+	// a daemon takes to read it.
 	notReadyRetryAfter spanrill.Millis = 500
-	// staleRetryAfter is about how long the store takes to answer a daemon again.
+	// staleRetryAfter is the retry time while the configuration or the upstreams are out of date:
+	// about how long the store takes to answer a daemon again.
 	staleRetryAfter spanrill.Millis = 700
 )
 
@@ -230,14 +232,14 @@
 	path, _, _ := strings.Cut(string(header.RequestURI()), "?")
 	route, ok := q.table.Find(string(header.Host()), path)
 	if !ok {
-		return q.unknownOrStale(spanrill.ReasonUnknownRoute, "no such route")
+		return q.unknownOrStaleRefusal(spanrill.ReasonUnknownRoute, "no such route")
 	}
 	q.route = route
 	if route.AuthExempt || !q.table.HasAccounts() {
 		return nil
 	}
 	if !q.configFresh() {
-		return q.configStale()
+		return q.staleConfigRefusal()
 	}
 	if q.account, ok = q.table.Account(q.head.APIKey); !ok {
 		return spanrill.NewRefusal(spanrill.ReasonBadKey, "missing or unknown key")
@@ -245,11 +247,11 @@
 	return nil
 }
 
-// unknownOrStale returns a refusal with the given reason, or one that asks the caller to retry if
-// the configuration may be out of date.
-func (q *request) unknownOrStale(reason spanrill.Reason, text string) *spanrill.Refusal {
+// unknownOrStaleRefusal returns a refusal with the given reason, or one that asks the caller to
+// retry if the configuration may be out of date.
+func (q *request) unknownOrStaleRefusal(reason spanrill.Reason, text string) *spanrill.Refusal {
 	if !q.configFresh() {
-		return q.configStale()
+		return q.staleConfigRefusal()
 	}
 	return spanrill.NewRefusal(reason, "%s", text)
 }
@@ -258,13 +260,14 @@
 // key.
 func (q *request) configFresh() bool { return q.relay.Config.Age() <= q.relay.options.MaxConfigAge }
 
-func (q *request) configStale() *spanrill.Refusal {
+// staleConfigRefusal returns the refusal of a request for which the configuration is too old.
+func (q *request) staleConfigRefusal() *spanrill.Refusal {
 	return spanrill.NewRefusal(spanrill.ReasonConfigStale, "configuration was last confirmed %d ms ago", q.relay.Config.Age()).
 		WithRetryAfter(staleRetryAfter)
 }
 
-// begin sets the deadline of an admitted request, starts to watch its caller, and sets finish to
-// undo that.
+// begin sets the deadline of an admitted request, starts to watch its caller, and makes finish undo
+// that.
 func (q *request) begin() {
 	timeout := q.route.Timeout
 	if q.head.Deadline > 0 && (timeout <= 0 || q.head.Deadline < timeout) {
@@ -304,15 +307,16 @@
 	return q.route.Priority
 }
 
-// upstreamRequest builds the request for one attempt. The caller releases it.
-func (q *request) upstreamRequest(send spanrill.UpstreamRequest) *fasthttp.Request {
+// upstreamRequest builds the request for one attempt from the caller's request. It must be released
+// with fasthttp.ReleaseRequest.
+func (q *request) upstreamRequest(fields spanrill.UpstreamRequest) *fasthttp.Request {
 	if q.account != nil {
-		send.Account = q.account.Name
+		fields.Account = q.account.Name
 	}
-	send.Remaining = q.remaining()
+	fields.Remaining = q.remaining()
 	req := fasthttp.AcquireRequest()
 	q.http.Request.Header.CopyTo(&req.Header)
-	q.relay.Codec.WriteRequest(&req.Header, send)
+	q.relay.Codec.WriteRequest(&req.Header, fields)
 	req.SetBodyRaw(q.body)
 	return req
 }
--- a/coordination/relay/rests.go
+++ b/coordination/relay/rests.go
@@ -10,14 +10,15 @@
 	"spanrill/transport/httpcall"
 )
 
-// failedPresendCheck reports whether a call was ended before its first byte because its upstream
-// rests, leaves, or has exhausted its rate limit. Such a call is not a failure of the upstream.
+// failedPresendCheck reports whether a call ended before its first byte was sent because its
+// upstream rests, leaves, or has exhausted its rate limit. Such a call is not a failure of the
+// upstream.
 func failedPresendCheck(err error) bool {
 	return errors.Is(err, fleet.ErrResting) || errors.Is(err, fleet.ErrLeaving) || errors.Is(err, fleet.ErrLimited)
 }
 
-// withSendCheck returns a context that makes a call check once more, when it has a connection,
-// whether the upstream may be sent a request.
+// withSendCheck returns a context with which a call checks, once it has a connection, whether the
+// upstream may still be sent a request.
 func (r *Relay) withSendCheck(ctx context.Context, u *fleet.Upstream) context.Context {
 	return httpcall.WithPresendCheck(ctx, func() error {
 		if err := u.CheckSend(r.Clock.Now()); err != nil {
@@ -28,10 +29,10 @@
 }
 
 // restRetryAfter returns the retry time of a caller whose possible upstreams rest, or 0 if none
-// does. It is when the first of them takes requests again, plus a delay that grows with the time
-// that the upstream has rested. The callers that are refused during a rest thus return spread over
-// half its length after its end. If all returned at its end, they would overload the upstream
-// again. One after another, the first finds out for the others whether it has recovered.
+// rests. It is the time until one of them takes requests again, plus a delay that grows with the
+// time that it has rested already. Callers refused during a rest thus return spread over half its
+// length after its end. If all returned at its end, they would overload the upstream again. When
+// they return one after another, the first finds out for the others whether it has recovered.
 func restRetryAfter(upstreams []*fleet.Upstream, now spanrill.Millis) spanrill.Millis {
 	earliest := spanrill.Millis(0)
 	for _, u := range upstreams {
@@ -43,8 +44,9 @@
 	return earliest
 }
 
-// restSpreadDivisor is the ratio of the time rested to the delay after the rest's end. With 2, the
-// callers refused during a rest return at twice their usual rate, in addition to the usual traffic.
+// restSpreadDivisor is the ratio of the time rested to the delay after the end of the rest. With 2,
+// the callers refused during a rest return at twice their usual rate, in addition to the usual
+// traffic.
 const restSpreadDivisor = 2
 
 // restingUpstreams returns the upstreams that could take the request if they did not rest.
@@ -63,7 +65,8 @@
 	return blocked
 }
 
-// restRefusal refuses a request because all its upstreams rest. No engine has run it.
+// restRefusal returns the refusal of a request whose possible upstreams rest. Its outcome is that
+// no upstream has run the request.
 func (q *request) restRefusal(resting []*fleet.Upstream) *spanrill.Refusal {
 	return spanrill.NewRefusal(spanrill.ReasonUpstreamsRest, "%d upstreams that could take it have asked for rest", len(resting)).
 		WithRetryAfter(restRetryAfter(resting, q.relay.Clock.Now()))
--- a/coordination/relay/rests_test.go
+++ b/coordination/relay/rests_test.go
@@ -21,18 +21,18 @@
 	)
 	q, clock := plainRequest()
 	q.relay.Fleet.HandleNotice("1:1", spanrill.Notice{Rest: rest}, clock.Now())
-	restStart, returns := clock.Now(), map[spanrill.Millis]int{}
+	restStart, returnsPerWindow := clock.Now(), map[spanrill.Millis]int{}
 	for ; clock.Now() < restStart+rest; clock.Advance(gap) {
 		refusal := q.noUpstreamRefusal(&attempt{})
-		at := clock.Now() + refusal.RetryAfter()
-		if refusal.Reason() != spanrill.ReasonUpstreamsRest || refusal.Outcome() != spanrill.OutcomeNotRun || at < restStart+rest {
-			t.Fatalf("refused with %v, retry at %d ms", refusal, at-restStart)
+		retryAt := clock.Now() + refusal.RetryAfter()
+		if refusal.Reason() != spanrill.ReasonUpstreamsRest || refusal.Outcome() != spanrill.OutcomeNotRun || retryAt < restStart+rest {
+			t.Fatalf("refused with %v and retry %d ms after the start of the rest, want ReasonUpstreamsRest, OutcomeNotRun and a retry after its end", refusal, retryAt-restStart)
 		}
-		returns[at/window]++
+		returnsPerWindow[retryAt/window]++
 	}
-	for at, n := range returns {
+	for index, n := range returnsPerWindow {
 		if n > maxPerWindow {
-			t.Errorf("%d callers retry between %d and %d ms, want at most %d", n, at*window-restStart, (at+1)*window-restStart, maxPerWindow)
+			t.Errorf("%d callers retry between %d and %d ms, want at most %d", n, index*window-restStart, (index+1)*window-restStart, maxPerWindow)
 		}
 	}
 	if q.pickPlain(nil) == nil {
@@ -50,7 +50,7 @@
 		q.relay.Fleet.HandleNotice(addr, spanrill.Notice{Rest: rest}, clock.Now())
 	}
 	if got := q.noUpstreamRefusal(&attempt{}).RetryAfter(); got != 1000 {
-		t.Errorf("retry after %d ms, want the 1000 that are left of the shorter rest", got)
+		t.Errorf("retry after %d ms, want 1000 ms, the rest of the upstream whose rest ends first", got)
 	}
 }
 
@@ -72,7 +72,7 @@
 			q.relay.Fleet.HandleNotice(u.Addr(), c.notice, clock.Now())
 			err := u.CheckSend(clock.Now())
 			if !errors.Is(err, c.want) || failedPresendCheck(err) != (c.want != nil) {
-				t.Fatalf("error %v, want %v", err, c.want)
+				t.Fatalf("CheckSend returned %v, want %v, and failedPresendCheck must be true for all but nil", err, c.want)
 			}
 			if err == nil {
 				return
@@ -80,7 +80,7 @@
 			a := attempt{upstream: u}
 			a.recordFailure(clock.Now(), &spanrill.CallError{Phase: spanrill.PhaseDial, Cause: err})
 			if a.reached || a.outcome != spanrill.OutcomeNotRun || u.Avoided(clock.Now()) || u.FailureRate(clock.Now()) > 0 {
-				t.Errorf("reached %t, outcome %v, avoided %t, risk %v", a.reached, a.outcome, u.Avoided(clock.Now()), u.FailureRate(clock.Now()))
+				t.Errorf("reached %t, outcome %v, avoided %t, failure rate %v; want false, not run, false, 0", a.reached, a.outcome, u.Avoided(clock.Now()), u.FailureRate(clock.Now()))
 			}
 		})
 	}
--- a/coordination/relay/retrytimes.go
+++ b/coordination/relay/retrytimes.go
@@ -6,22 +6,22 @@
 	"spanrill"
 )
 
-// roomRetryTimes computes retry times for callers that find all chains full. They are spaced at the
-// rate at which requests of this daemon have ended lately. Callers with the same retry time would
-// return together and be refused again, and a caller retries only a few times.
+// roomRetryTimes computes retry times for callers that find all chains full. The times are spaced
+// at the rate at which requests of this daemon have ended lately. Callers with the same retry time
+// would return together and be refused again, and a caller retries only a few times.
 type roomRetryTimes struct {
 	mu      sync.Mutex
 	lastEnd spanrill.Millis
-	endGap  float64         // smoothed milliseconds between two ends of requests, or 0 before the second
+	endGap  float64         // smoothed time between two ends of requests in milliseconds, or 0 before the second
 	next    spanrill.Millis // retry time of the caller that was refused last
 }
 
 const (
-	// endGapSamples is the number of ends over which endGap is smoothed: about those of one second
-	// at a daemon.
+	// endGapSamples is the number of ends over which endGap is smoothed: about as many as a daemon
+	// has in a second.
 	endGapSamples = 16
-	// maxRetryWait is the longest retry time that callers are given: a third of the shortest
-	// deadline of streams, which is how long callers wait.
+	// maxRetryWait is the longest retry time that callers are given. It is a third of the shortest
+	// deadline of streams, beyond which callers do not wait.
 	maxRetryWait = 5 * spanrill.Second
 )
 
--- a/coordination/relay/retrytimes_test.go
+++ b/coordination/relay/retrytimes_test.go
@@ -21,19 +21,19 @@
 		{"restarts when the time would be too long", 1000, 5, fullRetryAfter},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			turns, now := &roomRetryTimes{}, spanrill.Millis(1000)
+			retryTimes, now := &roomRetryTimes{}, spanrill.Millis(1000)
 			for range 50 {
 				if c.gap > 0 {
 					now += c.gap
-					turns.recordEnd(now)
+					retryTimes.recordEnd(now)
 				}
 			}
-			after := spanrill.Millis(0)
+			wait := spanrill.Millis(0)
 			for range c.callers {
-				after, _ = turns.take(now)
+				wait, _ = retryTimes.take(now)
 			}
-			if after != c.want {
-				t.Fatalf("caller %d retries after %d ms, want %d", c.callers, after, c.want)
+			if wait != c.want {
+				t.Fatalf("caller %d retries after %d ms, want %d ms", c.callers, wait, c.want)
 			}
 		})
 	}
--- a/coordination/relay/sentto_test.go
+++ b/coordination/relay/sentto_test.go
@@ -17,10 +17,10 @@
 // limit on engines, unless it has run the request before.
 func TestEngineCountsOnlyIfItRan(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		failure func(u *fleet.Upstream) *sendError
-		ran     bool
-		counts  bool
+		name        string
+		failure     func(u *fleet.Upstream) *sendError
+		ranBefore   bool
+		wantCounted bool
 	}{
 		{"refuses", refusedError, false, false},
 		{"ran the request before and refuses", refusedError, true, true},
@@ -35,23 +35,23 @@
 			q.relay.Router = chainrouting.New(table, q.relay.Clock, q.relay.Log, rng.New(1))
 			q.service = &spanrill.ServiceInfo{Model: &spanrill.EngineModel{}}
 			a := table.View().ByID("a")
-			g := &generation{request: q, begun: true, avoid: map[string]bool{}, sentTo: map[string]*fleet.Upstream{"a": a}, ranOn: map[string]bool{"a": c.ran}}
+			g := &generation{request: q, begun: true, avoid: map[string]bool{}, sentTo: map[string]*fleet.Upstream{"a": a}, ranOn: map[string]bool{"a": c.ranBefore}}
 			g.recordFailure(a, c.failure(a))
-			if counts := g.sentTo["a"] != nil; counts != c.counts {
-				t.Fatalf("engine counts: %t, want %t", counts, c.counts)
+			if counts := g.sentTo["a"] != nil; counts != c.wantCounted {
+				t.Fatalf("engine counts toward the limit: %t, want %t", counts, c.wantCounted)
 			}
 		})
 	}
 }
 
 func refusedError(u *fleet.Upstream) *sendError {
-	return &sendError{outcome: spanrill.OutcomeNotRun, retry: meter.RetryRefused, engineAtFault: u, cause: errors.New("refused")}
+	return &sendError{outcome: spanrill.OutcomeNotRun, retryReason: meter.RetryRefused, engineAtFault: u, cause: errors.New("refused")}
 }
 
 func dialError(*fleet.Upstream) *sendError {
-	return &sendError{outcome: spanrill.OutcomeNotRun, retry: meter.RetryDial, cause: errors.New("no connection")}
+	return &sendError{outcome: spanrill.OutcomeNotRun, retryReason: meter.RetryDial, cause: errors.New("no connection")}
 }
 
 func answerError(*fleet.Upstream) *sendError {
-	return &sendError{outcome: spanrill.OutcomeUnknown, retry: meter.RetryCut, cause: errors.New("no answer")}
+	return &sendError{outcome: spanrill.OutcomeUnknown, retryReason: meter.RetryCut, cause: errors.New("no answer")}
 }
--- a/coordination/relay/start.go
+++ b/coordination/relay/start.go
@@ -16,17 +16,16 @@
 // such requests were refused in the first 0.8 s after a restart of 73 daemons.
 type startupHold struct {
 	clock             spanrill.Clock
-	ready             []<-chan struct{} // each is closed once one of the things that requests need is known
-	storeUnresponsive func() bool       // the store does not answer, so nothing will be known soon
-	firstHeldAt       atomic.Int64      // when the first request was held, or noneHeld
+	ready             []<-chan struct{} // one is closed when the configuration is known, one when the upstreams are
+	storeUnresponsive func() bool       // reports whether the store does not answer, so that nothing will be known soon
+	firstHeldAt       atomic.Int64      // when the first request was delayed, or noneHeld
 }
 
 const (
-	// maxHold is the maximum delay. Callers of streams expect a first event within 500 ms, and a
-	// daemon that starts together with all others knows what it needs 120 ms after its first
-	// request.
+	// maxHold is the maximum delay. Callers of streams expect the first event within 500 ms, and a
+	// daemon that starts together with all others is ready 120 ms after its first request.
 	maxHold spanrill.Millis = 250
-	// noneHeld means that no request was held.
+	// noneHeld means that no request was delayed.
 	noneHeld = -1
 )
 
@@ -36,8 +35,8 @@
 	return s
 }
 
-// await waits until the daemon is ready, at most maxHold, and reports whether it waited. It does
-// not wait if the store is unresponsive.
+// await delays a request until the daemon is ready, but at most for maxHold, and reports whether it
+// did. It does not wait if the store is unresponsive.
 func (s *startupHold) await(log logrus.FieldLogger) (held bool) {
 	if s.isReady() || s.storeUnresponsive() {
 		return false
@@ -67,9 +66,9 @@
 	return true
 }
 
-// FirstHeldAt returns when the first request was held because this daemon did not know a
+// FirstHeldAt returns when a request was first delayed because this daemon did not know a
 // configuration and upstreams yet, and whether any was.
 func (r *Relay) FirstHeldAt() (spanrill.Millis, bool) {
-	since := r.startup.firstHeldAt.Load()
-	return spanrill.Millis(since), since != noneHeld
+	heldAt := r.startup.firstHeldAt.Load()
+	return spanrill.Millis(heldAt), heldAt != noneHeld
 }
--- a/coordination/relay/start_test.go
+++ b/coordination/relay/start_test.go
@@ -14,7 +14,7 @@
 		name              string
 		storeUnresponsive bool
 		config            spanrill.Millis // when the configuration is known
-		entries           spanrill.Millis // when the upstreams are
+		entries           spanrill.Millis // when the upstreams are known
 		held              spanrill.Millis // how long a request waits
 	}{
 		{"all known", false, 0, 0, 0},
@@ -34,15 +34,15 @@
 			}
 			done := make(chan bool)
 			go func() { done <- s.await(q.relay.Log) }()
-			waits := c.held > 0
-			if waits {
+			wantHeld := c.held > 0
+			if wantHeld {
 				manual.AwaitTimers(1)
 			}
 			const step spanrill.Millis = 10
 			for now := step; now <= c.held; now += step {
 				select {
 				case <-done:
-					t.Fatalf("answered after %d ms, want %d", now-step, c.held)
+					t.Fatalf("request waited at most %d ms, want %d ms", now-step, c.held)
 				default:
 				}
 				manual.Advance(step)
@@ -53,11 +53,11 @@
 					close(entries)
 				}
 			}
-			if held := <-done; held != waits {
-				t.Fatalf("held: %t, want %t", held, waits)
+			if held := <-done; held != wantHeld {
+				t.Fatalf("held: %t, want %t", held, wantHeld)
 			}
-			if since := s.firstHeldAt.Load(); (since != noneHeld) != waits {
-				t.Fatalf("first request held at %d", since)
+			if heldAt := s.firstHeldAt.Load(); (heldAt != noneHeld) != wantHeld {
+				t.Fatalf("first request held at %d ms (-1 if none was), want the opposite", heldAt)
 			}
 		})
 	}
--- a/coordination/relay/stream.go
+++ b/coordination/relay/stream.go
@@ -12,10 +12,10 @@
 	"spanrill/meter"
 )
 
-// eventBody is the body of a stream's answer. It reads events from the engine, and from other
-// engines after the stream was resumed. Only whole events are forwarded, so that a caller never
-// receives parts of two events joined. If a stream cannot be completed, Read returns an error, and
-// the caller's connection is closed without the end mark of the body.
+// eventBody is the body of a stream's answer. It reads events from the engine, and after the stream
+// was resumed from other engines. Only whole events are forwarded, so that a caller never receives
+// parts of two events joined. If a stream cannot be completed, Read returns an error and the
+// caller's connection is closed without the end mark of the body.
 type eventBody struct {
 	g               *generation
 	framer          *framer
@@ -26,8 +26,8 @@
 	events          int
 	firstEventDelay spanrill.Millis // from the request to the first event
 	longestPause    spanrill.Millis // longest time between two events
-	complete        bool            // the engine has sent all events
-	resumed         int             // times that the stream was resumed on another path
+	complete        bool            // all events have arrived
+	resumes         int             // how often the stream was resumed on another path
 	failure         error
 }
 
@@ -54,7 +54,8 @@
 	return n, nil
 }
 
-// fill reads once from the engine. If the attempt has ended, it resumes the stream.
+// fill reads once from the engine. If the attempt has ended before the end of the stream, it
+// resumes the stream.
 func (b *eventBody) fill() error {
 	n, err := b.g.answer.Body().Read(b.readBuf)
 	if n > 0 {
@@ -101,7 +102,7 @@
 		g.firstEventAt = now
 	}
 	g.abandonContinuation() // an event has shown that the running attempt works
-	g.lastEvent = b.framer.lastID
+	g.lastEventID = b.framer.lastID
 	b.lastEventAt, g.lastEventAt, g.nextProbeSilence, g.nextDeliveryCheckSilence = now, now, 0, 0
 	g.continuedOnSilence, g.noOtherPathLogged, g.rereadsTokens, g.failedMoves = false, false, false, 0
 	b.events += count
@@ -114,7 +115,7 @@
 	}
 }
 
-// growInterval is the number of events after which the reservation of memory is adjusted.
+// growInterval is the number of events after which the reservation of memory is raised.
 const growInterval = 8
 
 // errCutOff means that a stream cannot be completed.
@@ -147,7 +148,8 @@
 	}
 }
 
-// recordLostAttempt records that the running attempt ended before its answer was complete.
+// recordLostAttempt records that the running attempt ended before its answer was complete, and
+// releases it.
 func (g *generation) recordLostAttempt() {
 	g.mayHaveRun = true
 	if g.ctx.Err() == nil {
@@ -164,7 +166,7 @@
 	cause := g.pending.cause
 	g.adoptContinuation()
 	b.framer.dropPartial()
-	b.resumed++
+	b.resumes++
 	g.relay.Meters.StreamsResumed.Inc()
 	g.relay.failureLog.Log(events.ContinuationAdopted, g.relay.Log, func() logrus.Fields {
 		f := g.logFields()
@@ -173,8 +175,8 @@
 	})
 }
 
-// retryReason returns the metric label for the cause of a continuation.
-func retryReason(cause error) meter.Retry {
+// retryReasonOf returns the metric label for the cause of a continuation.
+func retryReasonOf(cause error) meter.Retry {
 	switch {
 	case errors.Is(cause, errFirstEngineDead), errors.Is(cause, errStageDead), errors.Is(cause, errMovesFailed):
 		return meter.RetryStageLost
@@ -189,12 +191,12 @@
 // give up a stream after 2 s without an event.
 const maxResumeWait spanrill.Millis = 1200
 
-// Close ends the request, whether it is complete or not.
+// Close ends the request, whether its stream is complete or not.
 func (b *eventBody) Close() error {
 	g := b.g
 	g.relay.roomRetries.recordEnd(g.relay.Clock.Now())
-	whole := b.complete && len(b.ready) == 0
-	if whole {
+	delivered := b.complete && len(b.ready) == 0
+	if delivered {
 		g.recordServed()
 		g.firstEngine.RecordSuccess(g.relay.Clock.Now())
 		if g.head.LastEventID == "" {
@@ -202,17 +204,17 @@
 		}
 		g.relay.Meters.CountOutcome(spanrill.OutcomeRan)
 	}
-	b.logEnd(whole)
+	b.logEnd(delivered)
 	g.release()
 	g.finish()
 	return nil
 }
 
-func (b *eventBody) logEnd(whole bool) {
+func (b *eventBody) logEnd(delivered bool) {
 	g := b.g
 	extra := func() logrus.Fields {
 		f := logrus.Fields{
-			"events": b.events, "last_event": b.framer.lastID, "taken_up": b.resumed, "moves": g.moves, "whole": whole,
+			"events": b.events, "last_event": b.framer.lastID, "taken_up": b.resumes, "moves": g.moves, "whole": delivered,
 			"first_ms": b.firstEventDelay, "longest_pause_ms": b.longestPause,
 		}
 		if g.firstEngine != nil {
@@ -223,7 +225,7 @@
 		}
 		return f
 	}
-	if whole {
+	if delivered {
 		g.logEnded(fasthttp.StatusOK, extra())
 		return
 	}
--- a/coordination/relay/streams.go
+++ b/coordination/relay/streams.go
@@ -19,32 +19,34 @@
 }
 
 // add registers a generation and returns the function that removes it.
-func (s *runningGenerations) add(g *generation) func() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.nextID++
-	id := s.nextID
-	s.all[id] = g
+func (rg *runningGenerations) add(g *generation) func() {
+	rg.mu.Lock()
+	defer rg.mu.Unlock()
+	rg.nextID++
+	id := rg.nextID
+	rg.all[id] = g
 	return func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		delete(s.all, id)
+		rg.mu.Lock()
+		defer rg.mu.Unlock()
+		delete(rg.all, id)
 	}
 }
 
 // checkDeadPaths makes each generation with a dead engine on its path check that path now.
-func (s *runningGenerations) checkDeadPaths() { s.checkPaths((*chainrouting.Path).HasDead) }
+func (rg *runningGenerations) checkDeadPaths() { rg.checkPaths((*chainrouting.Path).HasDead) }
 
 // RecheckDeadPaths makes each request with a dead engine on its path check that path now.
 func (r *Relay) RecheckDeadPaths() { r.generations.checkDeadPaths() }
 
-// checkVacatedPaths does the same for paths with an engine that is to give up layers of the path.
-func (s *runningGenerations) checkVacatedPaths() { s.checkPaths((*chainrouting.Path).LosesLayers) }
+// checkVacatedPaths makes each generation with an engine that is to give up layers of its path
+// check that path now.
+func (rg *runningGenerations) checkVacatedPaths() { rg.checkPaths((*chainrouting.Path).LosesLayers) }
 
-func (s *runningGenerations) checkPaths(matches func(*chainrouting.Path) bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, g := range s.all {
+// checkPaths runs onSilence immediately for each generation whose path matches.
+func (rg *runningGenerations) checkPaths(matches func(*chainrouting.Path) bool) {
+	rg.mu.Lock()
+	defer rg.mu.Unlock()
+	for _, g := range rg.all {
 		path, checkNow := g.sharedPath.Load(), g.checkNow.Load()
 		if path != nil && checkNow != nil && matches(path) {
 			(*checkNow)()
--- a/coordination/relay/watch.go
+++ b/coordination/relay/watch.go
@@ -16,21 +16,21 @@
 
 const (
 	// minWatchGap is the shortest silence of a path after which a request probes its engines.
-	// Events arrive with this much jitter, because the batches of engines differ.
+	// Events jitter by this much, because the batches of engines differ.
 	minWatchGap spanrill.Millis = 65
-	// watchGapFactor is the length of such a silence relative to the usual time between events. A
-	// prompt that is read between two tokens makes a single pause longer by a third.
+	// watchGapFactor is the ratio of the silence to the usual time between events. A prompt that is
+	// read between two tokens makes a single pause longer by a third.
 	watchGapFactor = 1.4
-	// engineIdleMargin shortens the time without output on any request of this daemon after which
-	// an engine is probed.
+	// engineIdleMargin is subtracted from the silence of the path to get the time without output,
+	// on any request of this daemon, after which an engine is probed.
 	engineIdleMargin spanrill.Millis = 5
 	// firstEventWatchGap is the silence before the first event, while the prompt is read, after
 	// which a request probes its engines.
 	firstEventWatchGap spanrill.Millis = 240
-	// stalledReportSilence is the silence after which the first engine's list of stalled requests
-	// is trusted. That list lags by 200 ms.
+	// stalledReportSilence is the silence from which on the first engine's list of stalled requests
+	// is used. The list lags by 200 ms.
 	stalledReportSilence spanrill.Millis = 320
-	// moveTimeout limits the order that moves a request.
+	// moveTimeout is the timeout of an order to move a request.
 	moveTimeout spanrill.Millis = 300
 	// maxMoves is how often one request may be moved.
 	maxMoves = 6
@@ -47,16 +47,16 @@
 	// errMovesFailed means that too many orders to move the request have failed.
 	errMovesFailed = errors.New("orders to move the request failed")
 	// errNoEvents means that no event has arrived for long although all engines of the path answer.
-	// The connection itself may be broken.
+	// The connection may be broken.
 	errNoEvents = errors.New("no events although the engines answer")
 )
 
-// checkInterval returns the silence after which onSilence runs.
+// checkInterval returns the pause before the next run of onSilence while nothing arrives.
 func (g *generation) checkInterval() spanrill.Millis { return g.watchGap() }
 
-// onSilence runs on the request's goroutine while nothing arrives from the path. An error ends the
-// attempt. It is returned only if the request has ended or a continuation was accepted: silence
-// alone does not prove that the attempt has failed.
+// onSilence runs on the request's goroutine while nothing arrives from the path. Its error ends the
+// attempt. It returns one only if the request has ended or a continuation was accepted, because
+// silence alone does not prove that the attempt has failed.
 func (g *generation) onSilence(silent spanrill.Millis) error {
 	if err := g.ctx.Err(); err != nil {
 		return err
@@ -70,9 +70,9 @@
 	case continuationOpening:
 		return nil
 	}
-	answered := g.probeWhenSilent(silent)
+	noneDead := g.probeWhenSilent(silent)
 	switch {
-	case answered && g.begun && silent < g.undeliveredAfter() && g.path.LosesLayers():
+	case noneDead && g.begun && silent < g.undeliveredAfter() && g.path.LosesLayers():
 		g.vacate()
 	case g.firstEngine.Dead():
 		g.recordBrokenAttempt(g.firstEngine, g.streamingTime())
@@ -102,11 +102,12 @@
 
 // undeliveredSilence is the silence after which a stream is also sent to another chain although all
 // its engines answer, because its connection may be broken. Callers give up a stream after 2 s
-// without an event, and a new attempt has to read all tokens so far.
+// without an event, and the new attempt first has to read all tokens so far.
 const undeliveredSilence spanrill.Millis = 700
 
-// undeliveredAfter returns that silence for the current path. It is longer while engines that are
-// new on the path read the prompt and all tokens so far, for many requests one after another.
+// undeliveredAfter returns undeliveredSilence, or twice that before the first event and while
+// engines that are new on the path read the prompt and all tokens so far, for many requests one
+// after another.
 func (g *generation) undeliveredAfter() spanrill.Millis {
 	if g.rereadsTokens || !g.begun {
 		return 2 * undeliveredSilence
@@ -114,8 +115,8 @@
 	return undeliveredSilence
 }
 
-// runsUndelivered reports whether the first engine answers and has no waiting requests, and does
-// not list this request as stalled. The request then runs and its events do not arrive. Requests
+// runsUndelivered reports whether the request probably runs while its events do not arrive: its
+// first engine answers, has no waiting requests, and does not list the request as stalled. Requests
 // that an engine has preempted for lack of memory, or that wait for a dead engine, are silent too.
 func (g *generation) runsUndelivered() bool {
 	report, ok := g.relay.Prober.Check(g.ctx, []*fleet.Upstream{g.firstEngine})[g.firstEngine.ID()]
@@ -156,8 +157,8 @@
 	}
 }
 
-// watchGap returns the silence of the path after which the request probes its engines. It follows
-// the usual time between events of the path's first engine, since engines choose how many tokens an
+// watchGap returns the silence of the path after which the request probes its engines. It depends
+// on the usual time between events of the first engine, because engines choose how many tokens an
 // event holds.
 func (g *generation) watchGap() spanrill.Millis {
 	if g.firstEngine == nil {
@@ -166,12 +167,12 @@
 	return max(minWatchGap, spanrill.Millis(watchGapFactor*float64(g.firstEngine.EventGap())))
 }
 
-// probeBackoffFactor is the growth of the silence from one probe of the engines to the next, which
+// probeBackoffFactor is the ratio of the silence at the next probe to that at the last one. It
 // limits the cost of probing.
 const probeBackoffFactor = 2
 
-// recordFirstEventLag records, for the routing of other requests, that a first event is late on
-// this path.
+// recordFirstEventLag records for the first engine that the first event is late, so that other
+// requests are routed accordingly.
 func (g *generation) recordFirstEventLag() {
 	now := g.relay.Clock.Now()
 	waited := float64(now - g.sentAt)
@@ -184,8 +185,8 @@
 // late. Requests differ, and engines batch them.
 const slowFirstEventFactor = 2.0
 
-// expectedFirstEvent returns the expected time to the first event in milliseconds: the prompt is
-// read and one token passes through the path.
+// expectedFirstEvent returns the expected time from sending to the first event in milliseconds, in
+// which the prompt is read and one token passes through the path.
 func (g *generation) expectedFirstEvent() float64 {
 	return max(minExpectedFirstEvent, float64(g.route.LatencyTarget)/firstEventTargetDivisor)
 }
@@ -193,12 +194,12 @@
 const (
 	// minExpectedFirstEvent is the shortest expected time to the first event, in milliseconds.
 	minExpectedFirstEvent = 60.0
-	// firstEventTargetDivisor is the part of the route's target that a first event takes on a good
-	// path.
+	// firstEventTargetDivisor is the ratio of the route's target to the time of a first event on a
+	// good path.
 	firstEventTargetDivisor = 5.0
 )
 
-// probeSilentEngines probes the engines of the path that have produced nothing lately for any
+// probeSilentEngines probes the engines of the path that have lately produced nothing for any
 // request of this daemon. If there are none and the silence is long, it probes the first engine. It
 // reports whether it probed any.
 func (g *generation) probeSilentEngines(silent spanrill.Millis) bool {
@@ -226,10 +227,10 @@
 	return true
 }
 
-// logSilenceAfter is the silence that is logged.
+// logSilenceAfter is the silence after which it is logged.
 const logSilenceAfter spanrill.Millis = 500
 
-// logSilence logs once for each silence what the engines of the path report.
+// logSilence logs what the engines of the path report, once in each silence.
 func (g *generation) logSilence(silent spanrill.Millis, reports map[string]spanrill.EngineReport) {
 	if silent < logSilenceAfter || silent >= logSilenceAfter+g.watchGap() {
 		return
@@ -244,8 +245,8 @@
 	})
 }
 
-// markStalledEngine marks the engine as dead on which, as the first engine reports, the request has
-// stalled, although that engine answers probes.
+// markStalledEngine marks as dead the engine that the request waits for according to the report of
+// the first engine, even if it answers probes.
 func (g *generation) markStalledEngine(report spanrill.EngineReport) {
 	for _, s := range report.StalledRequests {
 		if s.RequestID != g.head.ID {
@@ -265,9 +266,10 @@
 
 func (g *generation) hasDeadEngine() bool { return g.path.HasDead() }
 
-// move gives the running request another path with the same first engine, on which dead engines are
-// replaced, and reports whether it did. The replacements are in the availability zones of the dead
-// engines if sameZone is set, or in any zone.
+// move orders the first engine to continue the running request on another path, which starts at the
+// same engine and on which dead engines are replaced. It reports whether that succeeded. The
+// replacements are in the availability zones of the dead engines if sameZone is set, or else in any
+// zone.
 func (g *generation) move(sameZone bool) bool {
 	r := g.relay
 	if g.moves >= maxMoves || sameZone && g.failedMoves >= maxFailedMoves {
@@ -297,7 +299,7 @@
 }
 
 // maxFailedMoves is the number of failed orders to move a request after which it is continued on
-// another chain.
+// another chain instead.
 const maxFailedMoves = 3
 
 // hasOtherPath reports whether another path has room for the request and the retry budget allows
--- a/coordination/relay/watch_test.go
+++ b/coordination/relay/watch_test.go
@@ -13,7 +13,7 @@
 func TestWatchGap(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		pauses []spanrill.Millis
+		pauses []spanrill.Millis // between events
 		want   spanrill.Millis
 	}{
 		{"no pauses", nil, minWatchGap},
@@ -31,7 +31,7 @@
 				g.firstEngine.RecordEventGap(p)
 			}
 			if got := g.watchGap(); got != c.want {
-				t.Fatalf("%d ms, want %d", got, c.want)
+				t.Fatalf("watch gap %d ms, want %d ms", got, c.want)
 			}
 		})
 	}
