--- a/coordination/exchange/placement.go
+++ b/coordination/exchange/placement.go
@@ -33,9 +33,9 @@
 	return p.holder != "" && e.clock.Now()-p.reportedAt < placementTTL+2*(e.BroadcastTime()-roundInterval)
 }
 
-// PlacementHeld reports whether another daemon recently reported that it holds the placement
+// PeerHoldsPlacement reports whether another daemon recently reported that it holds the placement
 // lease.
-func (e *Exchange) PlacementHeld() bool {
+func (e *Exchange) PeerHoldsPlacement() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.isFresh(&e.placement)
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -22,7 +22,7 @@
 		g.leaseHeldAt.Store(int64(now))
 		return term, true
 	}
-	if g.draining.Load() || g.exchange.PlacementHeld() {
+	if g.draining.Load() || g.exchange.PeerHoldsPlacement() {
 		return 0, false
 	}
 	_, _, age := g.fleet.Freshness()
@@ -54,10 +54,10 @@
 // others try when the lease has been free for so long that the first ones must be unreachable.
 func (g *Gateway) isLeaseCandidate() bool {
 	now := int64(g.clock.Now())
-	if g.exchange.PlacementHeld() || g.leaseFreeSince.Load() < 0 {
+	if g.exchange.PeerHoldsPlacement() || g.leaseFreeSince.Load() < 0 {
 		g.leaseFreeSince.Store(now)
 	}
-	if g.draining.Load() || g.config.Table() == nil || g.exchange.PlacementHeld() {
+	if g.draining.Load() || g.config.Table() == nil || g.exchange.PeerHoldsPlacement() {
 		return false
 	}
 	if g.peers.rank("placement") < rankedDaemons && (!g.isStarting() || g.isSeed()) {
