--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -27,7 +27,7 @@
 	ID     string
 	Zone   string
 	Layers spanrill.LayerRange
-	Used   int64   // tokens reserved by running requests; of holders of the same layers, the one with the most becomes a part
+	ReservedTokens   int64   // tokens reserved by running requests; of holders of the same layers, the one with the most becomes a part
 	Pace   float64 // time factor of the engine's kind, lower is faster; of series that cover as much, the fastest becomes the chain
 }
 
--- a/coordination/chain/read.go
+++ b/coordination/chain/read.go
@@ -186,7 +186,7 @@
 	return cmp.Or(
 		cmp.Compare(a.Layers.From, b.Layers.From),
 		cmp.Compare(a.Layers.To, b.Layers.To),
-		cmp.Compare(b.Used, a.Used),
+		cmp.Compare(b.ReservedTokens, a.ReservedTokens),
 		strings.Compare(a.ID, b.ID),
 	)
 }
--- a/coordination/chainrouting/path.go
+++ b/coordination/chainrouting/path.go
@@ -103,8 +103,8 @@
 	return false
 }
 
-// Dead returns the ids of the engines that did not answer their last probe.
-func (p *Path) Dead() []string {
+// DeadIDs returns the ids of the engines that did not answer their last probe.
+func (p *Path) DeadIDs() []string {
 	var ids []string
 	for _, part := range p.parts {
 		if part.Upstream.Dead() {
--- a/coordination/layout/layout.go
+++ b/coordination/layout/layout.go
@@ -369,7 +369,7 @@
 func readChains(m *spanrill.EngineModel, all []candidate) ([]*chain.Chain, []chain.Holder) {
 	holders := make([]chain.Holder, 0, len(all))
 	for _, e := range all {
-		holders = append(holders, chain.Holder{ID: e.ID, Zone: e.Zone, Layers: e.Layers, Used: e.Tokens, Pace: e.kind.StepFactor})
+		holders = append(holders, chain.Holder{ID: e.ID, Zone: e.Zone, Layers: e.Layers, ReservedTokens: e.Tokens, Pace: e.kind.StepFactor})
 	}
 	return chain.Build(m.Layers, holders)
 }
--- a/coordination/relay/continuation.go
+++ b/coordination/relay/continuation.go
@@ -303,7 +303,7 @@
 		f["why"], f["path"], f["running"], f["begun"] = c.cause, c.path.String(), g.path != nil, g.begun
 		f["silent_ms"], f["budget_left"] = g.relay.Clock.Now()-g.lastEventAt, g.relay.Budgets.Of(g.service.Name).Remaining()
 		if g.path != nil {
-			f["doubted_path"], f["dead"] = g.path.String(), g.path.Dead()
+			f["doubted_path"], f["dead"] = g.path.String(), g.path.DeadIDs()
 		}
 		return f
 	})
