--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -52,7 +52,7 @@
 // Complete reports whether the chain covers every layer.
 func (c *Chain) Complete() bool { return c.Covered() == c.layers }
 
-// Holes returns the ranges that no engine of the chain holds.
+// Holes returns the ranges of layers that no engine of the chain holds.
 func (c *Chain) Holes() []spanrill.LayerRange {
 	var holes []spanrill.LayerRange
 	next := 0
@@ -68,7 +68,7 @@
 	return holes
 }
 
-// Zone returns the availability zone whose engines hold most layers of the chain.
+// Zone returns the availability zone whose engines hold the most layers of the chain.
 func (c *Chain) Zone() string {
 	count := map[string]int{}
 	best := ""
