--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -39,7 +39,7 @@
 	table.Report("e", spanrill.UpstreamStatus{
 		Model: "advice", Version: "1", Layers: spanrill.LayerRange{To: 4}, Slots: 1, StepMicros: 1000,
 	}, 0)
-	return New(c, table, append([]Option{WithPerSlot(1)}, opts...)...)
+	return New(c, table, append([]Option{WithRequestsPerSlot(1)}, opts...)...)
 }
 
 func admit(g *Gate, s *config.Snapshot, account string) (func(int), *spanrill.Refusal) {
@@ -85,7 +85,7 @@
 }
 
 func TestInFlightLimit(t *testing.T) {
-	g, s := newGate(clock.NewManual(), WithPerSlot(10)), snapshot(t, `{"in_flight":2}`, "a")
+	g, s := newGate(clock.NewManual(), WithRequestsPerSlot(10)), snapshot(t, `{"in_flight":2}`, "a")
 	for range 2 {
 		if _, refusal := admit(g, s, "a"); refusal != nil {
 			t.Fatal(refusal)
--- a/coordination/admission/gate.go
+++ b/coordination/admission/gate.go
@@ -50,10 +50,10 @@
 	return func(g *Gate) { g.maxWaiting, g.maxWait = maxWaiting, maxWait }
 }
 
-// WithPerSlot sets how many requests may run at once for each slot in the batches of the engines.
+// WithRequestsPerSlot sets how many requests may run at once for each slot in the batches of the engines.
 // More than one is needed because a request occupies one stage of its chain at a time: to keep a
 // batch full, as many requests must wait for it as run in it.
-func WithPerSlot(n int) Option {
+func WithRequestsPerSlot(n int) Option {
 	return func(g *Gate) { g.requestsPerSlot = float64(n) }
 }
 
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -210,7 +210,7 @@
 	if err != nil {
 		return fmt.Errorf("encode record: %w", err)
 	}
-	return c.messenger.Send(addr, uint8(peermsg.KindSettle), &peermsg.Settlement{Slot: slot, Record: value})
+	return c.messenger.Send(addr, uint8(peermsg.KindClaimOutcome), &peermsg.ClaimOutcome{Slot: slot, Record: value})
 }
 
 // HandleClaim answers the claim of another daemon.
@@ -232,8 +232,8 @@
 	return &peermsg.ClaimReply{Granted: granted, Record: value}
 }
 
-// HandleSettle records the outcome that another daemon sent.
-func (c *Claims) HandleSettle(m *peermsg.Settlement) {
+// HandleOutcome records the outcome that another daemon sent.
+func (c *Claims) HandleOutcome(m *peermsg.ClaimOutcome) {
 	var r record.Record
 	if json.Unmarshal(m.Record, &r) == nil {
 		c.keeper.RecordOutcome(m.Slot, r)
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -221,7 +221,7 @@
 	e.mergeFleetSums(news.Fleet, sent)
 	e.mergeStoreAvailability(&news, sent)
 	e.MergeSuspects(news.Suspects)
-	ratelimit.MergeNews(e.state.Fleet, news.Limits, sent)
+	ratelimit.MergeLimits(e.state.Fleet, news.Limits, sent)
 	e.mu.Lock()
 	e.newsByPeer[cmp.Or(news.Name, member.Name)] = peerNews{news: news, askedAt: sent}
 	e.mu.Unlock()
@@ -282,7 +282,7 @@
 	reply.UpstreamsRevision, reply.UpstreamsLastChange, reply.UpstreamsAge = e.state.Fleet.Freshness()
 	reply.StoreAvailableFor = min(e.state.Fleet.StoreAvailableFor(), maxStoreAvailable)
 	reply.Suspects = e.suspectNews(req.Suspects)
-	reply.Limits = ratelimit.News(e.state.Fleet, e.clock, req.Limits)
+	reply.Limits = ratelimit.LimitsIfChanged(e.state.Fleet, e.clock, req.Limits)
 	e.storeChildSums(req)
 	e.mergePlacement(req.Placement, e.clock.Now())
 	reply.Fleet = e.fleetSums(req)
--- a/coordination/ratelimit/limiter.go
+++ b/coordination/ratelimit/limiter.go
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	if permit.Limit.Upstream == req.Limit.Upstream {
-		MergeNews(l.table, []peermsg.UpstreamLimit{permit.Limit}, sent)
+		MergeLimits(l.table, []peermsg.UpstreamLimit{permit.Limit}, sent)
 	}
 	permit.RetryAfter = min(max(1, permit.RetryAfter), maxRetryAfter)
 	return permit, nil
@@ -115,7 +115,7 @@
 
 // HandleAskPermit grants or denies a permit to a daemon.
 func (l *Limiter) HandleAskPermit(req *peermsg.PermitRequest) *peermsg.Permit {
-	MergeNews(l.table, []peermsg.UpstreamLimit{req.Limit}, l.clock.Now())
+	MergeLimits(l.table, []peermsg.UpstreamLimit{req.Limit}, l.clock.Now())
 	known := req.Limit
 	if u := l.table.View().ByKey(req.Limit.Upstream); u != nil {
 		known = limitMessage(l.table.LimitOf(u), l.clock.Now())
--- a/coordination/ratelimit/limiter_test.go
+++ b/coordination/ratelimit/limiter_test.go
@@ -214,7 +214,7 @@
 }
 
 // Guards against older or invalid messages that replace a newer limit.
-func TestMergeNews(t *testing.T) {
+func TestMergeLimits(t *testing.T) {
 	message := func(age spanrill.Millis, perSecond float64) peermsg.UpstreamLimit {
 		return peermsg.UpstreamLimit{Upstream: fleet.KeyOf(upstreamID), Set: true, PerSecond: perSecond, Age: age}
 	}
@@ -233,7 +233,7 @@
 			n := newNetwork(1, 3, 1)
 			m := n.daemons[0]
 			n.clock.Advance(1000)
-			MergeNews(m.table, []peermsg.UpstreamLimit{c.news}, n.clock.Now())
+			MergeLimits(m.table, []peermsg.UpstreamLimit{c.news}, n.clock.Now())
 			if got := m.upstream().Limit().PerSecond; got != c.want {
 				t.Errorf("limit %v, want %v", got, c.want)
 			}
@@ -242,18 +242,18 @@
 }
 
 // Guards against daemons that learn of a limit, or of its removal, only from the upstream.
-func TestNewsPropagatesLimits(t *testing.T) {
+func TestChangedLimitsReachOtherDaemon(t *testing.T) {
 	n := newNetwork(1, 3, 1)
 	from, to := n.daemons[0], n.newMember("new")
 	exchange := func() {
 		n.clock.Advance(100)
-		MergeNews(to.table, News(from.table, n.clock, to.table.LimitsDigest()), n.clock.Now())
+		MergeLimits(to.table, LimitsIfChanged(from.table, n.clock, to.table.LimitsDigest()), n.clock.Now())
 	}
 	exchange()
 	if got := to.upstream().Limit().PerSecond; got != 3 {
 		t.Errorf("limit %v, want 3", got)
 	}
-	if news := News(from.table, n.clock, to.table.LimitsDigest()); news != nil {
+	if news := LimitsIfChanged(from.table, n.clock, to.table.LimitsDigest()); news != nil {
 		t.Errorf("limits %v were sent to a daemon with the same digest, want none", news)
 	}
 	from.table.HandleNotice("1:1", spanrill.Notice{}, n.clock.Now())
--- a/coordination/ratelimit/news.go
+++ b/coordination/ratelimit/news.go
@@ -6,9 +6,9 @@
 	"spanrill/state/fleet"
 )
 
-// News returns all known limits, or nil if the digest of the other daemon shows that it has the
+// LimitsIfChanged returns all known limits, or nil if the digest of the other daemon shows that it has the
 // same ones.
-func News(table *fleet.Table, clock spanrill.Clock, digest uint64) []peermsg.UpstreamLimit {
+func LimitsIfChanged(table *fleet.Table, clock spanrill.Clock, digest uint64) []peermsg.UpstreamLimit {
 	if digest == table.LimitsDigest() {
 		return nil
 	}
@@ -19,9 +19,9 @@
 	return news
 }
 
-// MergeNews stores the limits in a message of another daemon. Their ages count back from the time
+// MergeLimits stores the limits in a message of another daemon. Their ages count back from the time
 // asOf. Pass the time at which the limits were requested, or received if they were not requested.
-func MergeNews(table *fleet.Table, limits []peermsg.UpstreamLimit, asOf spanrill.Millis) {
+func MergeLimits(table *fleet.Table, limits []peermsg.UpstreamLimit, asOf spanrill.Millis) {
 	for _, m := range limits {
 		if m.Age < 0 {
 			continue // a timestamp in the future would override later answers of the upstream
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -138,7 +138,7 @@
 		observe.WithIntervals(d.settings.Observe.Boxes, d.settings.Observe.Status))
 	d.gate = admission.New(d.clock, d.table, admission.WithMeters(d.meters),
 		admission.WithQueue(d.settings.Limits.Queue, d.settings.Limits.QueueWait),
-		admission.WithPerSlot(d.settings.Limits.PerSlot))
+		admission.WithRequestsPerSlot(d.settings.Limits.PerSlot))
 	d.keeper = claim.NewKeeper(d.work, d.platform, d.clock)
 	d.peers.claims = claim.New(d.keeper, d.peers, d.peers, d.clock, d.random, claim.WithLogger(d.log))
 	d.api = d.newAPI(engines, services)
--- a/daemon/peerhandler.go
+++ b/daemon/peerhandler.go
@@ -47,10 +47,10 @@
 		if err = peermsg.Decode(payload, &m); err == nil {
 			p.applyDemand(from, &m)
 		}
-	case peermsg.KindSettle:
-		var m peermsg.Settlement
+	case peermsg.KindClaimOutcome:
+		var m peermsg.ClaimOutcome
 		if err = peermsg.Decode(payload, &m); err == nil {
-			p.claims.HandleSettle(&m)
+			p.claims.HandleOutcome(&m)
 		}
 	default:
 		return p.answer(kind, payload)
--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -28,7 +28,7 @@
 	KindHead    peernet.Kind = 4 // no payload, reply Head
 	KindPart    peernet.Kind = 5 // Part, reply Part
 	KindClaim   peernet.Kind = 6 // Claim, reply ClaimReply
-	KindSettle  peernet.Kind = 7 // Settlement, no reply
+	KindClaimOutcome  peernet.Kind = 7 // Settlement, no reply
 	KindBoxes   peernet.Kind = 8 // no payload, reply Boxes
 	KindNews    peernet.Kind = 9 // NewsRequest, reply News
 
@@ -149,8 +149,8 @@
 	Record   []byte
 }
 
-// Settlement reports to the owner of a slot how a claimed call ended.
-type Settlement struct {
+// ClaimOutcome reports to the owner of a slot how a claimed call ended.
+type ClaimOutcome struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Slot     int
 	Record   []byte // a claim record in JSON
