--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -24,11 +24,11 @@
 
 // Holder is an engine and the layers it holds.
 type Holder struct {
-	ID     string
-	Zone   string
-	Layers spanrill.LayerRange
-	ReservedTokens   int64   // of holders of the same layers, the most used one is a part and the others are spares
-	Pace   float64 // time factor of its kind, lower is faster; of series that cover as much, the fastest becomes the chain
+	ID             string
+	Zone           string
+	Layers         spanrill.LayerRange
+	ReservedTokens int64   // of holders of the same layers, the most used one is a part and the others are spares
+	Pace           float64 // time factor of its kind, lower is faster; of series that cover as much, the fastest becomes the chain
 }
 
 // Chain is a series of holders in the order of their layers.
--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -22,15 +22,15 @@
 
 // The kinds of messages, with payload and reply.
 const (
-	KindGossip  peernet.Kind = 1 // Gossip, no reply
-	KindReports peernet.Kind = 2 // Reports, no reply
-	KindDemand  peernet.Kind = 3 // Demand, no reply
-	KindHead    peernet.Kind = 4 // no payload, reply Head
-	KindPart    peernet.Kind = 5 // Part, reply Part
-	KindClaim   peernet.Kind = 6 // Claim, reply ClaimReply
-	KindClaimOutcome  peernet.Kind = 7 // Settlement, no reply
-	KindBoxes   peernet.Kind = 8 // no payload, reply Boxes
-	KindNews    peernet.Kind = 9 // NewsRequest, reply News
+	KindGossip       peernet.Kind = 1 // Gossip, no reply
+	KindReports      peernet.Kind = 2 // Reports, no reply
+	KindDemand       peernet.Kind = 3 // Demand, no reply
+	KindHead         peernet.Kind = 4 // no payload, reply Head
+	KindPart         peernet.Kind = 5 // Part, reply Part
+	KindClaim        peernet.Kind = 6 // Claim, reply ClaimReply
+	KindClaimOutcome peernet.Kind = 7 // Settlement, no reply
+	KindBoxes        peernet.Kind = 8 // no payload, reply Boxes
+	KindNews         peernet.Kind = 9 // NewsRequest, reply News
 
 	KindRouteConfig peernet.Kind = 10 // no payload, reply RouteConfig
 	KindEntries     peernet.Kind = 11 // EntriesRequest, reply Entries
