--- a/protocol/callerapi/call.go
+++ b/protocol/callerapi/call.go
@@ -17,13 +17,13 @@
 	"spanrill/state/config"
 )
 
-// call is one request of a caller, of any path.
+// call is the state of one HTTP request of a caller while it is served.
 type call struct {
 	server            *Server
 	ctx               *fasthttp.RequestCtx
 	id                string
 	snapshot          *config.Snapshot
-	grant             *config.Grant
+	grant             *config.Grant // what the client account may use, set by authenticate
 	finishOnce        sync.Once
 	streaming         bool // the body is still written when the handler returns
 	hasIdempotencyKey bool // the request calls a service with an idempotency key
--- a/protocol/callerapi/inference.go
+++ b/protocol/callerapi/inference.go
@@ -22,7 +22,7 @@
 	body         inferenceBody
 	model        *config.ModelGrant
 	request      *pipeline.Request
-	endAdmission func(tokens int) // ends the admission of the request
+	endAdmission func(tokens int) // must be called when the request ends, with the number of its tokens
 	skipTokens   int              // how many tokens of a resumed stream the caller already has
 	resumeAt     resumePoint
 }
@@ -82,7 +82,8 @@
 	}
 }
 
-// bodyRefusal returns a refusal that tells why a body cannot be decoded, and at which field or byte.
+// bodyRefusal returns the refusal of a body that cannot be decoded. It names the field or the byte
+// if the error does.
 func bodyRefusal(err error) *spanrill.Refusal {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
@@ -92,7 +93,7 @@
 	if errors.As(err, &syntax) {
 		return spanrill.NewRefusal(spanrill.ReasonBadBody, "the body is not JSON: %v at byte %d", err, syntax.Offset)
 	}
-	return spanrill.NewRefusal(spanrill.ReasonBadBody, "the body is no JSON object: %v", err)
+	return spanrill.NewRefusal(spanrill.ReasonBadBody, "the body is not a JSON object: %v", err)
 }
 
 // fieldRefusal returns a refusal for one field of the body, or for a header.
@@ -100,7 +101,8 @@
 	return spanrill.NewRefusal(spanrill.ReasonBadField, format, args...).WithField(field)
 }
 
-// checkInput checks that the input is there and that one answer is requested.
+// checkInput refuses a request without messages or prompt, or for a number of answers other than
+// one.
 func (in *inference) checkInput() *spanrill.Refusal {
 	if in.body.N != nil && *in.body.N != 1 {
 		return fieldRefusal("n", "the field n must be 1")
@@ -114,7 +116,8 @@
 	return nil
 }
 
-// maxTokens returns how many tokens may be generated: as many as requested, or the limit.
+// maxTokens returns how many tokens may be generated: as many as the caller requests, or the limit
+// if it sets no number. A number below 1 or above the limit is refused.
 func (in *inference) maxTokens() (int, *spanrill.Refusal) {
 	limit := min(in.model.MaxTokens(), in.server.limits.StreamTokens)
 	field, requested := "max_tokens", in.body.MaxTokens
@@ -192,7 +195,7 @@
 	}
 }
 
-// formatChain returns the names of the engines of a chain.
+// formatChain returns the names of a chain's engines, separated by commas.
 func formatChain(chain []spanrill.StageRef) string {
 	names := make([]string, len(chain))
 	for i, s := range chain {
@@ -216,7 +219,7 @@
 	}
 }
 
-// object returns the object type of an answer or of a chunk of one.
+// object returns the value of the JSON field object for a whole answer or for a chunk of a stream.
 func (in *inference) object(chunk bool) string {
 	switch {
 	case in.path == PathCompletions:
--- a/protocol/callerapi/recent.go
+++ b/protocol/callerapi/recent.go
@@ -5,7 +5,7 @@
 	"spanrill/coordination/pipeline"
 )
 
-// Finished describes a generation that has ended. Operators see the most recent ones.
+// Finished describes a generation that has ended, successfully or not, for operators.
 type Finished struct {
 	ID       string `json:"id"`
 	Account  string `json:"account"`
--- a/protocol/callerapi/resume.go
+++ b/protocol/callerapi/resume.go
@@ -68,7 +68,7 @@
 }
 
 // parse sets p from an event id and reports whether the id is well-formed and its signature valid.
-// The request hash must be set before.
+// The signature covers the request hash, which the caller must set first.
 func (p *resumePoint) parse(id, secret string) bool {
 	fields := strings.Split(id, ".")
 	if len(fields) != 3 {
@@ -78,10 +78,10 @@
 	if err != nil {
 		return false
 	}
-	index, err := strconv.Atoi(fields[1])
-	if err != nil || index < 0 {
+	tokens, err := strconv.Atoi(fields[1])
+	if err != nil || tokens < 0 {
 		return false
 	}
-	p.seed, p.tokensSent = seed, index
+	p.seed, p.tokensSent = seed, tokens
 	return hmac.Equal([]byte(p.sign(secret)), []byte(fields[2]))
 }
--- a/protocol/callerapi/server.go
+++ b/protocol/callerapi/server.go
@@ -43,16 +43,17 @@
 
 // Admission decides which requests may start.
 type Admission interface {
-	// Admit waits until the request may start, or returns why it is refused. The caller must
-	// call the returned function when the request ends, with the number of its tokens.
+	// Admit waits until the request may start, or returns why it is refused. The model is nil for
+	// a call of a plain service. The caller must call the returned function when the request ends,
+	// with the number of its tokens.
 	Admit(ctx context.Context, grant *config.Grant, model *config.ModelGrant, maxTokens int) (func(tokens int), *spanrill.Refusal)
 }
 
 // Claims ensures that a call with an idempotency key runs at most once.
 type Claims interface {
-	// Do runs f, or returns the recorded outcome of an earlier call with the
+	// Do calls run, or returns the recorded outcome of an earlier call with the
 	// same key.
-	Do(ctx context.Context, account, key string, req *spanrill.ServiceRequest, f func() (*spanrill.ServiceAnswer, *spanrill.Refusal)) (*spanrill.ServiceAnswer, *spanrill.Refusal)
+	Do(ctx context.Context, account, key string, req *spanrill.ServiceRequest, run func() (*spanrill.ServiceAnswer, *spanrill.Refusal)) (*spanrill.ServiceAnswer, *spanrill.Refusal)
 }
 
 // Dependencies are the components that a Server uses.
@@ -75,8 +76,8 @@
 	BodyBytes    int
 	HeaderBytes  int
 	StreamTokens int
-	ReadWait     spanrill.Millis // for reading a whole request
-	WriteWait    spanrill.Millis // for a caller to read an answer; not enforced
+	ReadWait     spanrill.Millis // timeout for reading a whole request
+	WriteWait    spanrill.Millis // timeout for writing an answer; not enforced
 }
 
 // DefaultLimits are used where the settings have no limits.
@@ -85,7 +86,7 @@
 	ReadWait: 30 * spanrill.Second, WriteWait: 30 * spanrill.Second,
 }
 
-// Server serves callers.
+// Server is the HTTP server for callers.
 type Server struct {
 	Dependencies
 	limits   Limits
@@ -97,9 +98,9 @@
 	recent   *ring.Ring[Finished]
 }
 
-// New returns a Server.
-func New(parts Dependencies, limits Limits) *Server {
-	s := &Server{Dependencies: parts, limits: limits, ctx: context.Background(), recent: ring.New[Finished](maxRecent)}
+// New returns a Server that accepts no connections until Serve is called.
+func New(deps Dependencies, limits Limits) *Server {
+	s := &Server{Dependencies: deps, limits: limits, ctx: context.Background(), recent: ring.New[Finished](maxRecent)}
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
 		ErrorHandler:          s.handleReadError,
--- a/protocol/callerapi/service.go
+++ b/protocol/callerapi/service.go
@@ -9,8 +9,8 @@
 	"spanrill/state/load"
 )
 
-// handleService forwards a call to a plain service. NameAndPath is the part of the request path
-// after /services/.
+// handleService forwards a call to a plain service, if the client account may make it. nameAndPath
+// is the part of the request path after /services/.
 func (c *call) handleService(nameAndPath string) {
 	name, path, _ := strings.Cut(nameAndPath, "/")
 	path = "/" + path
@@ -58,9 +58,9 @@
 // dispatch sends the call to the service. A call that must not be repeated and has an idempotency
 // key runs under a claim of that key.
 func (c *call) dispatch(grant *config.ServiceGrant, req *spanrill.ServiceRequest) (*spanrill.ServiceAnswer, *spanrill.Refusal) {
-	key := load.ServiceKey{Service: grant.Service(), Site: grant.Site().Name}
+	serviceKey := load.ServiceKey{Service: grant.Service(), Site: grant.Site().Name}
 	run := func() (*spanrill.ServiceAnswer, *spanrill.Refusal) {
-		return c.server.Services.Do(c.server.ctx, key, req)
+		return c.server.Services.Do(c.server.ctx, serviceKey, req)
 	}
 	idempotencyKey := string(c.ctx.Request.Header.Peek(HeaderIdempotency))
 	if idempotencyKey == "" || req.Repeatable {
--- a/protocol/callerapi/stream.go
+++ b/protocol/callerapi/stream.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// writeStream writes the events of all tokens, from ev on, and the end of the stream. It skips the
-// tokens that the caller already has.
+// writeStream writes the events of all tokens and the end of the stream. The first token is ev if
+// ok is true; otherwise there are none. Tokens that the caller already has are skipped.
 func (in *inference) writeStream(w *eventWriter, sink *streamSink, ev spanrill.RunEvent, ok bool) {
 	sent := 0
 	for ; ok; ev, ok = sink.next() {
@@ -121,11 +121,11 @@
 	if _, err := fmt.Fprintf(e.w, "id: %s\n", e.in.eventID(ev.Index+1)); err != nil {
 		return fmt.Errorf("write event id: %w", err)
 	}
-	return e.writeChunk(e.choice(ev.Text), nil)
+	return e.writeChunk(e.choices(ev.Text), nil)
 }
 
-// choice returns the choices of a chunk. The first chunk of a chat has the role.
-func (e *eventWriter) choice(text string) []choice {
+// choices returns the choices of a chunk. The first chunk of a chat has the role.
+func (e *eventWriter) choices(text string) []choice {
 	c := choice{}
 	if e.in.path == PathCompletions {
 		c.Text = &text
@@ -165,7 +165,7 @@
 // writeEnd writes the finish reason, the usage if the caller wants it, and [DONE]. It ignores write
 // errors, since the whole text has been written by then.
 func (e *eventWriter) writeEnd(r *pipeline.Result) {
-	last := e.choice("")
+	last := e.choices("")
 	finish := string(r.Finish())
 	last[0].FinishReason = &finish
 	err := e.writeChunk(last, nil)
--- a/protocol/engineapi/client.go
+++ b/protocol/engineapi/client.go
@@ -56,7 +56,8 @@
 	return nil, readRefusal(answer)
 }
 
-// readRefusal returns the error that an answer with a status other than 200 stands for.
+// readRefusal reads an answer with a status other than 200 and returns it as a CallError. The phase
+// is PhaseRefused if the engine refused before any work, and otherwise PhaseAnswer.
 func readRefusal(answer *httpcall.Answer) error {
 	status := answer.Status()
 	body, err := answer.ReadAll(maxBodyBytes)
@@ -71,7 +72,7 @@
 	return &spanrill.CallError{Phase: spanrill.PhaseRefused, Cause: ev.Error}
 }
 
-// post sends v as JSON.
+// post sends v as JSON in a POST request and returns the answer.
 func (c *Client) post(ctx context.Context, addr, path string, v any) (*httpcall.Answer, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -115,7 +116,7 @@
 	return report, nil
 }
 
-// Order sends an order to an engine.
+// Order sends an order to an engine and returns nil if the engine accepts it.
 func (c *Client) Order(ctx context.Context, addr string, o spanrill.Order) error {
 	answer, err := c.post(ctx, addr, "/v1/orders", o)
 	if err != nil {
@@ -155,7 +156,8 @@
 	return ev, nil
 }
 
-// Close closes the stream. If it is not read to its end, the engine is told to cancel the run.
+// Close closes the stream. If the stream was not read to its end, this also closes the connection,
+// which makes the engine cancel the run.
 func (s *runStream) Close() error {
 	s.answer.Close()
 	return nil
--- a/protocol/objectapi/client.go
+++ b/protocol/objectapi/client.go
@@ -72,8 +72,8 @@
 	return c.read(ctx, key, known, wait)
 }
 
-// read reads an object. It returns one without a value if its version is known and it does not
-// change within wait.
+// read reads an object. If its version is the known one and does not change within wait, it returns
+// the object without a value.
 func (c *Client) read(ctx context.Context, key string, known spanrill.Version, wait spanrill.Millis) (spanrill.Object, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -117,7 +117,7 @@
 	}
 	_, answer, err := c.do(ctx, req, 0)
 	if err != nil {
-		return "", fmt.Errorf("write object %s: %w: %v", key, writeError(err), err)
+		return "", fmt.Errorf("write object %s: %w: %v", key, putFailure(err), err)
 	}
 	switch answer.Status() {
 	case fasthttp.StatusOK:
@@ -130,8 +130,9 @@
 	return "", fmt.Errorf("write object %s: status %d: %w", key, answer.Status(), spanrill.ErrUncertain)
 }
 
-// writeError returns ErrUnavailable if a failed write cannot have run, and else ErrUncertain.
-func writeError(err error) error {
+// putFailure returns ErrUnavailable if a failed write cannot have been carried out, and otherwise
+// ErrUncertain.
+func putFailure(err error) error {
 	var call *spanrill.CallError
 	if errors.As(err, &call) && call.Outcome() == spanrill.OutcomeNotRun {
 		return spanrill.ErrUnavailable
@@ -139,7 +140,7 @@
 	return spanrill.ErrUncertain
 }
 
-// do makes one call and reads the whole body. The call may take wait longer than the timeout.
+// do makes one call and reads the whole body. The call fails after the timeout plus wait.
 func (c *Client) do(ctx context.Context, req *fasthttp.Request, wait spanrill.Millis) ([]byte, *httpcall.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, (c.timeout + wait).Duration())
 	defer cancel()
--- a/protocol/peermsg/ask.go
+++ b/protocol/peermsg/ask.go
@@ -7,7 +7,8 @@
 	"spanrill/transport/peernet"
 )
 
-// Ask sends a request to the peer at addr and decodes its reply into reply.
+// Ask sends a request of the given kind to the peer at addr and decodes the peer's answer into
+// reply, which must be a pointer. req may be nil if the peer ignores the payload.
 func Ask(ctx context.Context, n *peernet.Net, addr string, kind peernet.Kind, req, reply any) error {
 	payload, err := Encode(req)
 	if err != nil {
--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -25,14 +25,14 @@
 	KindGossip       peernet.Kind = 1 // Gossip, no reply
 	KindReports      peernet.Kind = 2 // Reports, no reply
 	KindDemand       peernet.Kind = 3 // Demand, no reply
-	KindHead         peernet.Kind = 4 // no payload, reply Head
+	KindHead         peernet.Kind = 4 // payload ignored, reply Head
 	KindPart         peernet.Kind = 5 // Part, reply Part
 	KindClaim        peernet.Kind = 6 // Claim, reply ClaimReply
-	KindClaimOutcome peernet.Kind = 7 // Settlement, no reply
-	KindBoxes        peernet.Kind = 8 // no payload, reply Boxes
+	KindClaimOutcome peernet.Kind = 7 // ClaimOutcome, no reply
+	KindBoxes        peernet.Kind = 8 // payload ignored, reply Boxes
 	KindNews         peernet.Kind = 9 // NewsRequest, reply News
 
-	KindRouteConfig peernet.Kind = 10 // no payload, reply RouteConfig
+	KindRouteConfig peernet.Kind = 10 // payload ignored, reply RouteConfig
 	KindEntries     peernet.Kind = 11 // EntriesRequest, reply Entries
 	KindLoan        peernet.Kind = 12 // LoanRequest, reply Loan
 	KindSuspects    peernet.Kind = 13 // SuspectNotice, no reply
@@ -77,13 +77,13 @@
 	Slots      int
 	Model      string
 	Version    string
-	From       int
-	To         int
+	From       int // first layer that the engine holds
+	To         int // layer after the last one
 	Generation uint64
 	StepMicros int
 	TokenNanos int
-	MemLayers  int
-	Age        spanrill.Millis
+	MaxLayers  int
+	Age        spanrill.Millis // of the load figures
 }
 
 // NewReport returns the message form of a status report.
@@ -92,7 +92,7 @@
 		Name: s.Name, Leaving: s.Leaving, Loading: s.Loading, Running: s.Running, Waiting: s.Waiting,
 		Slots: s.Slots, Model: s.Model, Version: s.Version, From: s.Layers.From, To: s.Layers.To,
 		Generation: s.Generation, StepMicros: s.StepMicros, TokenNanos: s.TokenNanos,
-		MemLayers: s.MaxLayers, Age: s.AgeMillis,
+		MaxLayers: s.MaxLayers, Age: s.AgeMillis,
 	}
 }
 
@@ -103,7 +103,7 @@
 		Slots: r.Slots, Model: r.Model, Version: r.Version,
 		Layers:     spanrill.LayerRange{From: r.From, To: r.To},
 		Generation: r.Generation, StepMicros: r.StepMicros, TokenNanos: r.TokenNanos,
-		MaxLayers: r.MemLayers, AgeMillis: r.Age,
+		MaxLayers: r.MaxLayers, AgeMillis: r.Age,
 	}
 }
 
@@ -134,22 +134,22 @@
 	Value    []byte
 }
 
-// Claim asks the owner of a slot of claims to claim an idempotency key.
+// Claim asks the daemon that owns a claim slot to record a claim of an idempotency key.
 type Claim struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Slot     int
 	Record   []byte // a claim record in JSON
 }
 
-// ClaimReply answers a Claim. Record is a claim record in JSON.
+// ClaimReply answers a Claim.
 type ClaimReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Granted  bool
 	Failed   string // why the owner could not decide, or ""
-	Record   []byte
+	Record   []byte // the claim record that holds the key, in JSON
 }
 
-// ClaimOutcome reports to the owner of a slot how a claimed call ended.
+// ClaimOutcome reports to the daemon that owns a claim slot how a claimed call ended.
 type ClaimOutcome struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Slot     int
@@ -266,8 +266,8 @@
 
 	StoreSilent bool // the platform's store does not answer the sender
 
-	// StoreAvailableFor is a lower bound of the time for which the store had answered daemons
-	// without a break, UpstreamsAge ago.
+	// StoreAvailableFor is at least how long before the message was made the store began to answer
+	// daemons. From then until UpstreamsAge ago it answered without a break.
 	StoreAvailableFor spanrill.Millis
 
 	Suspects []SuspectMark
@@ -288,7 +288,7 @@
 type PermitRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Limit    UpstreamLimit
-	Standby  bool // a preferred daemon did not answer the sender
+	Standby  bool // the receiver is asked because a preferred daemon did not answer
 }
 
 // Permit answers a PermitRequest.
@@ -299,23 +299,26 @@
 	Limit      UpstreamLimit   // latest limit that the granting daemon knows
 }
 
-// SuspectNotice announces a request that is withheld from now on, without being asked for news.
+// SuspectNotice carries the suspect marks of a request that is withheld from now on. It is sent at
+// once, since a News message would bring the marks only in the next round.
 type SuspectNotice struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Marks    []SuspectMark
 }
 
-// SuspectMark records that an upstream crashed while it ran a request.
+// SuspectMark records that an upstream crashed while it ran a request, or that a withheld request
+// was tried again.
 type SuspectMark struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
-	Content  uint64   // hash of the request's content and its client account
-	Upstream uint32   // hash of its name
-	Age      spanrill.Millis
-	Fresh    bool // the request had started there shortly before
-	Trial    bool // not a crash: a request with this content is tried again
+	_msgpack struct{}        `msgpack:",as_array"` //nolint:unused // read by the codec
+	Content  uint64          // hash of the request's content and its client account
+	Upstream uint32          // hash of its name
+	Age      spanrill.Millis // time since the crash, or since the trial was sent
+	Fresh    bool            // the first event of the request came shortly before the crash, or never
+	Trial    bool            // a trial of the content at any upstream, not a crash
 }
 
-// Placement is a statement of the holder of the placement lease. Other daemons forward it.
+// Placement is a statement of the holder of the placement lease: which layers it wants the engines
+// to hold, and which engines are slow. Other daemons forward it.
 type Placement struct {
 	_msgpack     struct{}         `msgpack:",as_array"` //nolint:unused // read by the codec
 	Holder       string           // name of the daemon
@@ -349,7 +352,7 @@
 type LoanRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Service  string
-	Want     float64 // retries
+	Want     float64 // number of retries
 }
 
 // Loan answers a LoanRequest with the number of retries that the daemon gives up.
@@ -375,7 +378,7 @@
 	Since      uint64          // revision after which the changes were made, or 0 if all entries are sent
 }
 
-// EntryList is a list of upstream entries, or of changes to it.
+// EntryList is a list of upstream entries, or of the changes to an earlier list.
 type EntryList struct {
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Entries    []spanrill.EngineEntry
@@ -383,7 +386,7 @@
 	Removed    []string // names of entries that were removed, if the list has changes
 }
 
-// Target is the range of layers that an engine is ordered to hold.
+// Target is the half-open range of layers From..To that an engine is ordered to hold.
 type Target struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Upstream uint32   // hash of its id
@@ -392,9 +395,9 @@
 	Reached  bool // the engine has reported that it holds the range
 }
 
-// RouteConfig carries a configuration as the store holds it.
+// RouteConfig carries a configuration of the routes. It is empty if the daemon has none to send.
 type RouteConfig struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Revision uint64
-	Value    []byte
+	Value    []byte // the configuration as the store holds it, compressed
 }
--- a/protocol/serviceapi/client.go
+++ b/protocol/serviceapi/client.go
@@ -62,7 +62,7 @@
 	return c.read(answer)
 }
 
-// read reads the whole answer and drops its hop-by-hop headers.
+// read reads the whole answer and returns it without its hop-by-hop headers.
 func (c *Client) read(answer *httpcall.Answer) (*spanrill.ServiceAnswer, error) {
 	result := &spanrill.ServiceAnswer{Status: answer.Status()}
 	for name, value := range answer.Header().All() {
@@ -91,7 +91,7 @@
 // that it must not be forwarded.
 func HopByHop(name string) bool { return hopByHop[name] }
 
-// Status returns the status report of an upstream.
+// Status returns the status report of the instance at addr.
 func (c *Client) Status(ctx context.Context, addr string) (spanrill.UpstreamStatus, error) {
 	return engineapi.StatusAt(ctx, c.http, addr, "/status")
 }
