--- a/transport/callerhttp/acceptor.go
+++ b/transport/callerhttp/acceptor.go
@@ -19,18 +19,18 @@
 	closed chan struct{}
 
 	mu        sync.Mutex
-	accepting bool  // Accept has been called
-	stopped   bool  // the listener is closed or has failed for good
-	err       error // the last failure of Accept
-	failedAt  spanrill.Millis
-	once      sync.Once
+	accepting bool            // Accept has been called
+	stopped   bool            // the listener is closed or has failed for good
+	err       error           // the last failure of Accept, or net.ErrClosed after Close
+	failedAt  spanrill.Millis // when Accept last failed with a transient error
+	closeOnce sync.Once
 }
 
 const (
 	// acceptRetryDelay is the pause between a transient error and the next attempt.
 	acceptRetryDelay spanrill.Millis = 20
 	// acceptRecovery is how long after the last failure Err reports that connections are accepted
-	// again. It spans several retries.
+	// again. It spans several retries, so that Err is not nil between two that fail.
 	acceptRecovery spanrill.Millis = 250
 )
 
@@ -42,8 +42,8 @@
 	return &Acceptor{Listener: ln, clock: clock, closed: make(chan struct{})}
 }
 
-// Accept returns the next connection. It retries after transient errors, and fails once the
-// listener is closed or has another error.
+// Accept returns the next connection. It retries after transient errors, and returns an error once
+// the listener is closed or has failed for good.
 func (a *Acceptor) Accept() (net.Conn, error) {
 	for {
 		a.markAccepting()
@@ -64,7 +64,7 @@
 	}
 }
 
-// isTransient reports whether an error of accept goes away by itself. These are the errors that
+// isTransient reports whether Accept may succeed again after err. These are the errors that
 // accept(2) of Linux lists for exhausted resources of the process or the system, and for a
 // connection that has failed before it was accepted.
 func isTransient(err error) bool {
@@ -92,7 +92,7 @@
 	a.err, a.failedAt = err, a.clock.Now()
 }
 
-// stop records that nothing is accepted any more.
+// stop records that no connection is accepted any more, and why.
 func (a *Acceptor) stop(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -116,6 +116,6 @@
 // Close closes the listener. A waiting Accept returns.
 func (a *Acceptor) Close() error {
 	a.stop(net.ErrClosed)
-	a.once.Do(func() { close(a.closed) })
+	a.closeOnce.Do(func() { close(a.closed) })
 	return a.Listener.Close()
 }
--- a/transport/callerhttp/server.go
+++ b/transport/callerhttp/server.go
@@ -25,14 +25,14 @@
 	"spanrill"
 )
 
-// Limits returns the limits in force. A limit of 0 is not set.
+// Limits returns the limits in force. A limit of 0 stands for the default.
 type Limits func() spanrill.CallerLimits
 
-// Server serves callers.
+// Server accepts callers' connections and passes their requests to a handler.
 type Server struct {
 	http         *fasthttp.Server
 	limits       Limits
-	open         atomic.Int64
+	open         atomic.Int64 // number of open connections
 	shutdownOnce sync.Once
 	mu           sync.Mutex
 	ln           net.Listener
@@ -109,7 +109,7 @@
 	s.shutdownOnce.Do(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_ = s.http.ShutdownWithContext(ctx) // the context is canceled so that this does not wait; its error says so
+		_ = s.http.ShutdownWithContext(ctx) // the context is canceled so that this does not wait; an error says that connections are still open
 	})
 }
 
@@ -133,15 +133,15 @@
 	return &callerConn{TCPConn: tcp, server: l.server}, nil
 }
 
-// callerConn is a connection with the configured idle time.
+// callerConn is a connection that is closed after the configured idle time.
 type callerConn struct {
 	*net.TCPConn
 	server *Server
 	closed atomic.Bool
 }
 
-// SetReadDeadline sets the deadline to the end of the configured idle time, whatever t is: fasthttp
-// sets read deadlines only when an idle time starts. The zero time clears the deadline.
+// SetReadDeadline sets the deadline to the end of the configured idle time and ignores t, since
+// fasthttp sets read deadlines only when an idle time starts. The zero time clears the deadline.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	if t.IsZero() {
 		return c.TCPConn.SetReadDeadline(t)
--- a/transport/frame/frame_test.go
+++ b/transport/frame/frame_test.go
@@ -16,11 +16,11 @@
 	buf = w.Append(buf, 4, 9, nil)
 	first, n, err := r.Next(buf)
 	if err != nil || first.Kind != 3 || string(first.Payload) != "one" {
-		t.Fatalf("first frame is %v, %v", first, err)
+		t.Fatalf("first frame %v, error %v, want kind 3 with payload \"one\"", first, err)
 	}
 	second, _, err := r.Next(buf[n:])
 	if err != nil || second.Kind != 4 || second.ID != 9 {
-		t.Fatalf("second frame is %v, %v", second, err)
+		t.Fatalf("second frame %v, error %v, want kind 4 with id 9", second, err)
 	}
 }
 
@@ -78,7 +78,7 @@
 			return
 		}
 		if want := NewWriter(testKey).Append(nil, fr.Kind, fr.ID, fr.Payload); !bytes.Equal(want, buf[:n]) {
-			t.Fatalf("accepted %x", buf[:n])
+			t.Fatalf("the reader accepted %x, which differs from what the writer makes", buf[:n])
 		}
 	})
 }
--- a/transport/httpcall/client.go
+++ b/transport/httpcall/client.go
@@ -110,7 +110,7 @@
 	defaultAckTimeout spanrill.Millis = 5000
 )
 
-// New returns a client with no connections.
+// New returns a Client. It makes connections as calls need them.
 func New(opts ...Option) *Client {
 	c := &Client{dialTimeout: defaultDialTimeout, ackTimeout: defaultAckTimeout, log: logrus.StandardLogger(), meters: meter.New(), onHeaders: func(string, *fasthttp.ResponseHeader, spanrill.Millis) {}}
 	for _, o := range opts {
@@ -159,10 +159,10 @@
 	return c.DoWatched(ctx, addr, req, reuse, nil, nil, nil)
 }
 
-// DoWatched is Do with a function, onSilence, that runs while the headers or the body of the answer
-// are awaited and nothing arrives. Interval returns the pause before its next run. OnSilence gets
-// the time for which nothing has arrived; its error ends the call. SetWake receives a function that
-// makes onSilence run at once, and that any goroutine may call.
+// DoWatched is Do with a function, onSilence, that is called repeatedly while the headers or the
+// body of the answer are awaited and nothing arrives. It gets the time for which nothing has
+// arrived, and its error ends the call. interval returns the pause before its next run. setWake is
+// given a function, safe for use by any goroutine, that makes onSilence run at once.
 func (c *Client) DoWatched(ctx context.Context, addr string, req *fasthttp.Request, reuse Reuse,
 	interval func() spanrill.Millis, onSilence func(silent spanrill.Millis) error, setWake func(func()),
 ) (*Answer, error) {
@@ -240,12 +240,12 @@
 	return newConn(nc), nil
 }
 
-// conn is a connection that counts the bytes written for the call under way.
+// conn is a connection with the state of the call under way.
 type conn struct {
 	net.Conn
 	r                 *bufio.Reader
 	w                 *bufio.Writer
-	written           int
+	written           int       // bytes written for the call under way
 	reused            bool      // it served a call before the one under way
 	received          bool      // bytes of the answer have arrived
 	firstByteTimedOut bool      // DoWithRetry has stopped waiting for the first byte
--- a/transport/httpcall/presend.go
+++ b/transport/httpcall/presend.go
@@ -11,9 +11,9 @@
 	return context.WithValue(ctx, presendKey{}, check)
 }
 
-// hasPresendCheck reports whether a call has a pre-send check, as callers' requests have. Only for
-// these is a new connection that is closed at once reported as not accepted. Any other call, such
-// as a status query, just counts as unanswered.
+// hasPresendCheck reports whether a call has a pre-send check, as callers' requests have. Only such
+// a call fails with errClosedAtOnce if the upstream closes a new connection at once. Any other call,
+// such as a status query, then counts as unanswered.
 func hasPresendCheck(ctx context.Context) bool { return ctx.Value(presendKey{}) != nil }
 
 // runPresendCheck runs the check of WithPresendCheck, if the context has one.
--- a/transport/httpcall/presend_test.go
+++ b/transport/httpcall/presend_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if n := client.idle.Drop(listener.Addr().String()); n != 1 {
-		t.Errorf("%d idle connections, want the one that all calls used", n)
+		t.Errorf("%d idle connections, want 1, which all calls used", n)
 	}
 }
 
@@ -61,10 +61,10 @@
 // on it.
 func TestOutcomeOfResetConnection(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		reads int  // bytes before the reset
-		first bool // the reset has arrived before the request is sent
-		want  spanrill.Outcome
+		name       string
+		readBytes  int  // read by the server before the reset
+		resetFirst bool // the reset arrives before the request is sent
+		want       spanrill.Outcome
 	}{
 		{"at accept", 0, true, spanrill.OutcomeNotRun},
 		{"after accept, with the request on its way", 0, false, spanrill.OutcomeUnknown},
@@ -73,12 +73,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			connected, reset, sent := make(chan struct{}), make(chan struct{}), make(chan struct{})
 			addr := serve(t, func(conn net.Conn) {
-				if c.first {
+				if c.resetFirst {
 					<-connected // a reset during the handshake would fail the dial instead
 				} else {
 					<-sent
 				}
-				_, _ = io.ReadFull(conn, make([]byte, c.reads))
+				_, _ = io.ReadFull(conn, make([]byte, c.readBytes))
 				_ = conn.(*net.TCPConn).SetLinger(0)
 				_ = conn.Close()
 				close(reset)
@@ -92,7 +92,7 @@
 			}
 			ctx := WithPresendCheck(context.Background(), func() error {
 				close(connected)
-				if c.first {
+				if c.resetFirst {
 					<-reset
 					awaitClosed(raw)
 				}
@@ -107,8 +107,8 @@
 			if !errors.As(err, &call) || call.Outcome() != c.want {
 				t.Fatalf("error %v, want one with outcome %v", err, c.want)
 			}
-			if n := client.meters.ConnectionsClosedAtOnce.Get(); (n == 1) != c.first {
-				t.Errorf("%d connections were counted as closed at once", n)
+			if n := client.meters.ConnectionsClosedAtOnce.Get(); (n == 1) != c.resetFirst {
+				t.Errorf("%d connections were counted as closed at once, want 1 if the reset came before the request, else 0", n)
 			}
 		})
 	}
--- a/transport/httpcall/silence.go
+++ b/transport/httpcall/silence.go
@@ -68,8 +68,8 @@
 }
 
 // handleSilence wraps the error of a failed call in ErrSilent if the call timed out on a reused
-// connection. If that shows that the connections to addr have gone silent, it also
-// closes the idle ones: a probe would find them open, as it found this one.
+// connection. If that shows that the connections to addr have gone silent (see WithPromptAnswer), it
+// also closes the idle ones, since a probe would find them open, as it found this one.
 func (c *Client) handleSilence(ctx context.Context, addr string, cn *conn, err error) error {
 	if !cn.reused || !cn.firstByteTimedOut && !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return err
--- a/transport/httpcall/silence_test.go
+++ b/transport/httpcall/silence_test.go
@@ -59,8 +59,8 @@
 }
 
 // call makes one call with a timeout, by do if that is not nil, and reads the whole answer.
-func call(c *Client, addr string, within time.Duration, do func(context.Context) (*Answer, error)) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+func call(c *Client, addr string, timeout time.Duration, do func(context.Context) (*Answer, error)) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if do == nil {
 		do = func(ctx context.Context) (*Answer, error) { return c.Do(ctx, addr, request(addr), ReuseAllowed) }
@@ -94,16 +94,16 @@
 func TestSilentConnectionClosesIdleConnections(t *testing.T) {
 	for _, prompt := range []bool{true, false} {
 		c, p, addr, log := newReusedClient(t, 4)
-		lost, do := 2, func(ctx context.Context) (*Answer, error) { return c.Do(ctx, addr, request(addr), ReuseAllowed) }
+		timeouts, do := 2, func(ctx context.Context) (*Answer, error) { return c.Do(ctx, addr, request(addr), ReuseAllowed) }
 		if prompt {
-			lost, do = 1, func(ctx context.Context) (*Answer, error) {
+			timeouts, do = 1, func(ctx context.Context) (*Answer, error) {
 				return c.Do(WithPromptAnswer(ctx), addr, request(addr), ReuseAllowed)
 			}
 		}
 		p.SetFaults(faultproxy.Faults{Silence: true})
-		for range lost {
+		for range timeouts {
 			if err := call(c, addr, shortTimeout, do); !errors.Is(err, ErrSilent) {
-				t.Fatalf("on a silent connection: %v", err)
+				t.Fatalf("call on a silent connection: %v, want ErrSilent", err)
 			}
 		}
 		for range 3 {
@@ -114,7 +114,7 @@
 		if got := p.Accepted(); got != 5 {
 			t.Errorf("%d connections were made, want the 4 silent ones and 1 new one", got)
 		}
-		wantSilences(t, c, log, 4-lost)
+		wantSilences(t, c, log, 4-timeouts)
 	}
 }
 
@@ -146,13 +146,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(shortTimeout, cancel)
 	if _, err := c.Do(ctx, addr, request(addr), ReuseAllowed); err == nil || errors.Is(err, ErrSilent) {
-		t.Fatalf("canceled call: %v", err)
+		t.Fatalf("canceled call: %v, want an error other than ErrSilent", err)
 	}
-	fresh := func(ctx context.Context) (*Answer, error) {
+	onNewConn := func(ctx context.Context) (*Answer, error) {
 		return c.Do(WithNewConn(ctx), addr, request(addr), ReuseAllowed)
 	}
-	if err := call(c, addr, shortTimeout, fresh); err == nil || errors.Is(err, ErrSilent) {
-		t.Fatalf("timeout on a new connection: %v", err)
+	if err := call(c, addr, shortTimeout, onNewConn); err == nil || errors.Is(err, ErrSilent) {
+		t.Fatalf("timeout on a new connection: %v, want an error other than ErrSilent", err)
 	}
 	p.SetFaults(faultproxy.Faults{})
 	if err := call(c, addr, longTimeout, nil); err != nil {
@@ -168,12 +168,12 @@
 // not send the request again on a working connection.
 func TestDoWithRetry(t *testing.T) {
 	c, p, addr, log := newReusedClient(t, 2)
-	twice := func(ctx context.Context) (*Answer, error) { return c.DoWithRetry(ctx, addr, request(addr), 50) }
-	if err := call(c, addr, longTimeout, twice); err != nil || p.Accepted() != 2 {
-		t.Fatalf("%d connections, error %v", p.Accepted(), err)
+	withRetry := func(ctx context.Context) (*Answer, error) { return c.DoWithRetry(ctx, addr, request(addr), 50) }
+	if err := call(c, addr, longTimeout, withRetry); err != nil || p.Accepted() != 2 {
+		t.Fatalf("%d connections, error %v, want 2 and no error", p.Accepted(), err)
 	}
 	p.SetFaults(faultproxy.Faults{Silence: true})
-	if err := call(c, addr, longTimeout, twice); err != nil {
+	if err := call(c, addr, longTimeout, withRetry); err != nil {
 		t.Fatal(err)
 	}
 	if got := p.Accepted(); got != 3 {
@@ -184,7 +184,7 @@
 
 // DoWithRetry waits for an answer that has started: only the first byte has a timeout of its own.
 func TestStartedAnswerIsNotRequestedAgain(t *testing.T) {
-	const patience = 50
+	const firstByteTimeout = 50 // milliseconds
 	requests := make(chan struct{}, 8)
 	addr := serve(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -196,16 +196,18 @@
 			requests <- struct{}{}
 			_, _ = io.WriteString(c, okAnswer[:9])
 			if n > 0 {
-				<-time.After(3 * patience * time.Millisecond) // a slow answer
+				<-time.After(3 * firstByteTimeout * time.Millisecond) // a slow answer
 			}
 			_, _ = io.WriteString(c, okAnswer[9:])
 		}
 	})
 	c := New(WithMeters(meter.New()))
 	defer c.Close()
-	twice := func(ctx context.Context) (*Answer, error) { return c.DoWithRetry(ctx, addr, request(addr), patience) }
+	withRetry := func(ctx context.Context) (*Answer, error) {
+		return c.DoWithRetry(ctx, addr, request(addr), firstByteTimeout)
+	}
 	for range 2 {
-		if err := call(c, addr, longTimeout, twice); err != nil {
+		if err := call(c, addr, longTimeout, withRetry); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/transport/httpcall/watched_test.go
+++ b/transport/httpcall/watched_test.go
@@ -15,15 +15,15 @@
 // answer.
 func TestSilenceErrorBeforeHeaders(t *testing.T) {
 	addr := serve(t, func(net.Conn) {})
-	reason := errors.New("the reason")
+	errHandler := errors.New("error of the silence handler")
 	var req fasthttp.Request
 	req.SetRequestURI("http://" + addr + "/")
 	client := New()
 	defer client.Close()
 	_, err := client.DoWatched(context.Background(), addr, &req, ReuseNever,
-		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return reason }, func(func()) {})
-	if !errors.Is(err, reason) {
-		t.Fatalf("the error %v does not hold the reason", err)
+		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return errHandler }, func(func()) {})
+	if !errors.Is(err, errHandler) {
+		t.Fatalf("error %v, want one that wraps the error of the silence handler", err)
 	}
 }
 
@@ -36,7 +36,7 @@
 	defer client.Close()
 	var wake func()
 	a, err := client.DoWatched(context.Background(), addr, &req, ReuseAllowed,
-		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return nil }, func(p func()) { wake = p })
+		func() spanrill.Millis { return 20 }, func(spanrill.Millis) error { return nil }, func(f func()) { wake = f })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,6 +45,6 @@
 	}
 	wake()
 	if _, err := do(client, addr, nil); err != nil {
-		t.Fatalf("the next call: %v", err)
+		t.Fatalf("next call on the connection: %v", err)
 	}
 }
--- a/transport/peernet/link.go
+++ b/transport/peernet/link.go
@@ -18,18 +18,18 @@
 
 // link is a connection to a peer.
 type link struct {
-	net      *Net
-	outgoing bool   // this daemon dialed it
-	addr     string // address that this daemon dialed, or ""
-	conn     gnet.Conn
-	opened   chan struct{}
-	closed   chan struct{}
-	nonce    [nonceSize]byte
+	net    *Net
+	dialed bool   // this daemon dialed it
+	addr   string // address that this daemon dialed, or ""
+	conn   gnet.Conn
+	opened chan struct{}
+	closed chan struct{}
+	nonce  [nonceSize]byte // of this side
 
-	// Used by the event loop only.
+	// Changed by the event loop only. Other goroutines read only peer, once it is set.
 	reader    *frame.Reader
-	peer      string
-	keysReady bool
+	peer      string // name from the peer's hello
+	keysReady bool   // the peer's hello has arrived
 
 	mu           sync.Mutex // keeps the frames sent in sequence
 	writer       *frame.Writer
@@ -48,7 +48,8 @@
 
 const nonceSize = 16
 
-// hello is the first message that each side sends. It is encoded under its field names.
+// hello is the first message that each side sends. It is encoded as a map with its field names as
+// keys.
 type hello struct {
 	Name  string
 	Nonce []byte
@@ -58,7 +59,7 @@
 const maxUnsent = 64
 
 func (n *Net) newLink(dialed bool) *link {
-	l := &link{net: n, outgoing: dialed, opened: make(chan struct{}), closed: make(chan struct{})}
+	l := &link{net: n, dialed: dialed, opened: make(chan struct{}), closed: make(chan struct{})}
 	_, _ = rand.Read(l.nonce[:])
 	l.reader = frame.NewReader(n.helloKey())
 	return l
@@ -70,12 +71,12 @@
 // sessionKeys returns the keys for the two directions, derived from the nonces of both sides.
 func (l *link) sessionKeys(peerNonce []byte) (send, receive frame.Key) {
 	dialerNonce, listenerNonce := l.nonce[:], peerNonce
-	if !l.outgoing {
+	if !l.dialed {
 		dialerNonce, listenerNonce = peerNonce, l.nonce[:]
 	}
 	dialerKey := frame.DeriveKey(l.net.secret, []byte("dialer to listener"), dialerNonce, listenerNonce)
 	listenerKey := frame.DeriveKey(l.net.secret, []byte("listener to dialer"), dialerNonce, listenerNonce)
-	if l.outgoing {
+	if l.dialed {
 		return dialerKey, listenerKey
 	}
 	return listenerKey, dialerKey
@@ -90,10 +91,10 @@
 // acceptHandler handles the connections that peers dialed.
 type acceptHandler struct{ *Net }
 
-// OnBoot stores the gnet engine, which is needed to stop it, and signals that peers can connect.
-func (l acceptHandler) OnBoot(eng gnet.Engine) gnet.Action {
-	l.engine = eng
-	close(l.booted)
+// OnBoot stores the gnet engine, which stopListening stops, and signals that peers can connect.
+func (h acceptHandler) OnBoot(eng gnet.Engine) gnet.Action {
+	h.engine = eng
+	close(h.booted)
 	return gnet.None
 }
 
@@ -112,7 +113,7 @@
 	}
 	l.conn = c
 	l.markReceived()
-	if !l.outgoing {
+	if !l.dialed {
 		n.addAccepted(l)
 	}
 	close(l.opened)
@@ -173,16 +174,16 @@
 	event.Log(l.net.log, logrus.Fields{"remote": l.conn.RemoteAddr().String(), "error": err})
 }
 
-// handleFrame handles one frame on the event loop. It passes replies to their callers, and other
-// messages to the workers.
+// handleFrame handles one frame on the event loop. It passes a reply to the waiting Request, and any
+// other message to the workers.
 func (l *link) handleFrame(f frame.Frame) error {
 	if !l.keysReady {
 		return l.handleHello(f)
 	}
 	payload := bytes.Clone(f.Payload)
 	if Kind(f.Kind) == kindReply {
-		if answer, ok := l.net.pending.LoadAndDelete(f.ID); ok {
-			answer.(chan []byte) <- payload
+		if replies, ok := l.net.pending.LoadAndDelete(f.ID); ok {
+			replies.(chan []byte) <- payload
 		}
 		return nil
 	}
--- a/transport/peernet/peernet.go
+++ b/transport/peernet/peernet.go
@@ -58,11 +58,11 @@
 	log     logrus.FieldLogger
 	meters  *meter.Meters
 
-	engine    gnet.Engine
-	booted    chan struct{}
+	engine    gnet.Engine   // of the listener, set before booted is closed
+	booted    chan struct{} // closed once peers can connect
 	client    *gnet.Client
 	started   chan struct{}    // closed once connections can be dialed
-	enrollMu  sync.Mutex       // held while a link is made
+	enrollMu  sync.Mutex       // held while a dialed connection becomes a link
 	stopped   bool             // guarded by enrollMu
 	mu        sync.Mutex       // guards links and accepted
 	links     map[string]*link // links that this daemon dialed, by address
@@ -70,8 +70,8 @@
 	idleLimit time.Duration    // time without a byte after which an accepted link may be closed
 	startTime time.Time        // origin of elapsed
 	inbox     chan inbound
-	nextID    atomic.Uint64
-	pending   sync.Map // request id to chan []byte, which takes the reply
+	nextID    atomic.Uint64 // id of the last request
+	pending   sync.Map      // request id to chan []byte, which takes the reply
 
 	requests task.Group // handlers that run for requests of peers
 }
@@ -104,7 +104,7 @@
 }
 
 const (
-	inboxSize   = 1024
+	inboxSize   = 1024 // received messages that may wait for a worker
 	workers     = 4
 	dialTimeout = 500 * time.Millisecond
 	maxQueued   = 4 << 20 // bytes that may wait to be sent to one peer
@@ -137,7 +137,7 @@
 	return n, nil
 }
 
-// Run carries messages until the context ends.
+// Run listens for peers and carries messages until the context ends or the listener fails.
 func (n *Net) Run(ctx context.Context) error {
 	if err := n.client.Start(); err != nil {
 		return fmt.Errorf("start client: %w", err)
@@ -192,7 +192,7 @@
 // Listening returns a channel that is closed once peers can connect.
 func (n *Net) Listening() <-chan struct{} { return n.booted }
 
-// Send sends a message that gets no reply.
+// Send queues a message that gets no reply. A nil error does not mean that the peer receives it.
 func (n *Net) Send(addr string, kind Kind, payload []byte) error {
 	l, err := n.link(addr)
 	if err != nil {
@@ -201,22 +201,23 @@
 	return l.send(kind, 0, payload)
 }
 
-// Request sends a request and returns its reply.
+// Request sends a request and returns the peer's reply. It fails when the context ends or the
+// connection closes first.
 func (n *Net) Request(ctx context.Context, addr string, kind Kind, payload []byte) ([]byte, error) {
 	l, err := n.link(addr)
 	if err != nil {
 		return nil, err
 	}
 	id := n.nextID.Add(1)
-	answer := make(chan []byte, 1)
-	n.pending.Store(id, answer)
+	replies := make(chan []byte, 1)
+	n.pending.Store(id, replies)
 	defer n.pending.Delete(id)
 	sent := n.elapsed()
 	if err := l.send(kind, id, payload); err != nil {
 		return nil, err
 	}
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		return reply, nil
 	case <-l.closed:
 		return nil, &spanrill.CallError{Phase: spanrill.PhaseAnswer, Written: len(payload), Cause: ErrNoPeer}
@@ -291,7 +292,8 @@
 	}
 }
 
-// serveInbound passes received messages to the handler. It runs on each worker.
+// serveInbound is the loop of a worker. It passes received messages to the handler and sends the
+// replies to requests.
 func (n *Net) serveInbound(ctx context.Context) error {
 	for {
 		select {
--- a/transport/peernet/peernet_test.go
+++ b/transport/peernet/peernet_test.go
@@ -44,7 +44,7 @@
 	return n, addr
 }
 
-// echo is a handler that replies with all that it got.
+// echo is a handler that replies with its arguments.
 func echo(from string, kind Kind, payload []byte) []byte {
 	return fmt.Appendf(nil, "%s %d %s", from, kind, payload)
 }
@@ -71,10 +71,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if reply, err := a.Request(ctx, addr, testKind, nil); err == nil {
-		t.Fatalf("a peer with another secret got the reply %q", reply)
+		t.Fatalf("a peer with another secret got the reply %q, want an error", reply)
 	}
 	if a.meters.FramesRefused.Get()+b.meters.FramesRefused.Get() == 0 {
-		t.Fatal("no refused frame was counted")
+		t.Fatal("no frame was counted as refused, want at least 1")
 	}
 }
 
@@ -83,16 +83,16 @@
 	hello := frame.NewWriter(frame.DeriveKey([]byte("secret-of-the-fleet"), []byte("hello"))).Append(nil, 0, 0, []byte("x"))
 	oversized := append([]byte(nil), hello...)
 	oversized[20] = 0xff
-	version := append([]byte(nil), hello...)
-	version[2] = 77
+	otherVersion := append([]byte(nil), hello...)
+	otherVersion[2] = 77
 	b, addr := start(t, "b", "secret-of-the-fleet", echo)
 	a, _ := start(t, "a", "secret-of-the-fleet", echo)
-	for i, bytes := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), oversized, version, hello} {
+	for i, sent := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), oversized, otherVersion, hello} {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := c.Write(bytes); err != nil {
+		if _, err := c.Write(sent); err != nil {
 			t.Fatal(err)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -145,6 +145,6 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the requests have not ended")
+		t.Fatal("the requests have not ended after 30 s")
 	}
 }
--- a/transport/peernet/silence.go
+++ b/transport/peernet/silence.go
@@ -16,30 +16,33 @@
 	// byte (docs/design/silence.md).
 	silentTimeouts = 2
 	// defaultIdleLimit is many times the pause between two messages of a peer. That
-	// pause averages 17 s for a member of a zone of 100 that is only sent gossip.
+	// pause averages 17 s in an availability zone of 100 daemons, if the peer sends
+	// only gossip.
 	defaultIdleLimit = 5 * time.Minute
 )
 
 // elapsed returns the time since n was made, on a monotonic clock.
 func (n *Net) elapsed() time.Duration { return time.Since(n.startTime) }
 
-// markReceived records that bytes have arrived now.
+// markReceived records that bytes have just arrived.
 func (l *link) markReceived() {
 	l.lastReceived.Store(int64(l.net.elapsed()))
 	l.timeouts.Store(0)
 }
 
-// recordTimeout records that a request sent at the time sent has timed out. After silentTimeouts
-// of them in a row without a byte received, it closes the link, so that the next message dials a
-// new one.
+// recordTimeout records that a request has timed out; sent is when it was sent. After silentTimeouts
+// such requests in a row, without a byte received, it closes the link, so that the next message
+// dials a new one.
 func (n *Net) recordTimeout(l *link, sent time.Duration) {
 	if l.quietSince(sent) && l.timeouts.Add(1) == silentTimeouts {
 		n.closeSilent(l, sent)
 	}
 }
 
-// quietSince reports whether no bytes have arrived since a time.
-func (l *link) quietSince(at time.Duration) bool { return time.Duration(l.lastReceived.Load()) <= at }
+// quietSince reports whether no bytes have arrived after start, a time as returned by elapsed.
+func (l *link) quietSince(start time.Duration) bool {
+	return time.Duration(l.lastReceived.Load()) <= start
+}
 
 // closeSilent closes a silent link. If requests time out on another quiet link as well, all links
 // may have gone silent at once. It then closes every dialed link on which no bytes have arrived
@@ -70,7 +73,7 @@
 }
 
 // addAccepted adds a link that a peer dialed, and closes accepted links that have been quiet for
-// longer than idleLimit. When a peer closes a silent link, this side never learns of it.
+// longer than idleLimit: when a peer closes a silent link, the close may never reach this side.
 func (n *Net) addAccepted(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/transport/peernet/silence_test.go
+++ b/transport/peernet/silence_test.go
@@ -83,7 +83,7 @@
 		}
 	}
 	if proxy.Accepted() != 1 {
-		t.Fatalf("%d connections were made for a link that works", proxy.Accepted())
+		t.Fatalf("%d connections were made for a working link, want 1", proxy.Accepted())
 	}
 	wantSilences(t, a, hook, 0)
 	proxy.SetFaults(faultproxy.Faults{Silence: true})
@@ -93,7 +93,7 @@
 		}
 	}
 	if err := ask(a, addr); err != nil {
-		t.Fatalf("after %d timeouts: %v", silentTimeouts, err)
+		t.Fatalf("request after %d timeouts: %v, want a reply on a new link", silentTimeouts, err)
 	}
 	wantSilences(t, a, hook, 1)
 }
@@ -159,7 +159,7 @@
 	select {
 	case got := <-received:
 		if got != "after" {
-			t.Fatalf("got %q", got)
+			t.Fatalf("got message %q, want \"after\"", got)
 		}
 	case <-time.After(5 * time.Second):
 		t.Fatal("the message on the link without requests was lost")
