--- a/state/fleet/active.go
+++ b/state/fleet/active.go
@@ -16,7 +16,6 @@
 	lastHeard atomic.Int64 // when any upstream last responded
 }
 
-// add adds an upstream.
 func (a *activeSet) add(u *Upstream) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -57,9 +56,9 @@
 	return u.OwnTokens() != 0 || u.OwnCalls() != 0 || u.dead.Load() || u.pace.Load() > paceUnit || u.RefusesThisDaemon(now)
 }
 
-// EachActive calls f for every upstream with state from this daemon's own requests: they run there,
-// or it has refused them, asked for rest, announced that it leaves, failed to answer or been slow.
-// Removed upstreams are left out.
+// EachActive calls f for every upstream with state from this daemon's own requests: such requests
+// are running on it, or it has refused them, asked for rest, announced that it is leaving, failed to
+// answer or been slow. Removed upstreams are left out.
 func (t *Table) EachActive(f func(*Upstream)) {
 	for _, u := range t.active.list(t.clock.Now()) {
 		if !u.Removed() {
@@ -71,8 +70,8 @@
 // LastHeard returns when any upstream last responded.
 func (t *Table) LastHeard() spanrill.Millis { return spanrill.Millis(t.active.lastHeard.Load()) }
 
-// recordHeard records that an upstream has responded.
-func (a *activeSet) recordHeard(now spanrill.Millis) {
+// updateLastHeard records that an upstream has responded, unless a later response is known.
+func (a *activeSet) updateLastHeard(now spanrill.Millis) {
 	for {
 		old := a.lastHeard.Load()
 		if int64(now) <= old || a.lastHeard.CompareAndSwap(old, int64(now)) {
--- a/state/fleet/active_test.go
+++ b/state/fleet/active_test.go
@@ -10,16 +10,16 @@
 
 // manyUpstreams returns a table with n upstreams of service s.
 func manyUpstreams(n int) (*Table, *clock.Manual) {
-	now := clock.NewManual()
-	now.Advance(100 * spanrill.Second)
-	t := New(now, nil)
-	k := Update{Revision: 1, LastChange: 1}
+	manual := clock.NewManual()
+	manual.Advance(100 * spanrill.Second)
+	t := New(manual, nil)
+	update := Update{Revision: 1, LastChange: 1}
 	for i := range n {
 		id := "e" + string(rune('a'+i/26/26%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i%26))
-		k.Entries = append(k.Entries, spanrill.EngineEntry{ID: id, Service: "s", Addr: id, Revision: 1})
+		update.Entries = append(update.Entries, spanrill.EngineEntry{ID: id, Service: "s", Addr: id, Revision: 1})
 	}
-	t.Merge(k, now.Now())
-	return t, now
+	t.Merge(update, manual.Now())
+	return t, manual
 }
 
 func activeIDs(t *Table) map[string]bool {
@@ -28,9 +28,9 @@
 	return ids
 }
 
-// Guards against visiting all upstreams in each exchange with peers, as happened six times per
-// round, and in each probe for dead upstreams: it took 28% of the CPU time of 60 daemons that started
-// with 2,922 engines. Only the few with state from the daemon's own requests need a visit.
+// Guards against visiting all upstreams in each exchange with peers (six times per round) and in each
+// probe for dead upstreams, although only the few with state from the daemon's own requests matter:
+// that took 28% of the CPU time of 60 daemons that started with 2,922 engines.
 func TestActiveUpstreamsFollowOwnRequests(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -45,25 +45,25 @@
 		{"it refuses", func(u *Upstream, now spanrill.Millis) { u.RecordRefusal(now, true) }, func(*Upstream) {}, refusalWithRoomWait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			table, now := manyUpstreams(200)
+			table, manual := manyUpstreams(200)
 			if got := activeIDs(table); len(got) != 0 {
 				t.Fatalf("%d active upstreams before any request, want 0", len(got))
 			}
 			u := table.View().ByID("eaac")
-			c.begin(u, now.Now())
+			c.begin(u, manual.Now())
 			for range 2 {
 				if got := activeIDs(table); len(got) != 1 || !got["eaac"] {
 					t.Fatalf("active upstreams %v, want eaac only", got)
 				}
 			}
 			c.end(u)
-			now.Advance(c.activeFor)
+			manual.Advance(c.activeFor)
 			if got := activeIDs(table); len(got) != 0 {
 				t.Fatalf("active upstreams %v after the end, want none", got)
 			}
-			c.begin(u, now.Now())
+			c.begin(u, manual.Now())
 			if got := activeIDs(table); !got["eaac"] {
-				t.Fatalf("active upstreams %v after a repetition, want eaac", got)
+				t.Fatalf("active upstreams %v after a second begin, want eaac", got)
 			}
 		})
 	}
@@ -72,16 +72,16 @@
 // Guards against losing the rest of an upstream when it restarts: the rest must still be sent to
 // peers.
 func TestRestingUpstreamStaysActiveAfterRestart(t *testing.T) {
-	table, now := manyUpstreams(3)
-	table.HandleNotice("eaab", spanrill.Notice{Rest: 3000}, now.Now())
+	table, manual := manyUpstreams(3)
+	table.HandleNotice("eaab", spanrill.Notice{Rest: 3000}, manual.Now())
 	entry := *table.View().ByID("eaab").Entry()
 	entry.Revision, entry.WriteCount = 5, 1
 	old := entry
 	old.Revision, old.WriteCount = 4, 9
-	table.Merge(Update{Entries: []spanrill.EngineEntry{old}, Revision: 4, LastChange: 4}, now.Now())
-	table.Merge(Update{Entries: []spanrill.EngineEntry{entry}, Revision: 5, LastChange: 5}, now.Now())
+	table.Merge(Update{Entries: []spanrill.EngineEntry{old}, Revision: 4, LastChange: 4}, manual.Now())
+	table.Merge(Update{Entries: []spanrill.EngineEntry{entry}, Revision: 5, LastChange: 5}, manual.Now())
 	refusing := false
-	table.EachActive(func(u *Upstream) { refusing = refusing || u.Name() == "eaab" && u.RefusesThisDaemon(now.Now()) })
+	table.EachActive(func(u *Upstream) { refusing = refusing || u.Name() == "eaab" && u.RefusesThisDaemon(manual.Now()) })
 	if table.Restarts() != 1 || !refusing {
 		t.Fatalf("%d restarts, want 1; refusing: %t, want true", table.Restarts(), refusing)
 	}
@@ -90,36 +90,36 @@
 // Guards against rebuilding the indexes of a view although no upstream was added, removed or moved.
 // That took 3.3 ms with 2,922 upstreams, several times a second on each daemon.
 func TestUnchangedViewsShareIndexes(t *testing.T) {
-	table, now := manyUpstreams(50)
+	table, manual := manyUpstreams(50)
 	before := table.View()
 	table.RefreshView()
 	entry := *before.ByID("eaab").Entry()
 	entry.Layers, entry.Revision = spanrill.LayerRange{From: 0, To: 4}, 2
-	table.Changed(nil, 2, now.Now())
+	table.Changed(nil, 2, manual.Now())
 	after := table.View()
 	if after.Version() == before.Version() || &after.ByService("s")[0] != &before.ByService("s")[0] {
 		t.Fatalf("versions %d and %d, want different ones; shared lists: %t, want true", before.Version(), after.Version(), &after.ByService("s")[0] == &before.ByService("s")[0])
 	}
 	entry.Addr = "moved"
-	table.Merge(Update{Entries: []spanrill.EngineEntry{entry}, Revision: 3, LastChange: 3}, now.Now())
+	table.Merge(Update{Entries: []spanrill.EngineEntry{entry}, Revision: 3, LastChange: 3}, manual.Now())
 	moved := table.View()
 	if moved.ByAddr("moved") == nil || moved.ByAddr("eaab") != nil || len(moved.ByService("s")) != 1 || len(before.ByService("s")) != 50 {
 		t.Fatalf("after a change of address: upstream %v at the new one, %d upstreams, want 1", moved.ByAddr("moved"), len(moved.ByService("s")))
 	}
 }
 
-// Guards against an engine applying an order to another engine whose id has the same key, as is the
-// case for two of these 2,922 ids.
+// Guards against applying an order for one engine to another one whose id has the same key, as is
+// the case for two of these 2,922 ids.
 func TestKeyCollisionFindsNeitherUpstream(t *testing.T) {
-	now := clock.NewManual()
-	table, keys := New(now, nil), map[uint32]int{}
-	k := Update{Revision: 1, LastChange: 1}
+	manual := clock.NewManual()
+	table, keys := New(manual, nil), map[uint32]int{}
+	update := Update{Revision: 1, LastChange: 1}
 	for i := range 2922 {
 		id := fmt.Sprintf("i-%010x", i*7919)
-		k.Entries = append(k.Entries, spanrill.EngineEntry{ID: id, Service: "s", Addr: id, Revision: 1})
+		update.Entries = append(update.Entries, spanrill.EngineEntry{ID: id, Service: "s", Addr: id, Revision: 1})
 		keys[KeyOf(id)]++
 	}
-	table.Merge(k, now.Now())
+	table.Merge(update, manual.Now())
 	collisions := 0
 	for key, n := range keys {
 		if found := table.View().ByKey(key) != nil; found != (n == 1) {
--- a/state/fleet/conflict.go
+++ b/state/fleet/conflict.go
@@ -7,14 +7,14 @@
 	"spanrill/events"
 )
 
-// A conflictingEntry has the address of another upstream that is known and answers. Either another
-// process listens there now, or the entry is wrong: the store may have applied a write of a dead
-// process late, or another writer wrote it. The entries don't show which is the case, so the process
-// at the address is asked for its name, and nothing changes until it has answered.
+// conflictingEntry is an entry with the address of another known upstream that is not dead. Either
+// another process listens there now, or the entry is wrong: the store may have applied a write of a
+// dead process late, or another writer wrote it. The entries don't show which is the case, so the
+// process at the address is asked for its name, and nothing changes until it has answered.
 //
-// Using the newest entry instead failed: an engine that had just started was replaced by a dead
-// one whose late write arrived after a network partition, and counted as removed until its own entry
-// changed again, 1.6 s later in one trace.
+// The newest entry is not simply used, since it may be the late write of a dead engine after a
+// network partition. It would replace an engine that has just started, which would count as removed
+// until its own entry changes again: 1.6 s later in one trace.
 type conflictingEntry struct {
 	entry    spanrill.EngineEntry
 	rejected bool // the address has answered with another name
@@ -40,19 +40,20 @@
 	return unresolved
 }
 
-// ResolveAddress resolves the conflicts at an address whose process has answered with a name.
-func (t *Table) ResolveAddress(addr, name string) {
+// ResolveAddress resolves the conflicts at an address whose process has answered with its name: the
+// conflicting entry of that name replaces the upstream at the address, and all others are rejected.
+func (t *Table) ResolveAddress(addr, answeredName string) {
 	defer t.notifyRestarts()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, c := range t.conflicts {
+	for entryName, c := range t.conflicts {
 		if c.entry.Addr != addr || c.rejected {
 			continue
 		}
-		c.rejected = id != name
-		events.AddressConflictChecked.Log(t.log, logrus.Fields{"upstream": id, "addr": addr, "answered": name, "taken": !c.rejected})
+		c.rejected = entryName != answeredName
+		events.AddressConflictChecked.Log(t.log, logrus.Fields{"upstream": entryName, "addr": addr, "answered": answeredName, "taken": !c.rejected})
 		if !c.rejected {
-			t.admitConflicting(id)
+			t.admitConflicting(entryName)
 			t.publishView()
 		}
 	}
@@ -66,9 +67,9 @@
 	t.addUpstream(entry)
 }
 
-// inConflict reports whether an entry has the address of another upstream that is in use, and
-// records the conflict if so. The caller holds the lock.
-func (t *Table) inConflict(entry spanrill.EngineEntry) bool {
+// checkConflict reports whether an entry has the address of another upstream that is in use. If so,
+// it records the conflict, otherwise it drops a conflict recorded earlier. The caller holds the lock.
+func (t *Table) checkConflict(entry spanrill.EngineEntry) bool {
 	if t.addrHolder(entry) == nil {
 		delete(t.conflicts, entry.ID)
 		return false
@@ -84,8 +85,8 @@
 	return true
 }
 
-// addrHolder returns another upstream at the address of an entry, or nil if there is none, or if it
-// is dead or its entry is held. The caller holds the lock.
+// addrHolder returns the other upstream that uses the address of an entry, or nil. An upstream that is
+// dead or whose entry is held does not count. The caller holds the lock.
 func (t *Table) addrHolder(entry spanrill.EngineEntry) *Upstream {
 	u := t.byAddr[entry.Addr]
 	if u == nil || u.Name() == entry.ID || u.Dead() {
@@ -97,8 +98,8 @@
 	return u
 }
 
-// admitResolved admits the conflicting entries whose address has become free, and reports whether
-// there were any. The caller holds the lock.
+// admitResolved adds the upstreams of conflicting entries whose address has become free, and reports
+// whether there were any. The caller holds the lock.
 func (t *Table) admitResolved() bool {
 	admitted := false
 	for name, c := range t.conflicts {
--- a/state/fleet/conflict_test.go
+++ b/state/fleet/conflict_test.go
@@ -44,8 +44,8 @@
 			if u := table.View().ByAddr("1:1"); u == nil || u.Name() != c.want || !u.AcceptsRequests() {
 				t.Errorf("upstream %v at the address, want %s, accepting requests", u, c.want)
 			}
-			if open := table.AddressConflicts(); len(open) != c.unresolved {
-				t.Errorf("unresolved conflicts %v, want %d", open, c.unresolved)
+			if unresolved := table.AddressConflicts(); len(unresolved) != c.unresolved {
+				t.Errorf("unresolved conflicts %v, want %d", unresolved, c.unresolved)
 			}
 			if table.View().ByID("b") == nil {
 				t.Error("an uninvolved upstream was removed")
@@ -87,24 +87,24 @@
 }
 
 // Guards against a daemon that doesn't learn of an address conflict from a peer, and so never asks
-// the address itself.
+// the process at the address for its name.
 func TestConflictsReachPeers(t *testing.T) {
 	peer, manual := newTable(t)
 	peer.Changed([]spanrill.Change{change(item(t, "c", "1:1", 3, false))}, 3, manual.Now())
 	table, _ := newTable(t)
 	table.Merge(peer.FullUpdate(), manual.Now())
-	if open := table.AddressConflicts(); len(open) != 1 || open[0] != (AddressConflict{Addr: "1:1", Service: "s", Name: "c"}) {
-		t.Fatalf("unresolved conflicts %v, want that of c", open)
+	if unresolved := table.AddressConflicts(); len(unresolved) != 1 || unresolved[0] != (AddressConflict{Addr: "1:1", Service: "s", Name: "c"}) {
+		t.Fatalf("unresolved conflicts %v, want that of c", unresolved)
 	}
 }
 
-// Guards against the use of an upstream whose entry has become unreadable, whether a list, a change
-// or a peer shows that, and also around an outage of the store. Others stay in use.
+// Guards against the use of an upstream whose entry has become unreadable, whether that is learned
+// from a list, a change or a peer, and also after an outage of the store. Other upstreams stay in use.
 func TestUnreadableEntries(t *testing.T) {
 	bad := spanrill.Item{Name: "a", Revision: 3, Value: []byte("no entry")}
 	for _, c := range []struct {
 		name  string
-		hears func(t *testing.T, table *Table, now spanrill.Millis)
+		learn func(t *testing.T, table *Table, now spanrill.Millis)
 	}{
 		{"in a change", func(_ *testing.T, table *Table, now spanrill.Millis) {
 			table.Changed([]spanrill.Change{change(bad)}, 3, now)
@@ -122,18 +122,18 @@
 			table, manual := newTable(t)
 			table.RecordStoreFailure()
 			before := table.View().ByID("a")
-			c.hears(t, table, manual.Now())
+			c.learn(t, table, manual.Now())
 			if table.View().ByID("a") != nil || table.View().ByAddr("1:1") != nil || before.AcceptsRequests() || table.View().ByID("b") == nil {
 				t.Fatal("the upstream with the unreadable entry is in use, or the other one is not")
 			}
 			if before.Dead() || len(table.RecentlyRemoved()) != 1 {
 				t.Error("the upstream is dead or not among the recently removed ones")
 			}
-			if now, _ := table.Unreadable(); now != 1 {
-				t.Errorf("%d unreadable entries, want 1", now)
+			if current, _ := table.Unreadable(); current != 1 {
+				t.Errorf("%d unreadable entries, want 1", current)
 			}
 			table.Changed([]spanrill.Change{change(item(t, "a", "1:1", 9, false))}, 9, manual.Now())
-			if now, _ := table.Unreadable(); now != 0 || table.View().ByID("a") == nil {
+			if current, _ := table.Unreadable(); current != 0 || table.View().ByID("a") == nil {
 				t.Error("the entry is not used after it became readable again")
 			}
 		})
@@ -147,7 +147,7 @@
 		table.Listed([]spanrill.Item{{Name: "a", Revision: 3, Value: []byte("no entry")}}, 3, manual.Now())
 	}
 	table.Listed([]spanrill.Item{{Name: "a", Revision: 4, Value: []byte("no entry")}}, 4, manual.Now())
-	if _, all := table.Unreadable(); all != 2 {
-		t.Fatalf("%d log lines, want 2", all)
+	if _, total := table.Unreadable(); total != 2 {
+		t.Fatalf("%d log lines, want 2", total)
 	}
 }
--- a/state/fleet/failurerate.go
+++ b/state/fleet/failurerate.go
@@ -22,6 +22,7 @@
 	failureRateHalfLife = 4 * spanrill.Second
 )
 
+// record adds a request: failed is 1 if it failed, otherwise 0.
 func (r *failureRate) record(now spanrill.Millis, failed float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -5,9 +5,9 @@
 // atomics. Writers replace the view as a whole.
 //
 // A removed entry means that its upstream has left, except around an outage of the store, when
-// entries of live upstreams may expire. Such an entry is held for a while after its removal was
-// noticed. If the store answered some daemon throughout, the time counts from when the entry was
-// last confirmed.
+// entries of live upstreams may expire. Such an entry is held: it stays in use for a limited time,
+// counted from when the read was sent that no longer had it. If the store answered some daemon
+// throughout, the time counts from when the entry was last confirmed.
 //
 // An upstream may also leave without notice: its entry is removed, and it finishes its running
 // requests within some seconds. RecentlyRemoved returns those upstreams.
@@ -18,13 +18,15 @@
 //	conflict.go     entries with the address of another upstream
 //	unreadable.go   entries that cannot be decoded
 //	removals.go     revisions of removals, for peers that ask for changes
-//	removed.go      removed entries, and upstreams that leave
+//	removed.go      removed entries, and upstreams that have left
 //	restored.go     entries after the store was restored from an older copy
 //	available.go    periods in which the store answered, and held entries
 //	notice.go       notices of upstreams in their answers: rest, leaving
 //	limit.go        request rate limits that upstreams send in their answers
 //	loglimit.go     limits on log lines about upstreams
 //	active.go       upstreams with state from this daemon's own requests
+//	observe.go      reports that are requested from engines
+//	view.go         the index of the upstreams that readers use
 //	upstream.go     one upstream; refusal.go, failurerate.go and lag.go hold its health
 //
 // # Usage
@@ -53,7 +55,7 @@
 	mu                sync.Mutex
 	byName            map[string]*Upstream // by name in the store
 	byAddr            map[string]*Upstream // the same upstreams by address
-	held              map[string]heldEntry // by name, removed entries that may only have expired
+	held              map[string]heldEntry // by name, removed entries that may merely have expired
 	unreadableNames   map[string]bool      // names of entries that cannot be decoded
 	removals          *removals
 	unreadableLog     unreadableLog
@@ -65,11 +67,11 @@
 	lastStoreFailure  atomic.Int64 // when the last failed call to the store ended
 	version           uint64
 	revision          uint64          // revision of the store up to which all entries are known
-	lastChange        uint64          // revision up to which there were changes, at most revision
+	lastChange        uint64          // nothing changed after this revision, up to revision
 	confirmedAt       spanrill.Millis // when the latest read that confirmed the entries was sent
 	ready             chan struct{}
 	readyOnce         sync.Once
-	holdDuration      spanrill.Millis // how long an entry that may have expired is held
+	holdDuration      spanrill.Millis // hold time of a removed entry that may have expired
 
 	pastStarts     map[string]*pastStarts       // by name, of restarted or removed upstreams
 	conflicts      map[string]*conflictingEntry // by name
@@ -149,7 +151,7 @@
 	t.releaseHeld(entry.ID)
 	u := t.byName[entry.ID]
 	if u == nil {
-		if !t.quarantine(entry) && !t.inConflict(entry) {
+		if !t.quarantine(entry) && !t.checkConflict(entry) {
 			t.addUpstream(entry)
 		}
 		return
@@ -158,7 +160,7 @@
 	if old.Revision > entry.Revision || fromOlderCopy(old, &entry) {
 		return
 	}
-	if entry.Addr != old.Addr && t.inConflict(entry) {
+	if entry.Addr != old.Addr && t.checkConflict(entry) {
 		t.remove(entry.ID, "its entry names the address of another upstream")
 		return
 	}
@@ -206,19 +208,20 @@
 	t.setAddr(u)
 }
 
-// addrSince returns since when the upstream of a new entry is known at its address. If its previous
-// entry was removed recently, the time of that entry applies. The caller holds the lock.
+// addrSince returns since when the upstream of a new entry has been known at its address. If its
+// previous entry had the same address and was removed recently, the time of that entry applies. The
+// caller holds the lock.
 func (t *Table) addrSince(entry spanrill.EngineEntry) spanrill.Millis {
-	for _, d := range t.recentlyRemoved {
-		if d.upstream.Name() == entry.ID && d.upstream.Addr() == entry.Addr {
-			return d.upstream.addrSince
+	for _, r := range t.recentlyRemoved {
+		if r.upstream.Name() == entry.ID && r.upstream.Addr() == entry.Addr {
+			return r.upstream.addrSince
 		}
 	}
 	return t.clock.Now()
 }
 
-// setAddr indexes an upstream by its address. Another upstream at that address has ended and is
-// removed. The caller holds the lock.
+// setAddr indexes an upstream by its address. If another upstream was at that address, it has ended
+// and is removed. The caller holds the lock.
 func (t *Table) setAddr(u *Upstream) {
 	t.membershipChanged = true
 	other := t.byAddr[u.Addr()]
@@ -247,8 +250,8 @@
 	t.publishView()
 }
 
-// publishView makes the next view. It shares the indexes of the previous view if no upstream was
-// added, removed or moved. The caller holds the lock.
+// publishView replaces the view by one with a new version. It shares the indexes of the previous view
+// if no upstream was added, removed or moved. The caller holds the lock.
 func (t *Table) publishView() {
 	t.version++
 	v := *t.view.Load()
--- a/state/fleet/fleet_test.go
+++ b/state/fleet/fleet_test.go
@@ -57,7 +57,7 @@
 		{"an outage, and it did not come back", 500, 5000, holdTime, false},
 		{"only this daemon had no answer: it may come back", 300, 400, holdTime - 401, true},
 		{"only this daemon had no answer: the time counts from the confirmation", 300, 400, holdTime - 400, false},
-		{"the same, with an older confirmation because the first daemons in rank were cut off", 300, 1650, holdTime - 1650, false},
+		{"only this daemon had no answer: an older confirmation, as when the first daemons in rank are cut off", 300, 1650, holdTime - 1650, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, manual := newTable(t)
@@ -77,7 +77,8 @@
 	}
 }
 
-// Guards against holding the removed entry of an engine whose entry announced that it leaves.
+// Guards against holding the removed entry of an engine whose entry announced that it is
+// leaving.
 func TestLeavingEntryIsNotHeld(t *testing.T) {
 	table, manual := newTable(t)
 	table.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 3, true)}}, 3, manual.Now())
@@ -88,8 +89,8 @@
 	}
 }
 
-// Guards against a daemon without reads of its own that doesn't learn from a peer that an upstream
-// leaves, and against older updates that replace newer ones.
+// Guards against a daemon that gets no answers from the store itself and doesn't learn from a peer
+// that an upstream is leaving, and against older updates that replace newer ones.
 func TestMergeFromPeers(t *testing.T) {
 	peer, _ := newTable(t)
 	peer.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 7, true)}}, 7, 0)
@@ -138,8 +139,8 @@
 	}
 }
 
-// Guards against a wait that doesn't grow with consecutive refusals, and against a request sent
-// before the last refusal that ends it.
+// Guards against a wait that doesn't grow with consecutive refusals, and against ending the wait when
+// a request is accepted that was sent before the last refusal.
 func TestConsecutiveRefusals(t *testing.T) {
 	u := newTestUpstream(spanrill.EngineEntry{}, 0)
 	var now, last spanrill.Millis
@@ -200,9 +201,9 @@
 }
 
 // Guards against counting the hold time from when the removal of an entry becomes known here. The
-// removal may become known late, over several daemons; if the store answered one of them throughout,
+// removal may become known late, via several daemons; if the store answered one of them throughout,
 // the time counts from the last confirmation.
-func TestLateNewsOfRemoval(t *testing.T) {
+func TestRemovalLearnedLate(t *testing.T) {
 	table, manual := newTable(t)
 	table.RecordStoreFailure()
 	manual.Advance(holdTime + 100)
@@ -229,23 +230,23 @@
 	}
 }
 
-// Guards against the wrong start of the hold time on a daemon that had no news for long. It holds a
-// removed entry as after an outage of the store, unless a peer reports that the store answered it
-// throughout.
+// Guards against the wrong start of the hold time on a daemon whose entries were not confirmed for
+// long. It holds a removed entry as after an outage of the store, unless a peer reports that the store
+// answered it throughout.
 func TestRemovalAfterLongSilence(t *testing.T) {
-	const unheard = 4 * spanrill.Second
+	const unconfirmed = 4 * spanrill.Second
 	for _, c := range []struct {
 		name     string
 		from, to spanrill.Millis // period in which the store answered a peer
 		want     bool            // whether the upstream is still in the view
 	}{
-		{"a peer was answered all the while", 0, unheard - 10, false},
-		{"a peer was answered after the last confirmation here, but not recently", 0, 1000, true},
-		{"a peer was answered only recently", unheard - 200, unheard, true},
+		{"the store answered a peer throughout", 0, unconfirmed - 10, false},
+		{"the store answered a peer after the last confirmation here, but not recently", 0, 1000, true},
+		{"the store answered a peer only recently", unconfirmed - 200, unconfirmed, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, manual := newTable(t)
-			manual.Advance(unheard)
+			manual.Advance(unconfirmed)
 			table.RecordStoreFailure()
 			table.Changed([]spanrill.Change{removal("a")}, 3, manual.Now())
 			table.RecordStoreAvailable(c.from, c.to)
@@ -286,13 +287,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			a := c.known
 			if a.merge(c.reported, pause); a != c.want {
-				t.Fatalf("%v, want %v", a, c.want)
+				t.Fatalf("merged span %v, want %v", a, c.want)
 			}
 		})
 	}
 }
 
 // newTestUpstream returns an upstream of an otherwise empty table.
-func newTestUpstream(e spanrill.EngineEntry, starts int) *Upstream {
-	return New(clock.NewManual(), nil).newUpstream(e, starts)
+func newTestUpstream(e spanrill.EngineEntry, restarts int) *Upstream {
+	return New(clock.NewManual(), nil).newUpstream(e, restarts)
 }
--- a/state/fleet/incarnation.go
+++ b/state/fleet/incarnation.go
@@ -62,8 +62,8 @@
 // maxRememberedNames is the maximum number of names with remembered starts or notices.
 const maxRememberedNames = 4096
 
-// pastStartsOf returns the earlier starts of a name, which the caller may modify. The caller holds
-// the lock.
+// pastStartsOf returns the earlier starts of a name, which the caller may modify, and adds an empty
+// record if there is none. The caller holds the lock.
 func (t *Table) pastStartsOf(name string) *pastStarts {
 	if p := t.pastStarts[name]; p != nil {
 		return p
@@ -91,8 +91,8 @@
 	return startedAt > 0 && p != nil && slices.Contains(p.endedStarts, startedAt)
 }
 
-// endPrevious marks removed incarnations of an entry's name as ended if the entry belongs to
-// another one. The caller holds the lock.
+// endPrevious marks removed incarnations of an entry's name as ended if the entry belongs to a
+// different one. The caller holds the lock.
 func (t *Table) endPrevious(entry spanrill.EngineEntry) {
 	if p := t.pastStarts[entry.ID]; p != nil {
 		if p.removedStart > 0 && entry.StartedAt > 0 && p.removedStart != entry.StartedAt {
@@ -101,9 +101,9 @@
 		}
 		p.removedStart = 0
 	}
-	for id, d := range t.recentlyRemoved {
-		if old := d.upstream.Entry(); old.ID == entry.ID && isRestart(old, &entry) {
-			d.upstream.end()
+	for id, r := range t.recentlyRemoved {
+		if old := r.upstream.Entry(); old.ID == entry.ID && isRestart(old, &entry) {
+			r.upstream.end()
 			delete(t.recentlyRemoved, id)
 			t.restartedAddrs = append(t.restartedAddrs, old.Addr)
 		}
@@ -148,8 +148,9 @@
 // Restarts returns the number of detected restarts of upstreams under the same name.
 func (t *Table) Restarts() uint64 { return t.restarts.Load() }
 
-// HandleReport checks a report of the upstream at an address, requested at the time given, for a
-// restart. A report may show a restart before the entry in the store does.
+// HandleReport replaces the upstream at an address by its next incarnation if a report shows that it
+// has restarted. A report may show that before the entry in the store does. sent is when the report
+// was requested.
 func (t *Table) HandleReport(addr string, r *spanrill.EngineReport, sent spanrill.Millis) {
 	u := t.View().ByAddr(addr)
 	if u == nil {
--- a/state/fleet/incarnation_test.go
+++ b/state/fleet/incarnation_test.go
@@ -50,7 +50,7 @@
 		t.Fatalf("upstream %v at the address, want a new incarnation of a", u)
 	}
 	if u.Layers().Len() != held || u.Target() != nil || u.Tokens() != 0 || u.Calls() != 0 || u.Avoided(now) || u.Slow() || u.FailureRate(now) != 0 || u.Lag(now) != 1 || u.Dead() {
-		t.Errorf("state of the previous incarnation remains: layers %v, target %v, tokens %d, calls %d, risk %v", u.Layers(), u.Target(), u.Tokens(), u.Calls(), u.FailureRate(now))
+		t.Errorf("state of the previous incarnation remains: layers %v, target %v, tokens %d, calls %d, failure rate %v", u.Layers(), u.Target(), u.Tokens(), u.Calls(), u.FailureRate(now))
 	}
 	if !before.Dead() || before.AcceptsRequests() || table.View().ByID(before.ID()) != nil {
 		t.Error("the previous incarnation has not ended")
@@ -61,15 +61,15 @@
 	}
 }
 
-// observation is a single piece of news about the upstream: an entry in a change, in a list or from
-// a peer, the removal of its entry, an outage of the store, or a report.
+// observation is one event from which a table may learn about the upstream: an entry in a change, in
+// a list or from a peer, the removal of its entry, an outage of the store, or a report.
 type observation struct {
-	source    string
-	startedAt int64
-	count     uint64 // number of writes, or of orders in a report
-	layers    int
-	revision  uint64 // of the entry, if not the next one after 10
-	at        spanrill.Millis
+	source     string
+	startedAt  int64
+	count      uint64 // number of writes, or of orders in a report
+	layers     int
+	revision   uint64          // of the entry, if not the next one after 10
+	sentOffset spanrill.Millis // when a report was requested, relative to its arrival
 }
 
 // apply passes the observation to a table. Its entry has the revision 10+next unless it sets one.
@@ -93,12 +93,12 @@
 	case "outage":
 		table.RecordStoreFailure()
 	case "report":
-		table.HandleReport("1:1", &spanrill.EngineReport{StartedAt: o.startedAt, Sequence: o.count}, now+o.at)
+		table.HandleReport("1:1", &spanrill.EngineReport{StartedAt: o.startedAt, Sequence: o.count}, now+o.sentOffset)
 	}
 }
 
 // Guards against state of the previous incarnation that remains after a restart, whichever way the
-// restart becomes known, and against taking late or reordered news for a restart.
+// restart becomes known, and against taking a late or reordered observation for a restart.
 func TestRestartDetection(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -120,18 +120,18 @@
 		{"followed by a late entry and a late report of the previous incarnation", 1000, []observation{{source: "change", startedAt: 2000, count: 1}, {source: "change", startedAt: 1000, count: 6, layers: 8}, {source: "report", startedAt: 1000, count: 7}}, 0, true},
 		{"while its entry is removed, followed by a late entry of the previous incarnation", 1000, []observation{{source: "gone"}, {source: "change", startedAt: 2000, count: 1}, {source: "change", startedAt: 1000, count: 6, layers: 8}}, 0, true},
 		{"no start time, lower write count", 0, []observation{{source: "change", count: 2}}, 0, true},
-		{"no start time, lower order count", 0, []observation{{source: "report", count: 4}, {source: "report", at: 1}}, 0, true},
-		{"no restart: an older report arrives after a newer one", 0, []observation{{source: "report", count: 4}, {source: "report", count: 3, at: -5}}, 8, false},
+		{"no start time, lower order count", 0, []observation{{source: "report", count: 4}, {source: "report", sentOffset: 1}}, 0, true},
+		{"no restart: an older report arrives after a newer one", 0, []observation{{source: "report", count: 4}, {source: "report", count: 3, sentOffset: -5}}, 8, false},
 		{"no restart: a peer sends a lower write count of the same revision", 0, []observation{{source: "peer", count: 3, layers: 8, revision: 10}}, 8, false},
-		{"no restart: the same start time", 1000, []observation{{source: "change", startedAt: 1000, count: 6, layers: 8}, {source: "report", startedAt: 1000, at: 1}}, 8, false},
+		{"no restart: the same start time", 1000, []observation{{source: "change", startedAt: 1000, count: 6, layers: 8}, {source: "report", startedAt: 1000, sentOffset: 1}}, 8, false},
 		{"no restart: the entry is written again after its removal", 1000, []observation{{source: "outage"}, {source: "gone"}, {source: "change", startedAt: 1000, count: 6, layers: 8}}, 8, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, manual, before := restartTable(t, c.startedAt, 5)
 			var restarted []string
 			table.onRestart = func(addr string) { restarted = append(restarted, addr) }
-			for i, h := range c.observations {
-				h.apply(t, table, uint64(i+1), manual.Now())
+			for i, o := range c.observations {
+				o.apply(t, table, uint64(i+1), manual.Now())
 			}
 			if c.wantRestart {
 				requireNewIncarnation(t, table, before, manual.Now(), c.wantLayers)
--- a/state/fleet/lag.go
+++ b/state/fleet/lag.go
@@ -24,11 +24,12 @@
 	maxLagExcess = 20.0
 )
 
-func (l *lag) record(now spanrill.Millis, times float64) {
+// record adds a request that waited ratio times as long as expected.
+func (l *lag) record(now spanrill.Millis, ratio float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	over := min(max(times-1, 0), maxLagExcess)
-	l.excess = l.decayed(now)*(1-lagWeight) + over*lagWeight
+	excess := min(max(ratio-1, 0), maxLagExcess)
+	l.excess = l.decayed(now)*(1-lagWeight) + excess*lagWeight
 	l.updatedAt = now
 }
 
--- a/state/fleet/limit.go
+++ b/state/fleet/limit.go
@@ -31,10 +31,10 @@
 // ErrLimited means that the rate limit of the upstream allows no further request now.
 var ErrLimited = errors.New("the upstream's limit is used up")
 
-// noteLimit updates the limit from an answer. An answer to a call that was begun before the limit
-// was last received may be older than the limit, so it neither raises nor removes the limit. The
-// caller holds the lock.
-func (t *Table) noteLimit(u *Upstream, n spanrill.Notice, begun spanrill.Millis) {
+// updateLimit updates the limit from an answer. An answer to a call that began before the limit was
+// last received may be older than the limit, so it neither raises nor removes the limit. The caller
+// holds the lock.
+func (t *Table) updateLimit(u *Upstream, n spanrill.Notice, callStart spanrill.Millis) {
 	if n.UnreadableLimit != "" {
 		t.noticeCounts.unreadableLimits.Add(1)
 		events.LimitUnreadable.Log(t.log, logrus.Fields{"upstream": u.ID(), "value": n.UnreadableLimit})
@@ -42,12 +42,12 @@
 	old := u.notices.limits.last.Load()
 	switch {
 	case n.Limit.Set:
-		if old != nil && (!old.Set || n.Limit.PerSecond > old.PerSecond) && begun < old.receivedAt {
+		if old != nil && (!old.Set || n.Limit.PerSecond > old.PerSecond) && callStart < old.receivedAt {
 			return
 		}
 		t.setLimit(u, &limit{RateLimit: n.Limit, receivedAt: t.clock.Now()}, "answer")
-	case old != nil && old.Set && n.UnreadableLimit == "" && begun >= old.receivedAt:
-		t.setLimit(u, &limit{receivedAt: begun}, "answer")
+	case old != nil && old.Set && n.UnreadableLimit == "" && callStart >= old.receivedAt:
+		t.setLimit(u, &limit{receivedAt: callStart}, "answer")
 	}
 }
 
@@ -77,8 +77,8 @@
 	events.LimitSet.Log(t.log, logrus.Fields{"upstream": u.ID(), "per_second": next.PerSecond, "from": from})
 }
 
-// addrHasLimit reports whether the upstream at an address has a limit. An answer without one then
-// removes it.
+// addrHasLimit reports whether the upstream at an address has a limit. If it has, an answer without a
+// limit removes it.
 func (t *Table) addrHasLimit(addr string) bool {
 	u := t.View().ByAddr(addr)
 	return u != nil && u.Limit().Set
@@ -101,24 +101,24 @@
 }
 
 // MergeLimit stores a limit received from another daemon if it is newer than the known one.
-func (t *Table) MergeLimit(known KnownLimit) {
-	rate := known.Limit.PerSecond
+func (t *Table) MergeLimit(received KnownLimit) {
+	rate := received.Limit.PerSecond
 	if math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.View().ByKey(known.Upstream)
+	u := t.View().ByKey(received.Upstream)
 	if u == nil || u.Removed() {
 		return
 	}
 	old := u.notices.limits.last.Load()
 	switch {
-	case old == nil && !known.Limit.Set, old != nil && known.At <= old.receivedAt:
+	case old == nil && !received.Limit.Set, old != nil && received.At <= old.receivedAt:
 		return
 	}
 	t.rememberNotices(u)
-	t.setLimit(u, &limit{RateLimit: known.Limit, receivedAt: known.At}, "daemon")
+	t.setLimit(u, &limit{RateLimit: received.Limit, receivedAt: received.At}, "daemon")
 }
 
 // Limits returns the known limits, and those removed within removedLimitRetention.
--- a/state/fleet/limit_test.go
+++ b/state/fleet/limit_test.go
@@ -6,7 +6,7 @@
 	"spanrill"
 )
 
-// Guards against raising or removing a limit because of an answer to a call that was begun before
+// Guards against raising or removing a limit because of an answer to a call that began before
 // the limit was received.
 func TestLimitUpdateOrder(t *testing.T) {
 	limited := func(perSecond float64) spanrill.Notice {
@@ -53,6 +53,6 @@
 	c.Advance(10)
 	table.HandleReport("1:1", &spanrill.EngineReport{Sequence: 1}, c.Now())
 	if u := table.View().ByAddr("1:1"); u.ID() == "a" || u.Limit() != limit {
-		t.Errorf("upstream %s has limit %+v", u.ID(), u.Limit())
+		t.Errorf("upstream %s has limit %+v, want a new incarnation with the previous limit", u.ID(), u.Limit())
 	}
 }
--- a/state/fleet/notice.go
+++ b/state/fleet/notice.go
@@ -13,9 +13,9 @@
 // notices holds the state that an upstream has announced in its answers to this daemon. It belongs
 // to the upstream's name and stays in effect when the entry changes, or is removed and added again.
 //
-// Entries and refusals alone are not enough: with a wait of 60 to 1,920 ms after a refusal,
-// regardless of the rest requested, an upstream that had asked for 3 s of rest received 14 requests
-// in 8 s from daemons that it had asked. With notices it received none.
+// Waits after refusals, of 60 to 1,920 ms, are no substitute for a requested rest: without notices, an
+// upstream that had asked for 3 s of rest received 14 requests in 8 s from daemons that it had asked.
+// With notices it received none.
 type notices struct {
 	rest    atomic.Pointer[rest] // the current or last rest, or nil
 	limits  limitState
@@ -54,8 +54,8 @@
 	return &next
 }
 
-// requestRest applies a request for rest.
-func (n *notices) requestRest(notice spanrill.Notice, now spanrill.Millis) {
+// extendRest applies a request for rest, which may extend the current rest.
+func (n *notices) extendRest(notice spanrill.Notice, now spanrill.Millis) {
 	for {
 		old := n.rest.Load()
 		if n.rest.CompareAndSwap(old, old.extend(notice, now)) {
@@ -68,7 +68,7 @@
 type NoticeCounts struct {
 	Rests           uint64 // requests for rest
 	UnreadableRests uint64 // of these, with an invalid time
-	Leaving         uint64 // upstreams that announced that they leave
+	Leaving         uint64 // upstreams that announced that they are leaving
 	Limits          uint64 // rate limits that were set or changed
 
 	UnreadableLimits uint64 // invalid values of rate limits
@@ -76,34 +76,34 @@
 
 // noticeCounts holds the counters behind NoticeCounts.
 type noticeCounts struct {
-	rests, unreadable, leaving, limits, unreadableLimits atomic.Uint64
+	rests, unreadableRests, leaving, limits, unreadableLimits atomic.Uint64
 }
 
 // NoticeCounts returns the number of notices received so far.
 func (t *Table) NoticeCounts() NoticeCounts {
 	c := &t.noticeCounts
 	return NoticeCounts{
-		Rests: c.rests.Load(), UnreadableRests: c.unreadable.Load(), Leaving: c.leaving.Load(),
+		Rests: c.rests.Load(), UnreadableRests: c.unreadableRests.Load(), Leaving: c.leaving.Load(),
 		Limits: c.limits.Load(), UnreadableLimits: c.unreadableLimits.Load(),
 	}
 }
 
-// HandleNotice applies a notice that the upstream at an address sent in an answer to a call begun at
-// the time given. If the upstream has had the address for a shorter time, the answer is from the
-// previous upstream at the address and is ignored.
-func (t *Table) HandleNotice(addr string, n spanrill.Notice, begun spanrill.Millis) {
+// HandleNotice applies a notice that the upstream at an address sent in its answer to a call.
+// callStart is when the call began. If the upstream got the address later than that, the answer is
+// from the previous upstream at the address, and the notice is ignored.
+func (t *Table) HandleNotice(addr string, n spanrill.Notice, callStart spanrill.Millis) {
 	if n.Empty() && !t.addrHasLimit(addr) {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreamAt(addr)
-	if u == nil || u.addrSince > begun {
+	if u == nil || u.addrSince > callStart {
 		return
 	}
 	t.rememberNotices(u)
 	t.recordRest(u, n)
-	t.noteLimit(u, n, begun)
+	t.updateLimit(u, n, callStart)
 	defer u.addToActive()
 	if n.Leaving && !u.notices.leaving.Swap(true) {
 		t.noticeCounts.leaving.Add(1)
@@ -115,7 +115,7 @@
 // recordRest applies the request for rest in a notice, if there is one. The caller holds the lock.
 func (t *Table) recordRest(u *Upstream, n spanrill.Notice) {
 	if n.UnreadableRest != "" {
-		t.noticeCounts.unreadable.Add(1)
+		t.noticeCounts.unreadableRests.Add(1)
 		events.RestUnreadable.Log(t.log, logrus.Fields{"upstream": u.ID(), "value": n.UnreadableRest})
 	}
 	if n.Rest <= 0 && n.UnreadableRest == "" {
@@ -123,7 +123,7 @@
 	}
 	now := t.clock.Now()
 	t.noticeCounts.rests.Add(1)
-	u.notices.requestRest(n, now)
+	u.notices.extendRest(n, now)
 	events.UpstreamResting.Log(t.log, logrus.Fields{"upstream": u.ID(), "rest_ms": n.Rest, "left_ms": u.RestRemaining(now)})
 }
 
@@ -133,9 +133,9 @@
 	if u := t.byAddr[addr]; u != nil {
 		return u
 	}
-	for _, d := range t.recentlyRemoved {
-		if d.upstream.Addr() == addr {
-			return d.upstream
+	for _, r := range t.recentlyRemoved {
+		if r.upstream.Addr() == addr {
+			return r.upstream
 		}
 	}
 	return nil
@@ -184,7 +184,7 @@
 var (
 	// ErrResting means that the upstream has asked this daemon for rest.
 	ErrResting = errors.New("the upstream has asked for rest")
-	// ErrLeaving means that the upstream leaves or that its entry was removed.
+	// ErrLeaving means that the upstream is leaving or that its entry was removed.
 	ErrLeaving = errors.New("the upstream is leaving or was removed")
 )
 
@@ -224,8 +224,8 @@
 	return now - r.from
 }
 
-// AnnouncedLeaving reports whether the upstream has announced in an answer that it leaves.
+// AnnouncedLeaving reports whether the upstream has announced in an answer that it is leaving.
 func (u *Upstream) AnnouncedLeaving() bool { return u.notices.leaving.Load() }
 
-// Leaving reports whether the upstream leaves, according to its entry or an answer.
+// Leaving reports whether the upstream is leaving, according to its entry or an answer.
 func (u *Upstream) Leaving() bool { return u.Entry().Leaving || u.AnnouncedLeaving() }
--- a/state/fleet/notice_test.go
+++ b/state/fleet/notice_test.go
@@ -14,10 +14,10 @@
 func TestCheckSendDuringRest(t *testing.T) {
 	notice := func(ms spanrill.Millis) spanrill.Notice { return spanrill.Notice{Rest: ms} }
 	for _, c := range []struct {
-		name    string
-		notices map[spanrill.Millis]spanrill.Notice // by time
-		at      []spanrill.Millis                   // times within the rest
-		ends    spanrill.Millis                     // end of the rest
+		name       string
+		notices    map[spanrill.Millis]spanrill.Notice // by time
+		duringRest []spanrill.Millis                   // times within the rest
+		restEnd    spanrill.Millis                     // end of the rest
 	}{
 		{"the incident", map[spanrill.Millis]spanrill.Notice{0: notice(3000)}, []spanrill.Millis{405, 543, 886, 1395}, 3000},
 		{"a shorter rest later changes nothing", map[spanrill.Millis]spanrill.Notice{0: notice(3000), 200: notice(500)}, []spanrill.Millis{800, 2999}, 3000},
@@ -36,23 +36,23 @@
 					table.HandleNotice("1:1", n, clock.Now())
 				}
 			}
-			for _, at := range c.at {
+			for _, at := range c.duringRest {
 				if err := u.CheckSend(start + at); !errors.Is(err, ErrResting) {
-					t.Errorf("at %d ms: %v, want %v", at, err, ErrResting)
+					t.Errorf("CheckSend at %d ms: %v, want %v", at, err, ErrResting)
 				}
 			}
-			if err := u.CheckSend(start + max(c.ends, 200)); err != nil {
-				t.Errorf("after the rest: %v", err)
+			if err := u.CheckSend(start + max(c.restEnd, 200)); err != nil {
+				t.Errorf("CheckSend after the rest: %v, want nil", err)
 			}
 			if err := table.View().ByID("b").CheckSend(start + 1); err != nil {
-				t.Errorf("another upstream: %v", err)
+				t.Errorf("CheckSend of another upstream: %v, want nil", err)
 			}
 		})
 	}
 }
 
-// noticedTable returns a table in which upstream a, at 1:1, rests for 3 s and has announced that it
-// leaves.
+// noticedTable returns a table in which upstream a, at 1:1, rests for 3 s and has announced that it is
+// leaving.
 func noticedTable(t *testing.T) (*Table, *clock.Manual) {
 	t.Helper()
 	table, c := newTable(t)
@@ -67,10 +67,10 @@
 		return spanrill.Change{Item: item(t, id, addr, revision, false)}
 	}
 	for _, c := range []struct {
-		name           string
-		changes        []spanrill.Change
-		id             string // of the checked upstream
-		rests, leaving bool
+		name                     string
+		changes                  []spanrill.Change
+		id                       string // of the checked upstream
+		wantResting, wantLeaving bool
 	}{
 		{"nothing changes", nil, "a", true, true},
 		{"its entry changes and isn't leaving", []spanrill.Change{change("a", "1:1", 7)}, "a", true, true},
@@ -87,10 +87,10 @@
 			if u == nil {
 				t.Fatalf("no upstream %s", c.id)
 			}
-			if u.Resting(clock.Now()) != c.rests || u.Leaving() != c.leaving {
-				t.Errorf("resting %t, leaving %t, want %t, %t", u.Resting(clock.Now()), u.Leaving(), c.rests, c.leaving)
+			if u.Resting(clock.Now()) != c.wantResting || u.Leaving() != c.wantLeaving {
+				t.Errorf("resting %t, leaving %t, want %t, %t", u.Resting(clock.Now()), u.Leaving(), c.wantResting, c.wantLeaving)
 			}
-			if got := u.CheckSend(clock.Now()) == nil; got != !(c.rests || c.leaving) {
+			if got := u.CheckSend(clock.Now()) == nil; got != !(c.wantResting || c.wantLeaving) {
 				t.Errorf("requests may be sent: %t, want the opposite", got)
 			}
 		})
@@ -114,16 +114,16 @@
 	}
 }
 
-// Guards against excluding a name forever if its upstream announced that it leaves and restarts long
-// after its entry was removed.
+// Guards against excluding a name forever if its upstream announced that it is leaving and restarts
+// long after its entry was removed.
 func TestNoticesAfterRestartOfRemovedUpstream(t *testing.T) {
 	entry := func(startedAt int64, writeCount, revision uint64) spanrill.EngineEntry {
 		return spanrill.EngineEntry{ID: "a", Service: "s", Addr: "1:1", StartedAt: startedAt, WriteCount: writeCount, Revision: revision}
 	}
 	for _, c := range []struct {
-		name        string
-		first, then spanrill.EngineEntry
-		leaves      bool
+		name          string
+		first, second spanrill.EngineEntry
+		wantLeaving   bool
 	}{
 		{"another start time", entry(100, 9, 1), entry(200, 1, 3), false},
 		{"no start time, lower write count", entry(0, 9, 1), entry(0, 1, 3), false},
@@ -138,9 +138,9 @@
 			table.HandleNotice("1:1", spanrill.Notice{Leaving: true}, manual.Now())
 			table.Merge(Update{Revision: 2, LastChange: 2}, manual.Now())
 			manual.Advance(2 * serveAfterRemoval)
-			table.Merge(Update{Entries: []spanrill.EngineEntry{c.then}, Revision: 3, LastChange: 3}, manual.Now())
-			if u := table.View().ByAddr("1:1"); u == nil || u.Leaving() != c.leaves {
-				t.Errorf("upstream %v, want one with leaving %t", u, c.leaves)
+			table.Merge(Update{Entries: []spanrill.EngineEntry{c.second}, Revision: 3, LastChange: 3}, manual.Now())
+			if u := table.View().ByAddr("1:1"); u == nil || u.Leaving() != c.wantLeaving {
+				t.Errorf("upstream %v, want one with leaving %t", u, c.wantLeaving)
 			}
 		})
 	}
@@ -150,10 +150,10 @@
 // address.
 func TestNoticeOfPreviousUpstream(t *testing.T) {
 	table, c := newTable(t)
-	begun := c.Now()
+	callStart := c.Now()
 	c.Advance(50)
 	table.Changed([]spanrill.Change{removal("a"), {Item: item(t, "c", "1:1", 6, false)}}, 6, c.Now())
-	table.HandleNotice("1:1", spanrill.Notice{Rest: 3000, Leaving: true}, begun)
+	table.HandleNotice("1:1", spanrill.Notice{Rest: 3000, Leaving: true}, callStart)
 	if u := table.View().ByID("c"); u == nil || u.CheckSend(c.Now()) != nil {
 		t.Errorf("the notice of the previous upstream applies to the current one: %v", u)
 	}
--- a/state/fleet/removals_test.go
+++ b/state/fleet/removals_test.go
@@ -18,17 +18,17 @@
 
 // fakeStore is a store with a history of random changes.
 type fakeStore struct {
-	random  *rand.Rand
-	at      uint64
-	items   map[string]spanrill.Item
-	changes []spanrill.Change
+	random   *rand.Rand
+	revision uint64
+	items    map[string]spanrill.Item
+	changes  []spanrill.Change
 }
 
 // step makes one random change.
 func (s *fakeStore) step() {
-	s.at++
+	s.revision++
 	name := fmt.Sprint("e", s.random.Intn(12))
-	item := spanrill.Item{Name: name, Revision: s.at}
+	item := spanrill.Item{Name: name, Revision: s.revision}
 	switch _, exists := s.items[name]; {
 	case exists && s.random.Intn(3) == 0:
 		delete(s.items, name)
@@ -42,8 +42,8 @@
 }
 
 // after returns the changes after a revision.
-func (s *fakeStore) after(at uint64) []spanrill.Change {
-	i := slices.IndexFunc(s.changes, func(c spanrill.Change) bool { return c.Revision > at })
+func (s *fakeStore) after(revision uint64) []spanrill.Change {
+	i := slices.IndexFunc(s.changes, func(c spanrill.Change) bool { return c.Revision > revision })
 	if i < 0 {
 		return nil
 	}
@@ -66,49 +66,49 @@
 }
 
 // normalized returns an update in a form that can be compared: sorted and without LastChange.
-func normalized(k Update) Update {
-	slices.SortFunc(k.Entries, func(a, b spanrill.EngineEntry) int { return strings.Compare(a.ID, b.ID) })
-	slices.Sort(k.Unreadable)
-	k.LastChange = 0
-	return k
+func normalized(update Update) Update {
+	slices.SortFunc(update.Entries, func(a, b spanrill.EngineEntry) int { return strings.Compare(a.ID, b.ID) })
+	slices.Sort(update.Unreadable)
+	update.LastChange = 0
+	return update
 }
 
-// Guards against differences between a daemon that gets only changes, from any peers, and its
-// source. Sending all entries after each change took 44% of the CPU time of 60 daemons that
+// Guards against a daemon that gets only changes, from any peers, and then differs from the peer that
+// sent them. Sending all entries after each change instead took 44% of the CPU time of 60 daemons that
 // started with 2,922 engines, and 720 KB to each daemon in 24 s.
 func TestPeerUpdatesMatchFullState(t *testing.T) {
 	for seed := range int64(300) {
 		random := rand.New(rand.NewSource(seed))
 		store := &fakeStore{random: random, items: map[string]spanrill.Item{}}
-		now := clock.NewManual()
-		now.Advance(100 * spanrill.Second)
+		manual := clock.NewManual()
+		manual.Advance(100 * spanrill.Second)
 		tables := make([]*Table, 4)
 		for i := range tables {
-			tables[i] = New(now, decodeFakeStore)
+			tables[i] = New(manual, decodeFakeStore)
 		}
 		full, partial := 0, 0
 		for step := range 150 {
-			now.Advance(10)
+			manual.Advance(10)
 			if random.Intn(2) == 0 {
 				store.step()
 			}
 			from, to := tables[random.Intn(2)], tables[random.Intn(len(tables))]
 			switch n := random.Intn(12); {
 			case n == 0: // the store no longer has the changes
-				from.Listed(store.list(), store.at, now.Now())
+				from.Listed(store.list(), store.revision, manual.Now())
 			case n < 5 && from.Revision() > 0:
-				from.Changed(store.after(from.Revision()), store.at, now.Now())
+				from.Changed(store.after(from.Revision()), store.revision, manual.Now())
 			case n < 11 && from != to:
 				from = tables[random.Intn(len(tables))]
-				k := from.UpdateSince(to.Revision())
-				if k.Since > 0 {
+				update := from.UpdateSince(to.Revision())
+				if update.Since > 0 {
 					partial++
 				} else {
 					full++
 				}
-				merged := to.Merge(k, now.Now())
+				merged := to.Merge(update, manual.Now())
 				if got, want := normalized(to.FullUpdate()), normalized(from.FullUpdate()); merged && from != to && !reflect.DeepEqual(got, want) {
-					t.Fatalf("seed %d, step %d: update since %d\n got %+v\nwant %+v", seed, step, k.Since, got, want)
+					t.Fatalf("seed %d, step %d: update since %d\n got %+v\nwant %+v", seed, step, update.Since, got, want)
 				}
 			}
 		}
@@ -120,16 +120,16 @@
 
 // Guards against an incomplete update for a peer whose revision is older than the recorded removals.
 func TestOutdatedPeerGetsFullUpdate(t *testing.T) {
-	now := clock.NewManual()
-	now.Advance(100 * spanrill.Second)
-	table := New(now, decodeFakeStore)
-	table.Listed([]spanrill.Item{{Name: "stays", Revision: 1}}, 1, now.Now())
+	manual := clock.NewManual()
+	manual.Advance(100 * spanrill.Second)
+	table := New(manual, decodeFakeStore)
+	table.Listed([]spanrill.Item{{Name: "stays", Revision: 1}}, 1, manual.Now())
 	for i := range uint64(maxKeptRemovals + 1) {
-		table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: fmt.Sprint("e", i), Revision: i + 2}, Deleted: true}}, i+2, now.Now())
+		table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: fmt.Sprint("e", i), Revision: i + 2}, Deleted: true}}, i+2, manual.Now())
 	}
 	for _, c := range []struct{ after, want uint64 }{{0, 0}, {1, 0}, {maxKeptRemovals, 0}, {maxKeptRemovals + 2, maxKeptRemovals + 2}, {maxKeptRemovals + 9, 0}} {
-		if k := table.UpdateSince(c.after); k.Since != c.want || k.Since == 0 && len(k.Entries) != 1 {
-			t.Errorf("update since %d: starts at %d, with %d entries", c.after, k.Since, len(k.Entries))
+		if update := table.UpdateSince(c.after); update.Since != c.want || update.Since == 0 && len(update.Entries) != 1 {
+			t.Errorf("update since %d: starts at %d, with %d entries", c.after, update.Since, len(update.Entries))
 		}
 	}
 }
--- a/state/fleet/removed.go
+++ b/state/fleet/removed.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// drainHoldMargin is subtracted from the drain time to get the time for which an entry that may
-	// have expired is held. It covers the longest dial of 350 ms and the transfer of the request.
+	// drainHoldMargin is subtracted from the drain time to get the hold time of an entry that may have
+	// expired. It covers the longest dial of 350 ms and the transfer of the request.
 	// Users report that such entries are back about 2 s after the store's return, and 2 s is also
 	// the shortest drain time, so the margin cannot be larger.
 	drainHoldMargin spanrill.Millis = 370
@@ -27,34 +27,34 @@
 // delay repairs.
 const serveAfterRemoval = 4 * spanrill.Second
 
-// storeFailureMemory is how long after the last failed call to the store a removed entry may only
+// storeFailureMemory is how long after the last failed call to the store a removed entry may merely
 // have expired: three missed heartbeats of 1.2 s.
 const storeFailureMemory spanrill.Millis = 3600
 
-// entryGone removes an upstream whose entry is no longer in the store, or holds the entry if it may
-// only have expired. The entry was last confirmed at lastConfirmed and is missing from a read sent at
-// sent. The caller holds the lock.
-func (t *Table) entryGone(id string, lastConfirmed, sent spanrill.Millis) {
-	delete(t.unreadableNames, id)
-	delete(t.conflicts, id)
-	delete(t.restored.quarantined, id)
-	if t.byName[id] == nil {
+// removeOrHold removes an upstream whose entry is no longer in the store, or holds the entry if it may
+// merely have expired. lastConfirmed is when the entry was last confirmed, and sent is when the read
+// that no longer has it was sent. The caller holds the lock.
+func (t *Table) removeOrHold(name string, lastConfirmed, sent spanrill.Millis) {
+	delete(t.unreadableNames, name)
+	delete(t.conflicts, name)
+	delete(t.restored.quarantined, name)
+	if t.byName[name] == nil {
 		return
 	}
-	if _, isHeld := t.held[id]; isHeld {
+	if _, isHeld := t.held[name]; isHeld {
 		return
 	}
 	sinceFailure := t.clock.Now() - spanrill.Millis(t.lastStoreFailure.Load())
-	if sinceFailure >= storeFailureMemory || t.byName[id].Leaving() {
-		t.remove(id, "entry gone")
+	if sinceFailure >= storeFailureMemory || t.byName[name].Leaving() {
+		t.remove(name, "entry gone")
 		return
 	}
 	h := heldEntry{lastConfirmed: lastConfirmed, heldSince: lastConfirmed}
 	if t.storeAvailable.from > lastConfirmed {
 		h.heldSince = sent // no daemon had an answer for a while: the entry may have expired
 	}
-	t.holdEntry(id, h)
-	events.UpstreamEntryKept.Log(t.log, logrus.Fields{"upstream": id, "ms_since_outage": sinceFailure, "proof_age_ms": t.clock.Now() - lastConfirmed})
+	t.holdEntry(name, h)
+	events.UpstreamEntryKept.Log(t.log, logrus.Fields{"upstream": name, "ms_since_outage": sinceFailure, "proof_age_ms": t.clock.Now() - lastConfirmed})
 }
 
 // removedUpstream is an upstream whose entry was removed.
@@ -80,32 +80,32 @@
 }
 
 // remove removes the upstream with a name from the table. The caller holds the lock.
-func (t *Table) remove(id, reason string) {
-	u := t.byName[id]
+func (t *Table) remove(name, reason string) {
+	u := t.byName[name]
 	u.removed.Store(true)
 	if startedAt := u.Entry().StartedAt; startedAt > 0 {
-		t.pastStartsOf(id).removedStart = startedAt
+		t.pastStartsOf(name).removedStart = startedAt
 	}
 	t.recentlyRemoved[u.ID()] = removedUpstream{upstream: u, removedAt: t.clock.Now()}
-	delete(t.byName, id)
-	t.noteRemoval(id)
+	delete(t.byName, name)
+	t.recordRemoval(name)
 	t.clearAddr(u)
-	delete(t.held, id)
+	delete(t.held, name)
 	t.logLimits.removed.Log(events.UpstreamRemoved, t.log, func() logrus.Fields {
 		return logrus.Fields{"upstream": u.ID(), "why": reason}
 	})
 }
 
 // Maintain removes upstreams whose entries were held for the full time, and adds those of
-// quarantined and conflicting entries that may now be used. It is to be called regularly.
+// quarantined and conflicting entries that may now be used. It must be called regularly.
 func (t *Table) Maintain() {
 	defer t.notifyRestarts()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now, removed := t.clock.Now(), false
-	for id, h := range t.held {
+	for name, h := range t.held {
 		if now-h.heldSince >= t.holdDuration {
-			t.remove(id, "entry did not come back")
+			t.remove(name, "entry did not come back")
 			removed = true
 		}
 	}
--- a/state/fleet/restored.go
+++ b/state/fleet/restored.go
@@ -19,15 +19,16 @@
 	// quarantineTime is how long after a restore a removed entry that reappears is not used: longer
 	// than the three heartbeats of 1.2 s after which the platform removes an entry.
 	quarantineTime = 6 * spanrill.Second
-	// removalRetention is how long a removal is remembered. It exceeds the age of a copy.
+	// removalRetention is how long a removal is remembered: longer than the age of any copy from which
+	// the store is restored.
 	removalRetention = 120 * spanrill.Second
-	// maxRemovals bounds the number of remembered removals.
-	maxRemovals = 4096
+	// maxRememberedRemovals is the maximum number of remembered removals.
+	maxRememberedRemovals = 4096
 )
 
 // restoreState tracks restores of the store from an older copy.
 type restoreState struct {
-	noticedAt   spanrill.Millis                 // when the last restore was noticed, or 0
+	detectedAt  spanrill.Millis                 // when the last restore was detected, or 0
 	removed     map[string]spanrill.Millis      // by name, when the entry was removed
 	quarantined map[string]spanrill.EngineEntry // by name, removed entries that reappeared
 }
@@ -36,14 +37,14 @@
 	return restoreState{removed: map[string]spanrill.Millis{}, quarantined: map[string]spanrill.EngineEntry{}}
 }
 
-// noteRestore records a restore of the store if the revision belongs to a later era than the known
-// one. The caller holds the lock.
-func (t *Table) noteRestore(at uint64) {
-	if spanrill.EraOf(t.revision) == 0 || spanrill.EraOf(at) <= spanrill.EraOf(t.revision) {
+// detectRestore records a restore of the store if a revision belongs to a later era than that of the
+// table. Upstreams that were leaving before the restore stay so. The caller holds the lock.
+func (t *Table) detectRestore(revision uint64) {
+	if spanrill.EraOf(t.revision) == 0 || spanrill.EraOf(revision) <= spanrill.EraOf(t.revision) {
 		return
 	}
-	t.restored.noticedAt = t.clock.Now()
-	t.lastStoreFailure.Store(int64(t.restored.noticedAt)) // entries missing from the copy may be written again
+	t.restored.detectedAt = t.clock.Now()
+	t.lastStoreFailure.Store(int64(t.restored.detectedAt)) // entries missing from the copy may be written again
 	clear(t.restored.quarantined)
 	for _, u := range t.byName {
 		if u.Entry().Leaving && !u.notices.leaving.Load() {
@@ -65,13 +66,14 @@
 	return entry.WriteCount > 0 && entry.WriteCount < known.WriteCount
 }
 
-// noteRemoval records the removal of an entry. The caller holds the lock.
-func (t *Table) noteRemoval(name string) {
+// recordRemoval records when an entry was removed, so that quarantine recognizes it after a restore.
+// The caller holds the lock.
+func (t *Table) recordRemoval(name string) {
 	now := t.clock.Now()
-	if len(t.restored.removed) >= maxRemovals {
+	if len(t.restored.removed) >= maxRememberedRemovals {
 		maps.DeleteFunc(t.restored.removed, func(_ string, at spanrill.Millis) bool { return now-at > removalRetention })
 	}
-	if len(t.restored.removed) < maxRemovals {
+	if len(t.restored.removed) < maxRememberedRemovals {
 		t.restored.removed[name] = now
 	}
 }
@@ -83,7 +85,7 @@
 	r := &t.restored
 	now := t.clock.Now()
 	removedAt, wasRemoved := r.removed[entry.ID]
-	if !wasRemoved || r.noticedAt == 0 || removedAt > r.noticedAt || now-removedAt > removalRetention || now-r.noticedAt >= quarantineTime {
+	if !wasRemoved || r.detectedAt == 0 || removedAt > r.detectedAt || now-removedAt > removalRetention || now-r.detectedAt >= quarantineTime {
 		delete(r.quarantined, entry.ID)
 		return false
 	}
@@ -103,7 +105,7 @@
 // whether there were any. The caller holds the lock.
 func (t *Table) releaseQuarantined() bool {
 	r := &t.restored
-	if len(r.quarantined) == 0 || t.clock.Now()-r.noticedAt < quarantineTime {
+	if len(r.quarantined) == 0 || t.clock.Now()-r.detectedAt < quarantineTime {
 		return false
 	}
 	entries := r.quarantined
--- a/state/fleet/restored_test.go
+++ b/state/fleet/restored_test.go
@@ -33,9 +33,9 @@
 	for _, c := range []struct {
 		name          string
 		before, after []listedEntry // lists of the first and of the second era
-		present       bool
-		takes         bool
-		restarts      bool
+		wantPresent   bool
+		wantAccepts   bool
+		wantRestart   bool
 	}{
 		{"unchanged entry", []listedEntry{{"a", "1:1", 90, 5, 0, false}}, []listedEntry{{"a", "1:1", 90, 5, 0, false}}, true, true, false},
 		{"leaving before the restore", []listedEntry{{"a", "1:1", 90, 5, 0, true}}, []listedEntry{{"a", "1:1", 40, 3, 0, false}}, true, false, false},
@@ -50,20 +50,20 @@
 			table, clock := newTable(t)
 			table.Listed(listItems(t, 1, c.before...), spanrill.RevisionOf(1, 100), clock.Now())
 			clock.Advance(1000)
-			starts := table.Restarts()
+			restarts := table.Restarts()
 			table.Listed(listItems(t, 2, c.after...), spanrill.RevisionOf(2, 60), clock.Now())
 			if table.Revision() != spanrill.RevisionOf(2, 60) {
 				t.Fatalf("revision %d of the table", table.Revision())
 			}
 			u := table.View().ByAddr("1:1")
-			if (u != nil) != c.present {
-				t.Fatalf("present: %t, want %t", u != nil, c.present)
+			if (u != nil) != c.wantPresent {
+				t.Fatalf("present: %t, want %t", u != nil, c.wantPresent)
 			}
-			if u != nil && u.AcceptsRequestsAt(clock.Now()) != c.takes {
-				t.Errorf("takes requests: %t, want %t", u.AcceptsRequestsAt(clock.Now()), c.takes)
+			if u != nil && u.AcceptsRequestsAt(clock.Now()) != c.wantAccepts {
+				t.Errorf("accepts requests: %t, want %t", u.AcceptsRequestsAt(clock.Now()), c.wantAccepts)
 			}
-			if again := table.Restarts() > starts; again != c.restarts {
-				t.Errorf("restart detected: %t, want %t", again, c.restarts)
+			if restarted := table.Restarts() > restarts; restarted != c.wantRestart {
+				t.Errorf("restart detected: %t, want %t", restarted, c.wantRestart)
 			}
 		})
 	}
@@ -107,8 +107,8 @@
 			clock.Advance(c.wait)
 			table.Maintain()
 			u := table.View().ByID("a")
-			if uses := u != nil && u.AcceptsRequestsAt(clock.Now()); uses != c.wantUsed {
-				t.Errorf("used: %t, want %t", uses, c.wantUsed)
+			if used := u != nil && u.AcceptsRequestsAt(clock.Now()); used != c.wantUsed {
+				t.Errorf("used: %t, want %t", used, c.wantUsed)
 			}
 			if listed := len(table.FullUpdate().Entries) > 0; listed != c.wantListed {
 				t.Errorf("sent to peers: %t, want %t", listed, c.wantListed)
--- a/state/fleet/unreadable.go
+++ b/state/fleet/unreadable.go
@@ -26,21 +26,22 @@
 
 // logUnreadable logs an entry that cannot be decoded, once for each revision.
 func (t *Table) logUnreadable(item spanrill.Item, err error) {
-	u := &t.unreadableLog
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if at, ok := u.revisions[item.Name]; ok && at == item.Revision {
+	logged := &t.unreadableLog
+	logged.mu.Lock()
+	defer logged.mu.Unlock()
+	if revision, ok := logged.revisions[item.Name]; ok && revision == item.Revision {
 		return
 	}
-	if u.revisions == nil || len(u.revisions) >= maxLoggedNames {
-		u.revisions = map[string]uint64{}
+	if logged.revisions == nil || len(logged.revisions) >= maxLoggedNames {
+		logged.revisions = map[string]uint64{}
 	}
-	u.revisions[item.Name] = item.Revision
-	u.count.Add(1)
+	logged.revisions[item.Name] = item.Revision
+	logged.count.Add(1)
 	events.UpstreamEntryUnreadable.Log(t.log, logrus.Fields{"upstream": item.Name, "revision": item.Revision, "bytes": len(item.Value), "error": err})
 }
 
-// setUnreadable removes the upstream of an entry that cannot be decoded. The caller holds the lock.
+// setUnreadable records that an entry cannot be decoded, and removes its upstream. The caller holds
+// the lock.
 func (t *Table) setUnreadable(name string) {
 	t.unreadableNames[name] = true
 	t.removals.cancel(name)
@@ -51,7 +52,7 @@
 }
 
 // Unreadable returns how many entries in the store currently cannot be decoded, and how many
-// unreadable entries were found in total.
+// unreadable entries were logged in total, counted once per revision.
 func (t *Table) Unreadable() (current int, total uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/fleet/update.go
+++ b/state/fleet/update.go
@@ -10,10 +10,10 @@
 	"spanrill/events"
 )
 
-// Listed replaces all entries by a list of the whole collection as it stood at a revision. The read
-// was sent at the time given.
-func (t *Table) Listed(items []spanrill.Item, at uint64, sent spanrill.Millis) {
-	update := Update{Entries: make([]spanrill.EngineEntry, 0, len(items)), Revision: at, LastChange: at}
+// Listed replaces all entries by a list of the whole collection as it stood at a revision. sent is
+// when the read was sent.
+func (t *Table) Listed(items []spanrill.Item, revision uint64, sent spanrill.Millis) {
+	update := Update{Entries: make([]spanrill.EngineEntry, 0, len(items)), Revision: revision, LastChange: revision}
 	for _, item := range items {
 		if entry, ok := t.decodeItem(item); ok {
 			update.Entries = append(update.Entries, entry)
@@ -22,7 +22,7 @@
 		}
 	}
 	if known := t.Revision(); !t.Merge(update, sent) {
-		events.ListOutdated.Log(t.log, logrus.Fields{"collection": "upstreams", "revision": at, "known": known})
+		events.ListOutdated.Log(t.log, logrus.Fields{"collection": "upstreams", "revision": revision, "known": known})
 	}
 }
 
@@ -31,7 +31,7 @@
 type Update struct {
 	Entries    []spanrill.EngineEntry
 	Revision   uint64 // revision of the store
-	LastChange uint64 // revision up to which there were changes, at most the revision of the update
+	LastChange uint64 // nothing changed after this revision, up to Revision
 	// Unreadable lists the names of entries that cannot be decoded.
 	Unreadable []string
 	// Since is the revision since which the update holds the changes, or 0 if it holds all entries.
@@ -41,8 +41,8 @@
 }
 
 // Merge applies an update from the store or from a peer unless it is older than the table or starts
-// at a revision that the table has not reached, and reports whether it was applied. The read
-// that confirmed the entries was sent at the time given.
+// at a revision that the table has not reached, and reports whether it was applied. sent is when the
+// read that confirmed the entries was sent.
 func (t *Table) Merge(update Update, sent spanrill.Millis) bool {
 	defer t.notifyRestarts()
 	t.mu.Lock()
@@ -54,28 +54,28 @@
 		t.mergeChanges(update, sent)
 		return true
 	}
-	t.noteRestore(update.Revision)
+	t.detectRestore(update.Revision)
 	present, lastConfirmed := make(map[string]bool, len(update.Entries)), t.confirmedAt
 	t.confirm(sent)
 	for _, entry := range update.Entries {
 		present[entry.ID] = true
 		t.applyEntry(entry)
 	}
-	for _, id := range update.Unreadable {
-		t.setUnreadable(id)
-		present[id] = true
+	for _, name := range update.Unreadable {
+		t.setUnreadable(name)
+		present[name] = true
 	}
-	for id := range t.byName {
-		if !present[id] {
-			t.entryGone(id, lastConfirmed, sent)
+	for name := range t.byName {
+		if !present[name] {
+			t.removeOrHold(name, lastConfirmed, sent)
 		}
 	}
 	if update.Revision > t.revision {
 		t.removals.reset(update.Revision) // removals in between may be missing
 	}
-	maps.DeleteFunc(t.restored.quarantined, func(id string, _ spanrill.EngineEntry) bool { return !present[id] })
-	maps.DeleteFunc(t.conflicts, func(id string, _ *conflictingEntry) bool { return !present[id] })
-	maps.DeleteFunc(t.unreadableNames, func(id string, _ bool) bool { return !present[id] })
+	maps.DeleteFunc(t.restored.quarantined, func(name string, _ spanrill.EngineEntry) bool { return !present[name] })
+	maps.DeleteFunc(t.conflicts, func(name string, _ *conflictingEntry) bool { return !present[name] })
+	maps.DeleteFunc(t.unreadableNames, func(name string, _ bool) bool { return !present[name] })
 	t.admitResolved()
 	t.revision, t.lastChange = update.Revision, max(t.lastChange, update.LastChange)
 	t.publishView()
@@ -91,12 +91,12 @@
 	for _, entry := range update.Entries {
 		t.applyEntry(entry)
 	}
-	for _, id := range update.Unreadable {
-		t.setUnreadable(id)
+	for _, name := range update.Unreadable {
+		t.setUnreadable(name)
 	}
-	for _, id := range update.Removed {
-		t.entryGone(id, lastConfirmed, sent)
-		t.removals.add(id, update.Revision)
+	for _, name := range update.Removed {
+		t.removeOrHold(name, lastConfirmed, sent)
+		t.removals.add(name, update.Revision)
 	}
 	t.admitResolved()
 	t.revision, t.lastChange = update.Revision, max(t.lastChange, update.LastChange)
@@ -132,8 +132,8 @@
 	for _, c := range t.conflicts {
 		update.Entries = append(update.Entries, c.entry)
 	}
-	for id, u := range t.byName {
-		if _, held := t.held[id]; !held {
+	for name, u := range t.byName {
+		if _, held := t.held[name]; !held {
 			update.Entries = append(update.Entries, *u.Entry())
 		}
 	}
@@ -147,34 +147,35 @@
 	return t.revision
 }
 
-// Freshness returns the revision of the store up to which all entries are known, the revision of
-// the last change, and the time since the entries were last confirmed.
-func (t *Table) Freshness() (at, change uint64, age spanrill.Millis) {
+// Freshness returns the revision of the store up to which all entries are known, a revision at or
+// before it after which nothing changed, and the time since the entries were last confirmed.
+func (t *Table) Freshness() (revision, lastChange uint64, age spanrill.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.revision, t.lastChange, t.clock.Now() - t.confirmedAt
 }
 
-// ConfirmUnchanged records that the last change up to revision at was the one at revision change. It
-// returns false if that change is not known here.
-func (t *Table) ConfirmUnchanged(at, change uint64, sent spanrill.Millis) bool {
+// ConfirmUnchanged records that nothing in the store changed after lastChange, up to revision. It
+// reports whether the table has reached lastChange; if not, nothing is recorded. sent is when the read
+// that confirmed this was sent.
+func (t *Table) ConfirmUnchanged(revision, lastChange uint64, sent spanrill.Millis) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if change > t.revision {
+	if lastChange > t.revision {
 		return false
 	}
-	t.revision = max(t.revision, at)
+	t.revision = max(t.revision, revision)
 	t.confirm(sent)
 	return true
 }
 
-// Changed applies the changes up to a revision, which may be none. The read was sent at the time
-// given.
-func (t *Table) Changed(changes []spanrill.Change, at uint64, sent spanrill.Millis) {
+// Changed applies the changes up to a revision, of which there may be none. sent is when the read was
+// sent.
+func (t *Table) Changed(changes []spanrill.Change, revision uint64, sent spanrill.Millis) {
 	defer t.notifyRestarts()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at < t.revision {
+	if revision < t.revision {
 		return
 	}
 	lastConfirmed, remaining := t.confirmedAt, remainingNames(changes)
@@ -182,8 +183,8 @@
 	for _, c := range changes {
 		switch {
 		case c.Deleted && !remaining[c.Name]:
-			t.entryGone(c.Name, lastConfirmed, sent)
-			t.removals.add(c.Name, at)
+			t.removeOrHold(c.Name, lastConfirmed, sent)
+			t.removals.add(c.Name, revision)
 		case c.Deleted || c.Revision <= t.revision: // the entry exists again, or the change is known from a peer
 		default:
 			if entry, ok := t.decodeItem(c.Item); ok {
@@ -194,9 +195,9 @@
 		}
 	}
 	admitted := t.admitResolved()
-	t.revision = at
+	t.revision = revision
 	if len(changes) > 0 {
-		t.lastChange = at
+		t.lastChange = revision
 	}
 	if admitted || len(changes) > 0 {
 		t.publishView()
--- a/state/fleet/upstream.go
+++ b/state/fleet/upstream.go
@@ -17,7 +17,7 @@
 	entry        atomic.Pointer[spanrill.EngineEntry]
 	removed      atomic.Bool
 	replaced     atomic.Bool            // another incarnation or upstream has replaced it
-	acceptsUntil atomic.Int64           // end of the time for which its entry is held, or 0
+	acceptsUntil atomic.Int64           // end of the hold time of its entry, or 0 if it is not held
 	target       atomic.Pointer[Target] // the range of layers that the engine is ordered to hold, or nil
 
 	ownTokens  atomic.Int64 // reserved by requests of this daemon
@@ -37,7 +37,7 @@
 	lastResponse  atomic.Int64 // when it last answered or produced output
 	eventGap      atomic.Int64 // smoothed time between stream events, in units of 1/eventGapUnit ms
 
-	addrSince    spanrill.Millis // since when it is known at its address
+	addrSince    spanrill.Millis // since when it has been known at its address
 	discoveredAt spanrill.Millis // when this incarnation was first known
 	restartedAt  spanrill.Millis // when it was detected as a restart of a known upstream, or 0
 	orders       orderCount
@@ -134,8 +134,8 @@
 // it is not leaving.
 func (u *Upstream) AcceptsRequests() bool { return !u.removed.Load() && !u.Leaving() }
 
-// AcceptsRequestsAt is like AcceptsRequests, but also checks whether the entry is held beyond its
-// time, since an entry that may have expired stays in the table until the next Maintain.
+// AcceptsRequestsAt is like AcceptsRequests, but is false once the hold time of the upstream's entry
+// is over. Such an entry stays in the table until the next Maintain.
 func (u *Upstream) AcceptsRequestsAt(now spanrill.Millis) bool {
 	until := u.acceptsUntil.Load()
 	return u.AcceptsRequests() && (until == 0 || int64(now) < until)
@@ -198,7 +198,7 @@
 func (u *Upstream) RecordResponse(now spanrill.Millis) {
 	u.lastResponse.Store(int64(now))
 	if u.active != nil {
-		u.active.recordHeard(now)
+		u.active.updateLastHeard(now)
 	}
 	u.RecordListening(now)
 }
@@ -238,9 +238,9 @@
 	eventGapSamples = 16
 )
 
-// RecordLag records how many times longer than expected a request to the upstream waited for its
+// RecordLag records that a request to the upstream waited ratio times as long as expected for its
 // first event.
-func (u *Upstream) RecordLag(now spanrill.Millis, times float64) { u.lag.record(now, times) }
+func (u *Upstream) RecordLag(now spanrill.Millis, ratio float64) { u.lag.record(now, ratio) }
 
 // Lag returns how many times longer than expected recent first events took, at least 1.
 func (u *Upstream) Lag(now spanrill.Millis) float64 { return u.lag.value(now) }
--- a/state/fleet/view.go
+++ b/state/fleet/view.go
@@ -50,8 +50,8 @@
 // ByAddr returns the upstream at an address, or nil.
 func (v *View) ByAddr(addr string) *Upstream { return v.byAddr[addr] }
 
-// ByKey returns the upstream with a key of messages between daemons, or nil. If two upstreams share
-// a key, as happens in one of a thousand fleets of 2,922 engines, neither is found: otherwise an
+// ByKey returns the upstream with a key, as used in messages between daemons, or nil. If two upstreams
+// share a key, as happens in one of a thousand fleets of 2,922 engines, neither is found: otherwise an
 // order to one of them would be applied to the other.
 func (v *View) ByKey(key uint32) *Upstream { return v.byKey[key] }
 
