--- a/state/load/eject.go
+++ b/state/load/eject.go
@@ -7,7 +7,7 @@
 const (
 	firstEjection = 1 * spanrill.Second
 	maxEjection   = 30 * spanrill.Second
-	rampTime      = 3 * spanrill.Second // time after an ejection until an upstream gets its normal load
+	rampTime      = 3 * spanrill.Second // time from the end of an ejection until the upstream gets its normal load
 )
 
 // Ejected reports whether the upstream is currently ejected.
@@ -31,8 +31,8 @@
 	return true
 }
 
-// RecordSuccess records that a request was completed on the upstream. After the ramp time it resets
-// the number of consecutive ejections.
+// RecordSuccess records that a request was completed on the upstream. The first success after the ramp
+// time resets the number of consecutive ejections.
 func (u *Upstream) RecordSuccess(now spanrill.Millis) {
 	if u.ejections.Load() == 0 {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// RampShare returns the share of its normal load that an upstream may get: less than 1 for rampTime
-// after an ejection.
+// RampShare returns the share of its normal load that the upstream may get: less than 1 for rampTime
+// after the end of an ejection.
 func (u *Upstream) RampShare(now spanrill.Millis) float64 {
 	ejectionEnd := spanrill.Millis(u.ejectionEnd.Load())
 	if ejectionEnd == 0 || now >= ejectionEnd+rampTime {
@@ -52,5 +52,5 @@
 	return max(minRampShare, float64(now-ejectionEnd)/float64(rampTime))
 }
 
-// minRampShare is the share directly after an ejection.
+// minRampShare is the share right after the end of an ejection.
 const minRampShare = 0.1
--- a/state/load/table.go
+++ b/state/load/table.go
@@ -70,7 +70,8 @@
 	t.rebuildView()
 }
 
-// SetBoxes applies a box list. Upstreams that are not in it are removed.
+// SetBoxes applies a box list: each box is an upstream unless its role is RoleEntry. Upstreams that are
+// not in the list are removed.
 func (t *Table) SetBoxes(boxes []spanrill.Box) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +97,8 @@
 	t.rebuildView()
 }
 
-// setBox adds or updates the upstream of a box. The caller holds the lock.
+// setBox adds the upstream of a box, or replaces it if the box has another address now. The caller
+// holds the lock.
 func (t *Table) setBox(b spanrill.Box) {
 	u := t.upstreams[b.Name]
 	if u == nil || u.addr != b.Addr {
@@ -200,8 +202,8 @@
 	}
 }
 
-// setLeaving records whether an upstream is leaving according to its report or refusal. The caller
-// holds the lock.
+// setLeaving records whether an upstream is leaving according to its report or a refusal, and logs it
+// when it starts leaving. The caller holds the lock.
 func (t *Table) setLeaving(u *Upstream, leaving bool, source string) {
 	if u.leaving.Swap(leaving) == leaving || !leaving {
 		return
@@ -216,11 +218,11 @@
 
 // acceptingUpstreams returns the upstreams that may get new work. The caller holds the lock.
 func (t *Table) acceptingUpstreams() []*Upstream {
-	var usable []*Upstream
+	var accepting []*Upstream
 	for _, u := range t.upstreams {
 		if !t.isLeaving(u) {
-			usable = append(usable, u)
+			accepting = append(accepting, u)
 		}
 	}
-	return usable
+	return accepting
 }
--- a/state/load/upstream.go
+++ b/state/load/upstream.go
@@ -26,7 +26,7 @@
 	ejectionEnd  atomic.Int64  // spanrill.Millis; end of the last ejection, or 0
 	slowdown     atomic.Uint64 // float64 bits: smoothed ratio of observed to expected step time
 	slowdownAt   atomic.Int64  // spanrill.Millis of the last observation
-	linkMicros   atomic.Int64  // smoothed time on the link to the upstream
+	linkMicros   atomic.Int64  // smoothed time of a transfer over the link to the upstream
 }
 
 // neverReported is earlier than any report. Zero is not suitable, since reports can be older than
@@ -81,8 +81,7 @@
 // InFlight returns the number of running requests of this daemon.
 func (u *Upstream) InFlight() int64 { return u.inFlight.Load() }
 
-// peerRequestsHalfLife is the age of a report at which its number of requests of other daemons counts
-// half.
+// peerRequestsHalfLife is the age of a report at which the requests of other daemons in it count half.
 const peerRequestsHalfLife = 2 * spanrill.Second
 
 // peerRequestsWeight is the weight of other daemons' requests in the expected load. Reports are about
@@ -101,14 +100,14 @@
 	return requests * math.Exp2(-age/float64(peerRequestsHalfLife))
 }
 
-// Load returns the expected number of requests for comparing upstreams: those of this daemon, and a
-// part of those of other daemons.
+// Load returns the expected number of requests for comparing upstreams: those of this daemon, plus
+// those of other daemons with the weight peerRequestsWeight.
 func (u *Upstream) Load(now spanrill.Millis) float64 {
 	return float64(u.inFlight.Load()) + peerRequestsWeight*u.PeerRequests(now)
 }
 
-// StepMicros returns the time that one step of one request takes with the given number of requests
-// on the upstream, according to its report, or 1 without a report.
+// StepMicros returns how many microseconds one step of a request takes, according to the upstream's
+// report, when load requests are running on it. Without a report it returns 1.
 func (u *Upstream) StepMicros(load float64) float64 {
 	r := u.report.Load()
 	if r == nil || r.Slots == 0 {
@@ -121,8 +120,8 @@
 
 const nanosPerMicro = 1000
 
-// MicrosPerToken returns the inverse of the upstream's token rate with a full batch, or 1 without a
-// report.
+// MicrosPerToken returns the microseconds per generated token with a full batch, according to the
+// upstream's report: the inverse of its token rate. Without a report it returns 1.
 func (u *Upstream) MicrosPerToken() float64 {
 	r := u.report.Load()
 	if r == nil || r.Slots == 0 {
@@ -141,7 +140,7 @@
 // maxSlowdown limits the slowdown of a single step.
 const maxSlowdown = 100
 
-// RecordStep records how long a step of one request took on the upstream.
+// RecordStep records that a step of one request took this many microseconds on the upstream.
 func (u *Upstream) RecordStep(now spanrill.Millis, micros int64) {
 	ratio := float64(micros) / u.StepMicros(u.Load(now))
 	ratio = math.Max(1, math.Min(ratio, maxSlowdown))
@@ -160,11 +159,11 @@
 	return 1 + (s-1)*math.Exp2(-age/float64(slowdownHalfLife))
 }
 
-// RecordLink records how long a transfer over the link to the upstream took.
+// RecordLink records that a transfer over the link to the upstream took this many microseconds.
 func (u *Upstream) RecordLink(micros int64) {
 	old := u.linkMicros.Load()
 	u.linkMicros.Store(old + (micros-old)/8)
 }
 
-// LinkMicros returns the smoothed time on the link to the upstream.
+// LinkMicros returns the smoothed time of a transfer over the link to the upstream, in microseconds.
 func (u *Upstream) LinkMicros() int64 { return u.linkMicros.Load() }
--- a/state/load/view.go
+++ b/state/load/view.go
@@ -34,10 +34,10 @@
 func (v *View) Models() map[ModelKey]*ModelIndex { return v.models }
 
 // newView indexes upstreams by model and by service.
-func newView(usable []*Upstream, siteOf func(string) string) *View {
+func newView(accepting []*Upstream, siteOf func(string) string) *View {
 	v := &View{models: map[ModelKey]*ModelIndex{}, services: map[ServiceKey][]*Upstream{}}
-	sort.Slice(usable, func(i, k int) bool { return usable[i].name < usable[k].name })
-	for _, u := range usable {
+	sort.Slice(accepting, func(i, j int) bool { return accepting[i].name < accepting[j].name })
+	for _, u := range accepting {
 		site := siteOf(u.zone)
 		if u.service != "" {
 			k := ServiceKey{Service: u.service, Site: site}
@@ -91,7 +91,8 @@
 	return x.byFirstLayer[layer]
 }
 
-// ReachableLayers returns for each layer whether a chain of engines leads from it to the model's end.
+// ReachableLayers returns for each layer whether a chain of engines leads from it to the end of a model
+// with the given number of layers. The last element, for the end itself, is true.
 func (x *ModelIndex) ReachableLayers(layers int) []bool {
 	reachesEnd := make([]bool, layers+1)
 	reachesEnd[layers] = true
@@ -114,19 +115,19 @@
 }
 
 // ReachesEnd reports whether a chain of engines leads from a layer to the model's end.
-func (w *Reachability) ReachesEnd(layer int) bool {
-	return layer <= w.layers && w.reachesEnd[layer]
+func (r *Reachability) ReachesEnd(layer int) bool {
+	return layer <= r.layers && r.reachesEnd[layer]
 }
 
-// Reachability returns from which layers a chain of engines leads to the end of a model with the
-// given number of layers. The result is cached for each index.
+// Reachability returns from which layers a chain of engines leads to the end of a model with the given
+// number of layers. The index caches the result for the last number of layers asked for.
 func (x *ModelIndex) Reachability(layers int) *Reachability {
-	if w := x.reachability.Load(); w != nil && w.layers == layers {
-		return w
+	if r := x.reachability.Load(); r != nil && r.layers == layers {
+		return r
 	}
-	w := &Reachability{layers: layers, reachesEnd: x.ReachableLayers(layers)}
-	x.reachability.Store(w)
-	return w
+	r := &Reachability{layers: layers, reachesEnd: x.ReachableLayers(layers)}
+	x.reachability.Store(r)
+	return r
 }
 
 // MinStages returns the minimum number of stages of a chain for a model with the given number of
