--- a/state/record/record.go
+++ b/state/record/record.go
@@ -129,9 +129,9 @@
 
 // Expire removes the records that are older than Lifetime.
 func (s *Slot) Expire(now spanrill.Millis) {
-	for k, r := range s.records {
+	for key, r := range s.records {
 		if now-r.ClaimedAt > Lifetime {
-			delete(s.records, k)
+			delete(s.records, key)
 		}
 	}
 }
@@ -139,14 +139,14 @@
 // Clone returns a copy that can be changed independently. The bodies of answers are shared.
 func (s *Slot) Clone() *Slot {
 	c := &Slot{records: make(map[string]Record, len(s.records))}
-	for k, r := range s.records {
-		c.records[k] = r
+	for key, r := range s.records {
+		c.records[key] = r
 	}
 	return c
 }
 
-// Recover detects that s is an older copy of the slot than lastWritten. If so, it restores the
-// unexpired records and outcomes that s lacks and returns true. Otherwise it leaves s unchanged.
+// Recover reports whether s is an older copy of the slot than lastWritten. If so, it also restores the
+// unexpired records and outcomes that s lacks. Otherwise it leaves s unchanged.
 //
 // Only a missing outcome of an ended call identifies an older copy, since the record of such a
 // call is removed only on expiry. The record of a call that has not ended may be missing because
