--- a/state/config/build.go
+++ b/state/config/build.go
@@ -43,12 +43,15 @@
 	return b.snapshot, nil
 }
 
+// builder builds a snapshot and collects the problems of all documents.
 type builder struct {
 	docs     Documents
 	snapshot *Snapshot
 	problems checked.Problems
 }
 
+// addProblem adds a problem with a field of document n. The position is always the start of the
+// document.
 func (b *builder) addProblem(n Name, field, format string, args ...any) {
 	b.problems = append(b.problems, checked.Problem{
 		File: n.String(), Field: field, Line: 1, Column: 1, Text: fmt.Sprintf(format, args...),
@@ -120,14 +123,15 @@
 	}
 }
 
-func (b *builder) addKey(n Name, i int, hash string, grant *Grant) {
+// addKey adds the key with the given index in account n.
+func (b *builder) addKey(n Name, index int, hash string, grant *Grant) {
 	var key KeyHash
 	if _, err := hex.Decode(key[:], []byte(hash)); err != nil {
-		b.addProblem(n, fmt.Sprintf("/key_hashes/%d", i), "%v", err)
+		b.addProblem(n, fmt.Sprintf("/key_hashes/%d", index), "%v", err)
 		return
 	}
 	if other := b.snapshot.byKey[key]; other != nil {
-		b.addProblem(n, fmt.Sprintf("/key_hashes/%d", i), "account %q has the same key", other.account)
+		b.addProblem(n, fmt.Sprintf("/key_hashes/%d", index), "account %q has the same key", other.account)
 		return
 	}
 	b.snapshot.byKey[key] = grant
@@ -171,6 +175,7 @@
 	return fmt.Sprint(*n)
 }
 
+// sortedKeys returns the keys of m as a sorted, comma-separated list, or "none".
 func sortedKeys[V any](m map[string]V) string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -78,15 +78,15 @@
 	return NewEditor(h.store()).Commit(ctx, c)
 }
 
-// startFollower starts a follower that fails the test if its revision does not rise with each
-// snapshot.
+// startFollower starts a follower, and fails the test if a new snapshot of it does not have a
+// higher revision than the one before.
 func (h *harness) startFollower() *Follower {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	last := uint64(0)
 	f := NewFollower(h.store(), WithLogger(log), WithOnChange(func(s *Snapshot) {
 		if s.Revision() <= last {
-			h.t.Errorf("revision went from %d to %d", last, s.Revision())
+			h.t.Errorf("revision went from %d to %d, want a higher one", last, s.Revision())
 		}
 		last = s.Revision()
 	}))
@@ -97,12 +97,12 @@
 	return f
 }
 
-func (h *harness) waitUntil(what string, holds func() bool) {
+func (h *harness) waitUntil(awaited string, isMet func() bool) {
 	h.t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
-	for !holds() {
+	for !isMet() {
 		if time.Now().After(deadline) {
-			h.t.Fatalf("timed out waiting: %s", what)
+			h.t.Fatalf("timed out waiting for: %s", awaited)
 		}
 		<-time.After(5 * time.Millisecond)
 	}
@@ -139,7 +139,7 @@
 	docs := baseDocs()
 	h.commit(docs)
 	base := HashDocument(docs[template])
-	won, lost := 0, 0
+	commits, conflicts := 0, 0
 	for i := range 4 {
 		_, err := h.tryCommit(Change{
 			Author:    fmt.Sprintf("operator-%d", i),
@@ -149,21 +149,21 @@
 		var conflict *Conflict
 		switch {
 		case err == nil:
-			won++
+			commits++
 		case errors.As(err, &conflict) && conflict.Theirs != nil && conflict.Mine != nil && conflict.Edit.Author == "operator-0":
-			lost++
+			conflicts++
 		default:
-			t.Errorf("operator %d got %v", i, err)
+			t.Errorf("operator %d: got error %v, want none or a Conflict with both values and the edit of operator-0", i, err)
 		}
 	}
-	if won != 1 || lost != 3 {
-		t.Fatalf("%d edits accepted and %d conflicts, want 1 and 3", won, lost)
+	if commits != 1 || conflicts != 3 {
+		t.Fatalf("%d edits accepted and %d conflicts, want 1 and 3", commits, conflicts)
 	}
 }
 
 // One operator removes a template while another adds an account that uses it. Exactly one edit is
 // accepted, so that no revision has an account without its template.
-func TestTemplateRemovalAgainstAccountCreation(t *testing.T) {
+func TestTemplateRemovalConflictsWithAccountCreation(t *testing.T) {
 	for i := range 8 {
 		h := newHarness(t)
 		h.commit(baseDocs())
@@ -256,12 +256,12 @@
 		t.Fatal(err)
 	}
 	if f.Revision() != 2 {
-		t.Fatalf("revision fell to %d", f.Revision())
+		t.Fatalf("revision %d after an older head was offered, want 2", f.Revision())
 	}
 }
 
 // Stale reads of an older head do not replace the configuration in force.
-func TestStaleReadsDoNotRevert(t *testing.T) {
+func TestStaleReadsAreIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.commit(baseDocs())
 	f := h.startFollower()
@@ -272,11 +272,11 @@
 	}
 }
 
-// The platform's head is restored to an older copy, and operators go on editing. No daemon goes back
-// to an older revision, and edits before and after the restore are kept.
+// The platform's head is restored to an older copy, and operators go on editing. No daemon goes
+// back to an older revision, and edits before and after the restore are kept.
 func TestRestoredHeadLosesNoEdit(t *testing.T) {
-	for _, between := range []int{0, 1, 4} {
-		t.Run(fmt.Sprintf("%d edits after the restore", between), func(t *testing.T) {
+	for _, editsAfter := range []int{0, 1, 4} {
+		t.Run(fmt.Sprintf("%d edits after the restore", editsAfter), func(t *testing.T) {
 			h := newHarness(t)
 			h.commit(baseDocs())
 			for i := range 3 {
@@ -289,13 +289,13 @@
 				t.Fatal(err)
 			}
 			h.platform.SetFaults(platform.Faults{FreezeWatch: true})
-			for i := range between {
+			for i := range editsAfter {
 				n := account(100 + i)
 				h.commit(map[Name]json.RawMessage{n: accountDoc(n, "keeper")})
 			}
 			h.platform.SetFaults(platform.Faults{})
 			h.waitUntil("all edits in force", func() bool {
-				return f.Current().Account("a2") != nil && (between == 0 || f.Current().Account(account(99+between).Name) != nil)
+				return f.Current().Account("a2") != nil && (editsAfter == 0 || f.Current().Account(account(99+editsAfter).Name) != nil)
 			})
 			h.waitUntil("all edits on the platform", func() bool {
 				_, docs := h.readConfig()
@@ -351,11 +351,11 @@
 			_, err := h.tryCommit(Change{Documents: c.docs})
 			var problems checked.Problems
 			if !errors.As(err, &problems) {
-				t.Fatalf("got %v, want problems", err)
+				t.Fatalf("got error %v, want checked.Problems", err)
 			}
 			for _, part := range c.want {
 				if !strings.Contains(err.Error(), part) {
-					t.Errorf("%q does not name %q", err, part)
+					t.Errorf("error %q does not contain %q", err, part)
 				}
 			}
 		})
@@ -377,7 +377,7 @@
 	}
 	g := s.Account("a1")
 	if g.Model("advice").Priority() != 9 || g.Model("advice").Site().Name != "quebec" || g.Limits().RequestsPerSecond() != 7 {
-		t.Fatalf("resolved to %+v %+v", g.Model("advice"), g.Limits())
+		t.Fatalf("resolved to %+v and %+v, want priority 9, site quebec and 7 requests per second", g.Model("advice"), g.Limits())
 	}
 }
 
@@ -413,11 +413,11 @@
 	c.AwaitTimers(daemons)
 	calls := h.platform.Calls()
 	if n := calls.Reads + calls.Watches - before.Reads - before.Watches; n > seconds*daemons/4 {
-		t.Errorf("%d calls in %d seconds of outage", n, seconds)
+		t.Errorf("%d calls in %d seconds of outage, want at most one in 4 s for each daemon", n, seconds)
 	}
 	for _, f := range all {
 		if f.Revision() != 1 {
-			t.Fatal("the configuration in force was dropped")
+			t.Fatal("revision 1 is no longer in force after the outage")
 		}
 	}
 	h.platform.SetFaults(platform.Faults{})
@@ -429,7 +429,7 @@
 	}
 	calls = h.platform.Calls()
 	if n := calls.Reads - before.Reads; n > 10*daemons {
-		t.Errorf("%d reads after the outage", n)
+		t.Errorf("%d reads after the outage, want at most 10 for each daemon", n)
 	}
 }
 
--- a/state/config/documents.go
+++ b/state/config/documents.go
@@ -19,7 +19,7 @@
 	KindAccount  Kind = "account"
 )
 
-// Kinds lists the kinds such that each one refers only to kinds before it.
+// Kinds lists all kinds, each after those that its documents refer to.
 var Kinds = []Kind{KindModel, KindSite, KindTemplate, KindAccount}
 
 // ParseKind returns the kind with that name.
@@ -94,7 +94,7 @@
 	return false
 }
 
-// Parameter declares a parameter that each client account may set.
+// Parameter declares a parameter of a template. Each client account may set it.
 type Parameter struct {
 	Type    string          `json:"type"` // integer or string
 	Default json.RawMessage `json:"default"`
@@ -103,7 +103,8 @@
 	Allowed []string        `json:"allowed,omitempty"`
 }
 
-// ModelUse allows the accounts of a template to use a model, and says how.
+// ModelUse allows the accounts of a template to use a model, with the given priority and limit, at
+// the given site.
 type ModelUse struct {
 	Model     string `json:"model"`
 	Priority  Int    `json:"priority"`
--- a/state/config/edit.go
+++ b/state/config/edit.go
@@ -25,12 +25,13 @@
 	Base map[Name]string
 }
 
-// Conflict is the error if another edit has changed a document since the operator read it.
+// Conflict is the error of Commit if another edit has changed a document since the operator read
+// it.
 type Conflict struct {
 	Document Name
-	Mine     json.RawMessage
-	Theirs   json.RawMessage
-	Edit     Edit // the last edit of the document, zero if no longer in Head.Recent
+	Mine     json.RawMessage // the value in the refused change
+	Theirs   json.RawMessage // the current value
+	Edit     Edit            // the last edit of the document, zero if no longer in Head.Recent
 }
 
 // Error names the document and the edit that changed it.
@@ -40,7 +41,7 @@
 }
 
 // ErrUnknownOutcome means that the editor could not determine whether the edit was accepted. Once
-// the platform answers again, Editor.Accepted tells by the edit's id.
+// the platform answers again, Editor.Accepted reports whether it was.
 var ErrUnknownOutcome = errors.New("the edit may or may not have been accepted")
 
 // HashDocument returns the hash of a document in canonical form, or "" if doc is nil.
@@ -105,6 +106,8 @@
 // errHeadChanged means that another edit changed the head and this one has to start again.
 var errHeadChanged = errors.New("another edit changed the head")
 
+// attempt makes the edit once, on top of the given head. It returns errHeadChanged if another edit
+// was accepted first.
 func (e *Editor) attempt(ctx context.Context, c Change, head *Head, version spanrill.Version) (Edit, error) {
 	docs, err := ReadDocuments(ctx, e.store, head)
 	if err != nil {
@@ -124,13 +127,13 @@
 	return edit, e.updateHead(ctx, next, version)
 }
 
-func (c *Change) newEdit(revision uint64, at spanrill.Millis) Edit {
-	edit := Edit{Revision: revision, EditID: c.EditID, Author: c.Author, At: at}
+func (c *Change) newEdit(revision uint64, unixTime spanrill.Millis) Edit {
+	edit := Edit{Revision: revision, EditID: c.EditID, Author: c.Author, At: unixTime}
 	for n := range c.Documents {
 		edit.Documents = append(edit.Documents, n)
 	}
-	sort.Slice(edit.Documents, func(i, k int) bool {
-		return edit.Documents[i].String() < edit.Documents[k].String()
+	sort.Slice(edit.Documents, func(i, j int) bool {
+		return edit.Documents[i].String() < edit.Documents[j].String()
 	})
 	return edit
 }
@@ -152,6 +155,7 @@
 	return nil
 }
 
+// lastEdit returns the last of the recent edits of a document, or a zero Edit.
 func (h *Head) lastEdit(n Name) Edit {
 	for i := len(h.Recent) - 1; i >= 0; i-- {
 		for _, d := range h.Recent[i].Documents {
@@ -163,7 +167,8 @@
 	return Edit{}
 }
 
-// storeParts stores the parts that head does not name and returns the next head.
+// storeParts splits docs into parts, stores those that are not in head, and returns the head that
+// follows it.
 func (e *Editor) storeParts(ctx context.Context, head *Head, edit Edit, docs Documents) (*Head, error) {
 	values, err := splitParts(docs)
 	if err != nil {
@@ -183,7 +188,8 @@
 	return head.withEdit(edit, parts), nil
 }
 
-// storePart writes a part. If its key exists, the value is the same, since the key is its hash.
+// storePart writes a part. A conflict means that the part is already stored, since its key is the
+// hash of its value.
 func (e *Editor) storePart(ctx context.Context, hash string, value []byte) error {
 	for {
 		_, err := e.store.Put(ctx, PartKey(hash), value, "")
@@ -200,7 +206,7 @@
 }
 
 // updateHead writes the next head if the store still holds the given version. It repeats the
-// write while the effect is unknown, which is safe because the condition lets only one succeed.
+// write while its effect is unknown, which is safe because only one write can meet the condition.
 func (e *Editor) updateHead(ctx context.Context, next *Head, version spanrill.Version) error {
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -230,7 +236,7 @@
 }
 
 // resolveConflict determines after a conflict whether an earlier write of next took effect. It
-// returns nil if so.
+// returns nil if so, and errHeadChanged if another edit was first.
 func (e *Editor) resolveConflict(ctx context.Context, next *Head, version spanrill.Version, maybeApplied bool) error {
 	if !maybeApplied {
 		return errHeadChanged
@@ -250,8 +256,9 @@
 	}
 }
 
-// checkMissingEdit handles an edit that is not among the recent ones of head: it was not accepted,
-// unless so many edits followed that it may have been dropped from the list.
+// checkMissingEdit returns the error for an edit that is not among the recent ones of head:
+// errHeadChanged, since it was not accepted, or ErrUnknownOutcome if so many edits followed that it
+// may have been dropped from the list.
 func (e *Editor) checkMissingEdit(head, next *Head) error {
 	if head.Revision-next.Revision >= maxRecentEdits {
 		return unknownOutcomeError(next, errors.New("too many edits followed to tell"))
--- a/state/config/follow.go
+++ b/state/config/follow.go
@@ -40,7 +40,8 @@
 // FollowerOption changes a default of NewFollower.
 type FollowerOption func(*Follower)
 
-// WithClock sets the clock of the follower's pauses.
+// WithClock sets the clock for pauses between reads and for the time of edits that are written
+// back.
 func WithClock(c spanrill.Clock) FollowerOption {
 	return func(f *Follower) { f.clock = c }
 }
@@ -50,13 +51,14 @@
 	return func(f *Follower) { f.log = log }
 }
 
-// WithWatchesHead sets a function that reports whether this daemon watches the platform's head. A
-// daemon that does not learns of edits from its peers and polls the head every 30 s.
+// WithWatchesHead sets a function that reports whether this daemon watches the platform's head. One
+// that does not watch it learns of edits from its peers, and polls the head every 30 s.
 func WithWatchesHead(watches func() bool) FollowerOption {
 	return func(f *Follower) { f.watchesHead = watches }
 }
 
-// WithJitter sets a function that randomizes pauses, so that daemons do not act at once.
+// WithJitter sets a function that randomizes pauses, so that daemons do not call the
+// platform at the same time.
 func WithJitter(j func(spanrill.Millis) spanrill.Millis) FollowerOption {
 	return func(f *Follower) { f.jitter = j }
 }
@@ -68,9 +70,9 @@
 
 // Timing of the follower.
 const (
-	watchWait    = 10 * spanrill.Second // longest time that one watch waits for a change
-	pollInterval = 30 * spanrill.Second // between reads of a daemon that does not watch
-	minBackoff   = 500 * spanrill.Millis(1)
+	watchWait    = 10 * spanrill.Second     // longest time that one watch waits for a change
+	pollInterval = 30 * spanrill.Second     // between reads of a daemon that does not watch
+	minBackoff   = 500 * spanrill.Millis(1) // after a failed call, doubled up to maxBackoff
 	maxBackoff   = 5 * spanrill.Second
 	offerTimeout = 5 * spanrill.Second // limit for loading one revision
 )
@@ -95,39 +97,39 @@
 
 // Current returns the snapshot in force, or nil before the first configuration.
 func (f *Follower) Current() *Snapshot {
-	s := f.current.Load()
-	if s == nil {
+	active := f.current.Load()
+	if active == nil {
 		return nil
 	}
-	return s.snapshot
+	return active.snapshot
 }
 
 // Revision returns the revision in force, or 0.
 func (f *Follower) Revision() uint64 {
-	s := f.current.Load()
-	if s == nil {
+	active := f.current.Load()
+	if active == nil {
 		return 0
 	}
-	return s.head.Revision
+	return active.head.Revision
 }
 
 // Head returns the head in force, or nil.
 func (f *Follower) Head() *Head {
-	s := f.current.Load()
-	if s == nil {
+	active := f.current.Load()
+	if active == nil {
 		return nil
 	}
-	return s.head
+	return active.head
 }
 
 // Part returns a part of the configuration in force, so that the follower can be a PartSource for
 // peers.
 func (f *Follower) Part(_ context.Context, hash string) ([]byte, error) {
-	s := f.current.Load()
-	if s == nil || s.parts[hash] == nil {
+	active := f.current.Load()
+	if active == nil || active.parts[hash] == nil {
 		return nil, spanrill.ErrNotFound
 	}
-	return s.parts[hash], nil
+	return active.parts[hash], nil
 }
 
 // Run follows the platform until the context ends.
@@ -152,9 +154,9 @@
 	return ctx.Err()
 }
 
-// checkHead waits for a change of the known head, or only reads the head if known is empty, and
-// handles the result. After a watch that ends without a change it reads the head, because a watch
-// whose connection has silently died looks the same.
+// checkHead watches the head for a change from the known version, or reads it if known is empty,
+// and handles the result. If the watch ends without a change it reads the head as well, because a
+// watch whose connection has silently died reports no change either.
 func (f *Follower) checkHead(ctx context.Context, known spanrill.Version) (spanrill.Version, error) {
 	if known != "" {
 		obj, err := f.store.Watch(ctx, HeadKey, known, watchWait)
@@ -176,6 +178,8 @@
 	return f.handleHead(ctx, obj)
 }
 
+// handleHead puts the platform's head into force, or writes back the edits that it lacks. It
+// returns the version to watch from, or "" if the head is to be read again.
 func (f *Follower) handleHead(ctx context.Context, obj spanrill.Object) (spanrill.Version, error) {
 	head, err := decodeHead(obj.Value)
 	if err != nil {
@@ -231,6 +235,7 @@
 	return next, nil
 }
 
+// activate puts a configuration into force. The caller holds the lock.
 func (f *Follower) activate(next *activeConfig) {
 	f.current.Store(next)
 	f.onChange(next.snapshot)
--- a/state/config/head.go
+++ b/state/config/head.go
@@ -28,7 +28,7 @@
 	Recent   []Edit            `json:"recent"` // oldest first, this edit last
 }
 
-// Edit is an accepted edit in the history.
+// Edit describes an accepted edit: who changed which documents, and when.
 type Edit struct {
 	Revision  uint64          `json:"revision"`
 	EditID    string          `json:"edit_id"`
@@ -59,8 +59,9 @@
 	return &Head{Revision: e.Revision, EditID: e.EditID, Parts: parts, Recent: recent}
 }
 
-// Documents are spread over buckets by the hash of their name, each of which is one part. There may
-// be many accounts: more buckets keep the part small that an edit of one account rewrites.
+// The documents of a kind are spread over buckets by the hash of their name. Each bucket is one
+// part. There may be many accounts, so they have more buckets: an edit of one account rewrites a
+// small part only.
 const (
 	accountBuckets = 64
 	otherBuckets   = 4
@@ -108,7 +109,7 @@
 	if err := json.Unmarshal(value, &members); err != nil {
 		return fmt.Errorf("decode part %s: %w", part, err)
 	}
-	kind, err := ParseKind(part[:max(0, len(part)-3)])
+	kind, err := ParseKind(part[:max(0, len(part)-3)]) // without the slash and the bucket's two digits
 	if err != nil {
 		return fmt.Errorf("part %s: %w", part, err)
 	}
@@ -125,11 +126,11 @@
 }
 
 // ErrWrongHash means that a source returned a value that does not have the requested hash.
-var ErrWrongHash = errors.New("part has another hash")
+var ErrWrongHash = errors.New("value does not have the requested hash")
 
 // fetch returns a part from the first source that has it.
 func fetch(ctx context.Context, hash string, sources ...PartSource) ([]byte, error) {
-	var last error = spanrill.ErrNotFound
+	var lastErr error = spanrill.ErrNotFound
 	for _, s := range sources {
 		value, err := s.Part(ctx, hash)
 		if err == nil && HashPart(value) != hash {
@@ -138,9 +139,9 @@
 		if err == nil {
 			return value, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, fmt.Errorf("fetch part %s: %w", hash, last)
+	return nil, fmt.Errorf("fetch part %s: %w", hash, lastErr)
 }
 
 // storeSource reads parts from the platform.
--- a/state/config/resolve.go
+++ b/state/config/resolve.go
@@ -10,7 +10,7 @@
 // defaultMaxTokens limits answers for which the template sets no limit.
 const defaultMaxTokens = 1024
 
-// resolver replaces references to parameters by the account's values or the template's defaults.
+// resolver replaces references to parameters with the account's values or the template's defaults.
 type resolver struct {
 	template *Template
 	account  *Account
--- a/state/config/snapshot.go
+++ b/state/config/snapshot.go
@@ -42,8 +42,8 @@
 // Models returns all models by name. The caller must not modify the map.
 func (s *Snapshot) Models() map[string]*Model { return s.models }
 
-// ModelsAt returns the models that accounts use at a site, each with the
-// highest priority of those accounts.
+// ModelsAt returns the models that accounts use at a site, each with the highest priority of those
+// accounts.
 func (s *Snapshot) ModelsAt(site string) map[string]int {
 	used := map[string]int{}
 	for _, g := range s.accounts {
--- a/state/config/writeback.go
+++ b/state/config/writeback.go
@@ -28,9 +28,10 @@
 // writeBackAuthor is the author of edits that write lost edits back to the platform.
 const writeBackAuthor = "spanrill"
 
-// writeBack commits an edit that consists of the configuration in force on this daemon and, on top
-// of it, the edits that the platform accepted since it lost them. The update of the head is
-// conditional, so that it does no harm after a stale read and only one daemon succeeds.
+// writeBack restores edits that the platform has lost. It commits one edit: the configuration in
+// force on this daemon, changed by the edits that the platform has accepted since the loss. The
+// update of the head is conditional, so that it does no harm after a stale read and only one daemon
+// succeeds. The returned version is always empty, so that the head is read again.
 func (f *Follower) writeBack(ctx context.Context, head *Head, version spanrill.Version) (spanrill.Version, error) {
 	ours := f.current.Load()
 	events.ConfigDiverged.Log(f.log, logrus.Fields{
@@ -52,7 +53,8 @@
 	return "", f.Offer(ctx, next)
 }
 
-// merge returns a head that contains the edits of both ours and the platform's head.
+// merge stores a configuration with the edits of both ours and the platform's head, and returns its
+// head.
 func (f *Follower) merge(ctx context.Context, editor *Editor, ours *activeConfig, head *Head) (*Head, error) {
 	theirs, err := ReadDocuments(ctx, f.store, head)
 	if err != nil {
@@ -63,6 +65,7 @@
 		docs[n] = doc
 	}
 	c := Change{EditID: NewEditID(), Author: writeBackAuthor, Documents: map[Name]json.RawMessage{}}
+	// The base names no parts, so that storeParts stores all of them.
 	base := &Head{Recent: append([]Edit(nil), ours.head.Recent...)}
 	for _, e := range head.Recent {
 		if !ours.head.Contains(e.EditID) {
