--- a/state/routes/current.go
+++ b/state/routes/current.go
@@ -7,11 +7,11 @@
 	"spanrill"
 )
 
-// Current holds the newest version that this process has received, and when it was last confirmed
-// to be the newest. A version is never replaced by an older one.
+// Current holds the newest table that this process has received, and when that table was last
+// confirmed to be the newest. A table is never replaced by an older one.
 //
-// A version is confirmed by a read of the store, by this process or by a peer. The time of a
-// confirmation is that before the read was sent, on the monotonic clock.
+// A read of the store, by this process or by a peer, confirms the table. The time of the
+// confirmation is when the read was sent, on this process's monotonic clock.
 type Current struct {
 	clock spanrill.Clock
 
@@ -20,19 +20,19 @@
 	revision    atomic.Uint64
 	ignored     atomic.Uint64 // highest revision that Update has ignored
 	raw         atomic.Pointer[[]byte]
-	confirmedAt atomic.Int64
+	confirmedAt atomic.Int64 // spanrill.Millis
 	ready       chan struct{}
 }
 
-// NewCurrent returns a Current without a version.
+// NewCurrent returns a Current without a table.
 func NewCurrent(clock spanrill.Clock) *Current {
 	return &Current{clock: clock, ready: make(chan struct{})}
 }
 
-// Table returns the newest version, or nil.
+// Table returns the newest table, or nil before the first.
 func (c *Current) Table() *Table { return c.table.Load() }
 
-// Revision returns the store's revision of the newest version, or 0.
+// Revision returns the store's revision of the newest table, or 0 before the first.
 func (c *Current) Revision() uint64 { return c.revision.Load() }
 
 // Handled reports whether Update has already accepted or ignored this or a later revision.
@@ -40,7 +40,8 @@
 	return revision <= max(c.revision.Load(), c.ignored.Load())
 }
 
-// Raw returns the newest version as encoded in the store, for peers. It is nil before the first.
+// Raw returns the newest configuration as encoded in the store, for peers. It is nil before the
+// first.
 func (c *Current) Raw() []byte {
 	if raw := c.raw.Load(); raw != nil {
 		return *raw
@@ -48,10 +49,11 @@
 	return nil
 }
 
-// Ready returns a channel that is closed once there is a version.
+// Ready returns a channel that is closed once there is a table.
 func (c *Current) Ready() <-chan struct{} { return c.ready }
 
-// Update replaces the version if the given one is newer, and reports whether it did.
+// Update replaces the table if t is newer, and reports whether it did. A newer one has a higher
+// revision, and a version that is not lower.
 func (c *Current) Update(t *Table, raw []byte, revision uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,20 +71,21 @@
 	return true
 }
 
-// ConfirmUnchanged records that the newest version in the store had the revision at that time. It
-// has no effect if this is not the revision held, or if a later confirmation is known.
-func (c *Current) ConfirmUnchanged(revision uint64, at spanrill.Millis) {
+// ConfirmUnchanged records that the newest version in the store had the given revision at
+// checkedAt. It has no effect if the table has another revision or was confirmed later.
+func (c *Current) ConfirmUnchanged(revision uint64, checkedAt spanrill.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.table.Load() == nil || revision != c.revision.Load() {
 		return
 	}
-	if int64(at) > c.confirmedAt.Load() {
-		c.confirmedAt.Store(int64(at))
+	if int64(checkedAt) > c.confirmedAt.Load() {
+		c.confirmedAt.Store(int64(checkedAt))
 	}
 }
 
-// ConfirmedAt returns the time of the latest confirmation, on this process's clock.
+// ConfirmedAt returns the time of the latest confirmation on this process's clock, or 0 before the
+// first.
 func (c *Current) ConfirmedAt() spanrill.Millis { return spanrill.Millis(c.confirmedAt.Load()) }
 
 // Age returns the time since the latest confirmation.
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -37,7 +37,7 @@
 		t.byHost[host] = append(t.byHost[host], r)
 	}
 	for _, routes := range t.byHost {
-		sort.SliceStable(routes, func(i, k int) bool { return len(routes[i].Prefix) > len(routes[k].Prefix) })
+		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	for i := range c.Services {
 		t.services[c.Services[i].Name] = &c.Services[i]
@@ -53,7 +53,8 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// IgnoredValues describes the implausible values of the configuration, which were ignored.
+// IgnoredValues returns descriptions of the implausible values in the configuration, which were
+// ignored.
 func (t *Table) IgnoredValues() []string { return t.config.IgnoredValues }
 
 // Limits returns the limits on what callers may send.
@@ -78,7 +79,7 @@
 	return nil, false
 }
 
-// Account returns the client account that holds a key.
+// Account returns the client account that a key belongs to.
 func (t *Table) Account(key string) (*spanrill.Account, bool) {
 	a, ok := t.accounts[key]
 	return a, ok && key != ""
@@ -87,8 +88,8 @@
 // Service returns a service by its name, or nil.
 func (t *Table) Service(name string) *spanrill.ServiceInfo { return t.services[name] }
 
-// ChooseService returns a service of the route according to the weights of its shares. The draw is a
-// random number from 0 to 1.
+// ChooseService chooses a service of the route at random according to the weights of its shares.
+// The draw is a random number from 0 to 1. It returns "" if the route has no services.
 func ChooseService(r *spanrill.Route, draw float64) string {
 	total := 0
 	for _, s := range r.Shares {
--- a/state/routes/routes_test.go
+++ b/state/routes/routes_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestFindRoute(t *testing.T) {
-	s := newTable(1)
+	table := newTable(1)
 	for _, c := range []struct{ host, path, want string }{
 		{"h.example", "/a/b/c", "ab"},
 		{"h.example", "/a/bc", "a"},
@@ -32,7 +32,7 @@
 		{"n.example", "/", ""},
 	} {
 		got := ""
-		if r, ok := s.Find(c.host, c.path); ok {
+		if r, ok := table.Find(c.host, c.path); ok {
 			got = r.Name
 		}
 		if got != c.want {
@@ -42,18 +42,18 @@
 }
 
 func TestAccount(t *testing.T) {
-	s := newTable(1, "k")
-	if a, ok := s.Account("k"); !ok || a.Name != "x" {
-		t.Fatal("the key is not found")
+	table := newTable(1, "k")
+	if a, ok := table.Account("k"); !ok || a.Name != "x" {
+		t.Fatal("key k is not found as a key of account x")
 	}
 	for _, key := range []string{"", "K", "other"} {
-		if _, ok := s.Account(key); ok {
-			t.Errorf("key %q is found", key)
+		if _, ok := table.Account(key); ok {
+			t.Errorf("key %q is found, want no account", key)
 		}
 	}
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseService(t *testing.T) {
 	r := &spanrill.Route{Shares: []spanrill.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	for _, c := range []struct {
 		draw float64
@@ -64,7 +64,7 @@
 		}
 	}
 	if got := ChooseService(&spanrill.Route{}, 0.5); got != "" {
-		t.Errorf("a route without services: %q", got)
+		t.Errorf("a route without services: %q, want none", got)
 	}
 }
 
@@ -85,20 +85,20 @@
 	}
 }
 
-// The age counts from the latest confirmation of the revision held. Confirmations of other revisions
-// and earlier ones have no effect.
-func TestFreshness(t *testing.T) {
+// The age counts from the latest confirmation of the current revision. Confirmations of other
+// revisions, and those with an earlier time, have no effect.
+func TestAgeSinceConfirmation(t *testing.T) {
 	manual := clock.NewManual()
 	manual.Advance(10_000)
 	c := NewCurrent(manual)
 	c.ConfirmUnchanged(1, manual.Now())
 	if c.Age() < 10_000 {
-		t.Fatal("a revision is confirmed although none is held")
+		t.Fatal("a confirmation has an effect before the first table")
 	}
 	c.Update(newTable(1), nil, 7)
 	c.ConfirmUnchanged(6, manual.Now())
 	if c.Age() < 10_000 {
-		t.Fatal("a confirmation of another revision is accepted")
+		t.Fatal("a confirmation of another revision has an effect")
 	}
 	c.ConfirmUnchanged(7, manual.Now()-300)
 	c.ConfirmUnchanged(7, manual.Now()-900)
