--- a/state/follow/follow.go
+++ b/state/follow/follow.go
@@ -42,7 +42,7 @@
 	jitter           func() float64
 	knownRevision    func() uint64
 	maxRetryDelay    func() spanrill.Millis // longest pause between failed calls
-	firstCallTimeout func() spanrill.Millis // of a call that follows an answer, or nil
+	firstCallTimeout func() spanrill.Millis // of a watch that follows a successful call, or nil
 	listDelay        func() spanrill.Millis // 0 once the collection may be listed
 	primary          *Follower              // finds the store again after an outage, or nil
 
@@ -50,7 +50,7 @@
 	listed       bool
 	relisting    bool // the store no longer had the history to watch
 	outageLogged bool
-	failures     int
+	failures     int // failed calls since the last success
 
 	failing         atomic.Bool  // the last call failed
 	unansweredSince atomic.Int64 // when the first call since the last answer was sent, or answered
@@ -102,8 +102,9 @@
 	return func(f *Follower) { f.listDelay = delay }
 }
 
-// WithPrimary names another follower of the same store. In an outage only the primary calls the
-// store: a follower whose last call failed makes no call as long as those of the primary fail too.
+// WithPrimary sets another follower of the same store as this one's primary. In an outage only the
+// primary calls the store: a follower whose last call failed makes no call as long as those of the
+// primary fail too.
 //
 // In an outage of 8 s a daemon makes 19 to 22 calls if both followers call, and 10 to 13 with a
 // primary; the second collection is then read at most 40 ms after the first one
@@ -113,14 +114,15 @@
 }
 
 // WithMaxRetryDelay sets a function that returns the longest pause between failed calls. In a large
-// fleet not every daemon has to find at once that the store answers again.
+// fleet it may be long, since not every daemon has to notice at once that the store answers again.
 func WithMaxRetryDelay(delay func() spanrill.Millis) Option {
 	return func(f *Follower) { f.maxRetryDelay = delay }
 }
 
-// WithFirstCallTimeout sets a function that returns the timeout of a call that follows an answer.
-// The connection may have gone silent, and the timeout leaves time for a second call. Calls after a
-// failed one have only the source's own timeout, since the source may just be slow.
+// WithFirstCallTimeout sets a function that returns the timeout of a watch that follows a
+// successful call. Its connection may have gone silent, and the timeout leaves time for a second
+// call. A watch after a failed call has only the source's own timeout, since the source may just be
+// slow.
 func WithFirstCallTimeout(timeout func() spanrill.Millis) Option {
 	return func(f *Follower) { f.firstCallTimeout = timeout }
 }
@@ -143,7 +145,7 @@
 	// InitialRetryDelay is the pause after the first failed call: 25 times the store's usual
 	// response time, so that a store that answers again is found at once.
 	InitialRetryDelay spanrill.Millis = 100
-	// primaryCheckInterval is how often a follower checks whether the primary's calls still fail.
+	// primaryCheckInterval is the pause between checks whether the primary's calls still fail.
 	primaryCheckInterval spanrill.Millis = 20
 	// MaxRetryDelay bounds the pause between failed calls. It is a fraction of the age that the
 	// configuration may have for requests with a key.
@@ -230,7 +232,8 @@
 	return f.listDelay()
 }
 
-// makeCall lists or watches once. A call that follows an answer has the timeout firstCallTimeout.
+// makeCall lists or watches once. A watch that follows a successful call has the timeout
+// firstCallTimeout.
 func (f *Follower) makeCall(ctx context.Context, sentAt spanrill.Millis) (changed bool, err error) {
 	if !f.listed {
 		return false, f.list(ctx, sentAt)
@@ -264,6 +267,8 @@
 	return len(changes) > 0, nil
 }
 
+// recordFailure counts and logs a failed call, and returns the pause before the next one. A call
+// that failed because ctx ended does not count.
 func (f *Follower) recordFailure(ctx context.Context, err error) spanrill.Millis {
 	if ctx.Err() != nil {
 		return 0
--- a/state/follow/follow_test.go
+++ b/state/follow/follow_test.go
@@ -20,7 +20,7 @@
 	revision uint64
 	err      error
 	callTime spanrill.Millis // duration of a call
-	after    uint64
+	after    uint64          // revision of the last watch
 }
 
 func (s *source) List(context.Context) ([]spanrill.Item, uint64, error) {
@@ -36,6 +36,7 @@
 	return s.changes, s.revision, s.err
 }
 
+// sink counts the calls of a follower and keeps the time of the last one.
 type sink struct {
 	listed, changed int
 	sentAt          spanrill.Millis
@@ -58,23 +59,23 @@
 // The sink gets the time at which the call was sent, not the time of its answer.
 func TestSentTimePrecedesTheCall(t *testing.T) {
 	c := clock.NewManual()
-	src, to := &source{clock: c, revision: 5, callTime: 800}, &sink{}
-	f := New(src, c, to, WithLogger(discardLogger(), "test"))
+	src, received := &source{clock: c, revision: 5, callTime: 800}, &sink{}
+	f := New(src, c, received, WithLogger(discardLogger(), "test"))
 	f.Step(context.Background())
-	if to.listed != 1 || to.sentAt != 0 {
-		t.Fatalf("listed %d times, sent at %d, want 1 and 0", to.listed, to.sentAt)
+	if received.listed != 1 || received.sentAt != 0 {
+		t.Fatalf("listed %d times, sent at %d, want 1 and 0", received.listed, received.sentAt)
 	}
 	f.Step(context.Background())
-	if to.changed != 1 || to.sentAt != 800 {
-		t.Fatalf("changed %d times, sent at %d, want 1 and 800", to.changed, to.sentAt)
+	if received.changed != 1 || received.sentAt != 800 {
+		t.Fatalf("changed %d times, sent at %d, want 1 and 800", received.changed, received.sentAt)
 	}
 }
 
 // If the store no longer has the history, the follower lists again at once.
 func TestHistoryGoneListsAgain(t *testing.T) {
 	c := clock.NewManual()
-	src, to := &source{clock: c, revision: 5}, &sink{}
-	f := New(src, c, to, WithLogger(discardLogger(), "test"))
+	src, received := &source{clock: c, revision: 5}, &sink{}
+	f := New(src, c, received, WithLogger(discardLogger(), "test"))
 	f.Step(context.Background())
 	src.err = spanrill.ErrHistoryGone
 	if pause := f.Step(context.Background()); pause != 0 {
@@ -82,24 +83,24 @@
 	}
 	src.err = nil
 	f.Step(context.Background())
-	if to.listed != 2 {
-		t.Fatalf("listed %d times, want 2: %v", to.listed, src.calls)
+	if received.listed != 2 {
+		t.Fatalf("listed %d times, want 2: %v", received.listed, src.calls)
 	}
 }
 
 // Failed calls pass nothing to the sink, and the pause between them stays within MaxRetryDelay.
 func TestRetryDelayIsBounded(t *testing.T) {
 	c := clock.NewManual()
-	src, to := &source{clock: c, revision: 5}, &sink{}
-	f := New(src, c, to, WithLogger(discardLogger(), "test"), WithJitter(func() float64 { return 1 }))
+	src, received := &source{clock: c, revision: 5}, &sink{}
+	f := New(src, c, received, WithLogger(discardLogger(), "test"), WithJitter(func() float64 { return 1 }))
 	f.Step(context.Background())
 	src.err = spanrill.ErrUnavailable
 	for range 20 {
 		if pause := f.Step(context.Background()); pause <= 0 || pause > MaxRetryDelay {
-			t.Fatalf("pause of %d ms is out of range", pause)
+			t.Fatalf("pause of %d ms, want more than 0 and at most MaxRetryDelay", pause)
 		}
 	}
-	if to.changed != 0 {
+	if received.changed != 0 {
 		t.Fatal("a failed call was passed to the sink")
 	}
 }
@@ -108,21 +109,21 @@
 // revision are not requested again.
 func TestPollDelayAndKnownRevision(t *testing.T) {
 	c := clock.NewManual()
-	src, to := &source{clock: c, revision: 5}, &sink{}
-	due, known := spanrill.Millis(70), uint64(0)
-	f := New(src, c, to, WithLogger(discardLogger(), "test"), WithPollDelay(func() spanrill.Millis { return due }), WithKnownRevision(func() uint64 { return known }))
+	src, received := &source{clock: c, revision: 5}, &sink{}
+	pollDelay, known := spanrill.Millis(70), uint64(0)
+	f := New(src, c, received, WithLogger(discardLogger(), "test"), WithPollDelay(func() spanrill.Millis { return pollDelay }), WithKnownRevision(func() uint64 { return known }))
 	f.Step(context.Background())
 	if pause := f.Step(context.Background()); pause != 70 || len(src.calls) != 1 {
-		t.Fatalf("pause of %d ms, calls %v", pause, src.calls)
+		t.Fatalf("pause of %d ms, calls %v, want 70 ms and only the list", pause, src.calls)
 	}
-	due, known = 0, 9
+	pollDelay, known = 0, 9
 	f.Step(context.Background())
 	if len(src.calls) != 2 || src.after != 9 {
-		t.Fatalf("calls %v, the last one after revision %d, want 9", src.calls, src.after)
+		t.Fatalf("calls %v, the last one after revision %d, want 2 calls and revision 9", src.calls, src.after)
 	}
 }
 
-// The time without an answer counts from the first failed call, and is 0 after an answer.
+// The unresponsive time counts from when the first failed call was sent, and is 0 after an answer.
 func TestUnresponsiveFor(t *testing.T) {
 	c := clock.NewManual()
 	src := &source{clock: c, revision: 5, callTime: 4}
@@ -147,7 +148,7 @@
 // hangingSource is a source that never answers a watch with a deadline.
 type hangingSource struct {
 	*source
-	limited []bool // whether each call had a deadline
+	limited []bool // whether each watch had a deadline
 }
 
 func (h *hangingSource) Watch(ctx context.Context, after uint64, wait spanrill.Millis) ([]spanrill.Change, uint64, error) {
@@ -160,8 +161,8 @@
 	return nil, 0, spanrill.ErrUnavailable
 }
 
-// A call on a connection that has gone silent ends at the timeout. The next call has no timeout,
-// and the one after an answer has it again.
+// A watch on a connection that has gone silent ends at the timeout. The next watch has no timeout,
+// and the one after a successful call has it again.
 func TestFirstCallTimeout(t *testing.T) {
 	c := clock.NewManual()
 	src := &hangingSource{source: &source{clock: c, revision: 5}}
@@ -172,7 +173,7 @@
 	want := []bool{true, false, true}
 	for i := range want {
 		if src.limited[i] != want[i] {
-			t.Fatalf("calls with a timeout: %v, want %v", src.limited, want)
+			t.Fatalf("watches with a timeout: %v, want %v", src.limited, want)
 		}
 	}
 }
@@ -185,21 +186,21 @@
 		known uint64 // after the delay
 		calls string
 	}{
-		{"not known from elsewhere", 0, "list watch list"},
-		{"known from a peer", 7, "watch watch list"},
+		{"revision not known", 0, "list watch list"},
+		{"revision known from a peer", 7, "watch watch list"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			k := clock.NewManual()
-			src := &source{clock: k, revision: 9}
-			wait, known := spanrill.Millis(30), uint64(0)
-			f := New(src, k, &sink{}, WithLogger(discardLogger(), "test"),
-				WithListDelay(func() spanrill.Millis { return wait }), WithKnownRevision(func() uint64 { return known }))
-			if pause := f.Step(context.Background()); pause != wait || len(src.calls) != 0 {
-				t.Fatalf("pause of %d ms, calls %v", pause, src.calls)
+			manual := clock.NewManual()
+			src := &source{clock: manual, revision: 9}
+			listDelay, known := spanrill.Millis(30), uint64(0)
+			f := New(src, manual, &sink{}, WithLogger(discardLogger(), "test"),
+				WithListDelay(func() spanrill.Millis { return listDelay }), WithKnownRevision(func() uint64 { return known }))
+			if pause := f.Step(context.Background()); pause != listDelay || len(src.calls) != 0 {
+				t.Fatalf("pause of %d ms, calls %v, want 30 ms and no call", pause, src.calls)
 			}
-			wait, known = 0, c.known
+			listDelay, known = 0, c.known
 			f.Step(context.Background())
-			src.err, wait = spanrill.ErrHistoryGone, 30
+			src.err, listDelay = spanrill.ErrHistoryGone, 30
 			f.Step(context.Background())
 			src.err = nil
 			f.Step(context.Background())
