--- a/checked/checked.go
+++ b/checked/checked.go
@@ -28,13 +28,13 @@
 // Schema is a compiled JSON schema for one kind of document.
 type Schema struct {
 	name     string
-	raw      []byte
-	tree     any
+	raw      []byte // source
+	tree     any    // decoded source
 	compiled *jsonschema.Schema
 }
 
-// MustCompile compiles a JSON schema. It panics if the schema is invalid, which the tests of the
-// package that embeds it detect.
+// MustCompile compiles a JSON schema. It panics if the schema is invalid. Packages compile their
+// embedded schemas on initialization, so that their tests detect an invalid one.
 func MustCompile(name string, raw []byte) *Schema {
 	tree, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
@@ -76,8 +76,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Decode validates data against the schema and decodes it into v. File is the name of the document
-// in problems. The error is a Problems if the document is invalid.
+// Decode validates data against the schema and decodes it into v. Problems name the document as
+// file. The error is a Problems if the document is invalid.
 func (s *Schema) Decode(file string, data []byte, v any) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
@@ -92,6 +92,8 @@
 	return nil
 }
 
+// syntaxProblem returns a problem at the position of the syntax error, or at the end of data if
+// that is not known.
 func syntaxProblem(file string, data []byte, err error) Problem {
 	offset := int64(len(data))
 	var syntax *json.SyntaxError
@@ -110,23 +112,26 @@
 	}
 	c := collector{schema: s, file: file, data: data, offsets: valueOffsets(data)}
 	c.collect(invalid)
-	sort.SliceStable(c.problems, func(i, k int) bool {
-		a, b := c.problems[i], c.problems[k]
+	sort.SliceStable(c.problems, func(i, j int) bool {
+		a, b := c.problems[i], c.problems[j]
 		return a.Line < b.Line || a.Line == b.Line && a.Column < b.Column
 	})
 	return c.problems
 }
 
+// collector turns the errors of a validation into problems.
 type collector struct {
 	schema   *Schema
 	file     string
 	data     []byte
-	offsets  map[string]int64
+	offsets  map[string]int64 // of each value in data, by path
 	problems Problems
 }
 
+// printer formats the messages of the schema library.
 var printer = message.NewPrinter(language.English)
 
+// collect adds the problems of e and of its causes.
 func (c *collector) collect(e *jsonschema.ValidationError) {
 	if len(e.Causes) > 0 && !isAlternative(e.ErrorKind) {
 		for _, cause := range e.Causes {
@@ -138,14 +143,14 @@
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
 		for _, name := range k.Properties {
-			c.add(field+"/"+name, "unknown field; allowed here: "+c.allowed(e.SchemaURL))
+			c.add(field+"/"+name, "unknown field; allowed here: "+c.allowedFields(e.SchemaURL))
 		}
 	case *kind.Required:
 		for _, name := range k.Missing {
 			c.add(field, "field "+name+" is missing")
 		}
 	default:
-		c.add(field, e.ErrorKind.LocalizedString(printer)+c.describe(e.SchemaURL))
+		c.add(field, e.ErrorKind.LocalizedString(printer)+c.allowedValues(e.SchemaURL))
 	}
 }
 
@@ -167,8 +172,8 @@
 	c.problems = append(c.problems, Problem{File: c.file, Field: field, Line: line, Column: column, Text: text})
 }
 
-// allowed lists the fields that the schema node at url has.
-func (c *collector) allowed(url string) string {
+// allowedFields lists the fields that the schema node at url has.
+func (c *collector) allowedFields(url string) string {
 	node, _ := c.schemaNode(url).(map[string]any)
 	properties, _ := node["properties"].(map[string]any)
 	names := make([]string, 0, len(properties))
@@ -179,8 +184,9 @@
 	return strings.Join(names, ", ")
 }
 
-// describe returns the description of the schema node at url as the end of a problem's text, or "".
-func (c *collector) describe(url string) string {
+// allowedValues returns the description of the schema node at url, which says what is allowed, as
+// the end of a problem's text. It returns "" if the node has no description.
+func (c *collector) allowedValues(url string) string {
 	node, _ := c.schemaNode(url).(map[string]any)
 	text, _ := node["description"].(string)
 	if text == "" {
--- a/checked/position.go
+++ b/checked/position.go
@@ -17,18 +17,19 @@
 // valueOffsets returns the offset in data at which each value starts, by its path.
 func valueOffsets(data []byte) map[string]int64 {
 	w := walker{dec: json.NewDecoder(bytes.NewReader(data)), data: data, offsets: map[string]int64{}}
-	w.value("")
+	w.readValue("")
 	return w.offsets
 }
 
+// walker records the offset of each value while it reads a document.
 type walker struct {
 	dec     *json.Decoder
 	data    []byte
 	offsets map[string]int64
 }
 
-// value reads one value and records the offsets of it and of the values inside it.
-func (w *walker) value(path string) {
+// readValue reads one value and records the offsets of it and of the values inside it.
+func (w *walker) readValue(path string) {
 	w.offsets[path] = w.nextValueOffset()
 	t, err := w.dec.Token()
 	if err != nil {
@@ -36,27 +37,27 @@
 	}
 	switch t {
 	case json.Delim('{'):
-		w.object(path)
+		w.readObject(path)
 	case json.Delim('['):
-		w.array(path)
+		w.readArray(path)
 	}
 }
 
-func (w *walker) object(path string) {
+func (w *walker) readObject(path string) {
 	for w.dec.More() {
 		name, err := w.dec.Token()
 		if err != nil {
 			return
 		}
 		key, _ := name.(string)
-		w.value(path + "/" + key)
+		w.readValue(path + "/" + key)
 	}
 	_, _ = w.dec.Token()
 }
 
-func (w *walker) array(path string) {
+func (w *walker) readArray(path string) {
 	for i := 0; w.dec.More(); i++ {
-		w.value(path + "/" + strconv.Itoa(i))
+		w.readValue(path + "/" + strconv.Itoa(i))
 	}
 	_, _ = w.dec.Token()
 }
