--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -31,26 +31,27 @@
 	FleetSecret   string   `json:"fleet_secret"`
 	MemoryMB      int      `json:"memory_mb"`   // 0 for no limit
 	Descriptors   int      `json:"descriptors"` // file descriptors allowed to the process, 0 if unknown
-	CPUShare      float64  `json:"cpu_share"`   // of a core that the process gets, 0 if unknown
-	Cores         float64  `json:"cores"`       // speed of that core, relative to one core
+	CPUShare      float64  `json:"cpu_share"`   // share of a core that the process gets, 0 if unknown
+	Cores         float64  `json:"cores"`       // speed of that core, 1 for a reference core
 	Bounds        Bounds   `json:"bounds"`
 	Log           Log      `json:"log"`
 }
 
 // Bounds are the limits that the operator sets for the whole fleet.
 type Bounds struct {
-	Revoke      spanrill.Millis `json:"revoke_ms"`   // time after which no request runs with a withdrawn key
-	Grace       spanrill.Millis `json:"grace_ms"`    // time between the signal to stop and the kill
-	Drain       spanrill.Millis `json:"drain_ms"`    // time after which a leaving upstream gets no new requests
-	RetryRatio  float64         `json:"retry_ratio"` // retries per request
-	RetrySlack  float64         `json:"retry_slack"` // retries per window beyond the ratio, of all daemons
-	RetryWindow spanrill.Millis `json:"retry_window_ms"`
+	Revoke      spanrill.Millis `json:"revoke_ms"`       // time after which no request runs with a withdrawn key
+	Grace       spanrill.Millis `json:"grace_ms"`        // time between the signal to stop and the kill
+	Drain       spanrill.Millis `json:"drain_ms"`        // time after which a leaving upstream gets no new requests
+	RetryRatio  float64         `json:"retry_ratio"`     // retries per request
+	RetrySlack  float64         `json:"retry_slack"`     // retries per window beyond the ratio, over all daemons combined
+	RetryWindow spanrill.Millis `json:"retry_window_ms"` // period over which retries are counted
 }
 
 // DefaultDrain is the shortest time that deployments of the users give an upstream to leave.
 const DefaultDrain = 2 * spanrill.Second
 
-// Power returns the processor capacity of the process in thousandths of a core, or 0 if unknown.
+// Power returns the processor capacity of the process in thousandths of a reference core, or 0 if
+// unknown.
 func (g *Gateway) Power() int { return int(math.Round(1000 * g.CPUShare * g.Cores)) }
 
 // DefaultGateway returns settings with the default of each optional field.
@@ -61,8 +62,7 @@
 	}
 }
 
-// ParseGateway validates and decodes the settings of a gateway. File is the name of their source in
-// errors.
+// ParseGateway validates and decodes the settings of a gateway. Errors name their source as file.
 func ParseGateway(file string, data []byte) (Gateway, error) {
 	s := DefaultGateway()
 	if err := gatewaySchema.Decode(file, data, &s); err != nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -52,14 +52,14 @@
 	Pprof         bool     `json:"pprof"`
 }
 
-// Limits are the limits on what callers may send and receive.
+// Limits are the limits on what callers may send and receive, and on the requests of this daemon.
 type Limits struct {
 	BodyBytes    int             `json:"body_bytes"`
 	HeaderBytes  int             `json:"header_bytes"`
 	StreamTokens int             `json:"stream_tokens"`
-	Queue        int             `json:"queue"`
+	Queue        int             `json:"queue"` // waiting requests
 	QueueWait    spanrill.Millis `json:"queue_wait_ms"`
-	PerSlot      int             `json:"requests_per_slot"`
+	PerSlot      int             `json:"requests_per_slot"` // running at once for each slot of an engine's batch
 }
 
 // Waits are the timeouts for responses of upstreams.
@@ -75,10 +75,10 @@
 	Finish spanrill.Millis `json:"finish_ms"` // running requests may finish
 }
 
-// Observe configures the observation of boxes and upstreams.
+// Observe says how often, and by how many daemons, boxes and upstreams are observed.
 type Observe struct {
-	Boxes     spanrill.Millis `json:"boxes_ms"`
-	Status    spanrill.Millis `json:"status_ms"`
+	Boxes     spanrill.Millis `json:"boxes_ms"`  // interval between reads of the box list
+	Status    spanrill.Millis `json:"status_ms"` // interval between polls of an upstream
 	Observers int             `json:"observers"` // daemons that observe each upstream
 }
 
@@ -115,7 +115,7 @@
 	return s
 }
 
-// Parse validates and decodes settings. File is the name of their source in errors.
+// Parse validates and decodes settings. Errors name their source as file.
 func Parse(file string, data []byte) (Settings, error) {
 	s := Default()
 	if err := settingsSchema.Decode(file, data, &s); err != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -11,6 +11,7 @@
 	"spanrill/checked"
 )
 
+// The example passes validation, and is the same after it is encoded and parsed.
 func TestExampleIsValid(t *testing.T) {
 	data, err := Example().JSON()
 	if err != nil {
@@ -21,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(s, Example()) {
-		t.Fatalf("read back as %+v", s)
+		t.Fatalf("read back as %+v, want the example", s)
 	}
 }
 
@@ -117,8 +118,7 @@
 	}
 }
 
-// FuzzParse parses arbitrary data. Parse must not panic, and must accept its own result again when
-// that is encoded.
+// Parse must not panic on any data, and must accept the encoded form of its own result.
 func FuzzParse(f *testing.F) {
 	example, err := Example().JSON()
 	if err != nil {
@@ -133,12 +133,12 @@
 		if err != nil {
 			return
 		}
-		again, err := s.JSON()
+		encoded, err := s.JSON()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Parse("again.json", again); err != nil {
-			t.Fatalf("accepted %s and then refused %s: %v", data, again, err)
+		if _, err := Parse("again.json", encoded); err != nil {
+			t.Fatalf("accepted %s and then refused its encoded form %s: %v", data, encoded, err)
 		}
 	})
 }
