--- a/meter/meter.go
+++ b/meter/meter.go
@@ -16,7 +16,7 @@
 	"spanrill"
 )
 
-// Retry is the reason for which a request was retried.
+// Retry is the reason for a retry of a request.
 type Retry uint8
 
 // The reasons for a retry.
@@ -33,7 +33,7 @@
 	RetryBadToken
 	// RetryCut means that the stream ended before the answer was complete.
 	RetryCut
-	// RetryWithheld means that nothing was sent because the upstream asks for rest or is leaving.
+	// RetryWithheld means that nothing was sent because the upstream asked for rest or is leaving.
 	RetryWithheld
 	retryCount
 )
@@ -57,7 +57,7 @@
 	set      *metrics.Set
 	refusals map[spanrill.Reason]*metrics.Counter
 	retries  [retryCount]*metrics.Counter
-	outcomes [3]*metrics.Counter
+	outcomes [3]*metrics.Counter // by spanrill.Outcome
 
 	// Requests counts requests of callers.
 	Requests *metrics.Counter
@@ -67,18 +67,18 @@
 	StreamsResumed *metrics.Counter
 	// CallersLeft counts callers that left before their answer was complete.
 	CallersLeft *metrics.Counter
-	// CallerGoneDelay is the time for which work went on for a caller that left: from the last check
-	// at which it was still connected to the end of all work for it, in seconds.
+	// CallerGoneDelay is how long work for a caller continued after it left, in seconds: from the last
+	// check at which it was still connected to the end of all work for it.
 	CallerGoneDelay *metrics.Histogram
 	// RefusedAfterRun counts refusals that state that the request has not run although an upstream
 	// answered that it has. It must stay at zero.
 	RefusedAfterRun *metrics.Counter
-	// UpstreamCrashes counts requests under which an upstream crashed.
+	// UpstreamCrashes counts requests that an upstream was running when it crashed.
 	UpstreamCrashes *metrics.Counter
 	// UpstreamRefusals counts refusals by upstreams, whatever the outcome of the request.
 	UpstreamRefusals *metrics.Counter
 	// ConnectionsClosedAtOnce counts new connections that the other side closed before anything was
-	// sent, because an upstream has more connections than it accepts.
+	// sent, as an upstream does when it has reached its limit of connections.
 	ConnectionsClosedAtOnce *metrics.Counter
 	// FramesRefused counts frames from peers that were refused.
 	FramesRefused *metrics.Counter
@@ -98,7 +98,7 @@
 	QueueWait *metrics.Histogram
 }
 
-// New returns metrics without any values.
+// New returns metrics that have not counted anything yet.
 func New() *Meters {
 	s := metrics.NewSet()
 	m := &Meters{
@@ -152,10 +152,10 @@
 // CountOutcome counts the end of a request by its outcome.
 func (m *Meters) CountOutcome(o spanrill.Outcome) { m.outcomes[o].Inc() }
 
-// Gauge registers a gauge. Each call of Write calls f for its value.
+// Gauge registers a gauge with that name. Each Write calls f for its value.
 func (m *Meters) Gauge(name string, f func() float64) { m.set.NewGauge(name, f) }
 
-// Write writes all metrics, and those of the process, in the Prometheus text format.
+// Write writes the metrics of the daemon and of its process in the Prometheus text format.
 func (m *Meters) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
