--- a/events/events.go
+++ b/events/events.go
@@ -26,7 +26,7 @@
 // Text returns the event's message.
 func (e Event) Text() string { return e.text }
 
-// Log writes the event with the given fields.
+// Log writes the event with the given fields if its level is enabled.
 func (e Event) Log(log logrus.FieldLogger, fields logrus.Fields) {
 	entry := log.WithField("event", e.number)
 	if entry.Logger.IsLevelEnabled(e.level) {
@@ -34,15 +34,17 @@
 	}
 }
 
+// catalogue holds all defined events.
 var catalogue []Event
 
+// define returns a new event and adds it to the catalogue.
 func define(number int, level logrus.Level, text string) Event {
 	e := Event{number: number, level: level, text: text}
 	catalogue = append(catalogue, e)
 	return e
 }
 
-// All returns all events in the order in which they are defined below.
+// All returns all events in the order of their definition.
 func All() []Event { return append([]Event(nil), catalogue...) }
 
 // The process, 100 to 199.
--- a/events/limiter.go
+++ b/events/limiter.go
@@ -8,15 +8,15 @@
 	"spanrill"
 )
 
-// Limiter limits the rate of log lines of one sort with a token bucket. Lines beyond the limit are
-// skipped, and their number is logged with the next line as skipped_before.
+// Limiter limits the rate of one kind of log line with a token bucket. Lines beyond the limit are
+// skipped, and the next line that is written has their number in the field skipped_before.
 type Limiter struct {
 	mu             sync.Mutex
 	clock          spanrill.Clock
 	linesPerSecond float64
-	available      float64
+	available      float64 // lines that may be written now
 	refilledAt     spanrill.Millis
-	skipped        int
+	skipped        int // since the last written line
 }
 
 // NewLimiter returns a limiter that allows the given number of lines per second.
@@ -37,6 +37,7 @@
 	e.Log(log, f)
 }
 
+// take reports whether a line may be written now, and if so how many were skipped before it.
 func (l *Limiter) take() (skipped int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/events/writer.go
+++ b/events/writer.go
@@ -26,7 +26,7 @@
 	return l
 }
 
-// Write queues one line, or drops it.
+// Write queues one line, or drops it if the queue is full. It never returns an error.
 func (l *Writer) Write(line []byte) (int, error) {
 	select {
 	case l.queue <- append([]byte(nil), line...):
@@ -42,8 +42,8 @@
 // ErrLinesPending means that Close stopped waiting while lines were still queued.
 var ErrLinesPending = errors.New("log lines were not written in time")
 
-// Close waits until the queued lines are written or until limit fires, in which case it returns
-// ErrLinesPending.
+// Close waits until the queued lines are written. If limit delivers or is closed before that, it
+// returns ErrLinesPending.
 func (l *Writer) Close(limit <-chan struct{}) error {
 	close(l.closing)
 	select {
--- a/events/writer_test.go
+++ b/events/writer_test.go
@@ -59,7 +59,7 @@
 	}
 	_ = w.Close()
 	if got := <-read; got != "one\ntwo\nthree\n" {
-		t.Fatalf("read %q", got)
+		t.Fatalf("read %q, want the lines one, two and three", got)
 	}
 }
 
@@ -80,6 +80,6 @@
 		}
 	}
 	if written > 60 || written < 40 || skipped < 400 {
-		t.Fatalf("of 500 lines %d written and %d reported as skipped", written, skipped)
+		t.Fatalf("of 500 lines %d written and %d reported as skipped, want 40 to 60 and at least 400", written, skipped)
 	}
 }
