--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,8 +1,8 @@
 // Package clock implements the clocks of spanrill.
 //
-// System reads the clocks of the operating system. Its elapsed time includes the time for which
-// the machine was suspended, which CLOCK_MONOTONIC on Linux leaves out: a lease, a deadline
-// or a proof that the configuration is current may expire during a suspend. Manual advances only
+// System reads the clocks of the operating system. Its elapsed time includes the time for which the
+// machine was suspended, unlike CLOCK_MONOTONIC on Linux, since a lease, a deadline or a
+// confirmation that the configuration is current may expire during a suspend. Manual advances only
 // when a test calls Advance, so that no test waits for real time to pass.
 //
 // # Usage
@@ -32,11 +32,11 @@
 
 // WithBootTime sets the function that returns the time since the machine booted, including the
 // time for which it was suspended.
-func WithBootTime(boot func() time.Duration) SystemOption {
-	return func(s *System) { s.sinceBoot = boot }
+func WithBootTime(sinceBoot func() time.Duration) SystemOption {
+	return func(s *System) { s.sinceBoot = sinceBoot }
 }
 
-// NewSystem returns a clock whose zero point is now.
+// NewSystem returns a clock whose Now counts from this call.
 func NewSystem(opts ...SystemOption) *System {
 	s := &System{sinceBoot: bootTime}
 	for _, o := range opts {
@@ -66,9 +66,9 @@
 	return spanrill.Millis(time.Now().UnixMilli())
 }
 
-// After returns a channel that receives Now once d has passed. Its timer does not advance while
-// the machine is suspended and then fires that much later, so a caller reads Now again when the
-// channel delivers.
+// After returns a channel that receives Now once d has passed. Its timer stands still while the
+// machine is suspended, and so fires later by that time. Callers must therefore read Now when the
+// channel delivers, instead of assuming that only d has passed.
 func (s *System) After(d spanrill.Millis) <-chan spanrill.Millis {
 	fired := make(chan spanrill.Millis, 1)
 	time.AfterFunc(d.Duration(), func() { fired <- s.Now() })
--- a/clock/manual.go
+++ b/clock/manual.go
@@ -16,7 +16,7 @@
 
 // timer is a pending call of After.
 type timer struct {
-	at    spanrill.Millis
+	due   spanrill.Millis
 	fired chan spanrill.Millis
 }
 
@@ -40,8 +40,8 @@
 // Unix returns Now plus a fixed epoch.
 func (m *Manual) Unix() spanrill.Millis { return manualEpoch + m.Now() }
 
-// After returns a channel that receives Now once the clock was advanced by d, or at once if d is
-// not positive.
+// After returns a channel that receives Now once the clock has been advanced by d, or at once if d
+// is not positive.
 func (m *Manual) After(d spanrill.Millis) <-chan spanrill.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,19 +50,19 @@
 		fired <- m.now
 		return fired
 	}
-	m.timers = append(m.timers, timer{at: m.now + d, fired: fired})
+	m.timers = append(m.timers, timer{due: m.now + d, fired: fired})
 	m.timerAdded.Broadcast()
 	return fired
 }
 
-// Advance moves the clock forward by d and fires the timers that are due.
+// Advance moves the clock forward by d and fires all timers that are due by then.
 func (m *Manual) Advance(d spanrill.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now += d
 	pending := m.timers[:0]
 	for _, t := range m.timers {
-		if t.at > m.now {
+		if t.due > m.now {
 			pending = append(pending, t)
 			continue
 		}
