--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,4 +1,5 @@
-// Package pool keeps idle values, such as connections, for reuse. Each key has its own stack.
+// Package pool keeps idle values, such as connections, for reuse. Each key has its own stack, so
+// that the value used last is reused first.
 //
 // # Usage
 //
@@ -17,8 +18,8 @@
 // Pool keeps idle values. It is safe for concurrent use.
 type Pool[K comparable, V any] struct {
 	mu       sync.Mutex
-	idle     map[K][]idleValue[V]
-	byAge    *list.List // one key for each idle value, oldest first
+	idle     map[K][]idleValue[V] // oldest first
+	byAge    *list.List           // one key for each idle value, oldest first
 	maxIdle  func(K) int
 	maxTotal int // over all keys; 0 for no limit
 	discard  func(V)
@@ -39,8 +40,8 @@
 	return func(p *Pool[K, V]) { p.maxIdle = func(K) int { return n } }
 }
 
-// WithMaxIdleFunc sets a function that returns how many values are kept for a key. It is called
-// by each Put.
+// WithMaxIdleFunc sets a function that returns how many values are kept for a key. Each Put calls
+// it.
 func WithMaxIdleFunc[K comparable, V any](n func(K) int) Option[K, V] {
 	return func(p *Pool[K, V]) { p.maxIdle = n }
 }
@@ -56,7 +57,7 @@
 	return func(p *Pool[K, V]) { p.discard = f }
 }
 
-const defaultMaxIdle = 64
+const defaultMaxIdle = 64 // values for each key
 
 // New returns an empty pool.
 func New[K comparable, V any](opts ...Option[K, V]) *Pool[K, V] {
@@ -83,7 +84,8 @@
 	return v, true
 }
 
-// Put keeps a value for the next Get. If this exceeds a limit, the oldest values are discarded.
+// Put keeps a value for a later Get. If this exceeds a limit, the oldest values are discarded,
+// which may include v.
 func (p *Pool[K, V]) Put(key K, v V) {
 	for _, evicted := range p.add(key, v, p.maxIdle(key)) {
 		p.discard(evicted)
@@ -146,8 +148,8 @@
 	p.byAge.Init()
 	p.mu.Unlock()
 	for _, stack := range idle {
-		for _, k := range stack {
-			p.discard(k.value)
+		for _, entry := range stack {
+			p.discard(entry.value)
 		}
 	}
 }
