--- a/ring/ring.go
+++ b/ring/ring.go
@@ -17,7 +17,7 @@
 	full   bool
 }
 
-// New returns a ring that keeps the newest n values.
+// New returns a ring that keeps the newest n values. It must hold at least one.
 func New[V any](n int) *Ring[V] {
 	return &Ring[V]{values: make([]V, n)}
 }
