--- a/rng/rng.go
+++ b/rng/rng.go
@@ -1,5 +1,5 @@
-// Package rng provides a random source that goroutines share without a lock. It
-// returns the same sequence for the same seed and the same order of calls.
+// Package rng provides a random source that goroutines share without a lock. It returns the same
+// sequence for the same seed and the same order of calls.
 //
 // # Usage
 //
@@ -12,9 +12,8 @@
 	"sync/atomic"
 )
 
-// Source is a SplitMix64 generator whose state is one atomic counter
-// (Steele, Lea and Flood, "Fast splittable pseudorandom number generators",
-// 2014).
+// Source is a SplitMix64 generator whose state is one atomic counter (Steele, Lea and Flood, "Fast
+// splittable pseudorandom number generators", 2014).
 type Source struct {
 	state atomic.Uint64
 }
