--- a/task/task.go
+++ b/task/task.go
@@ -25,7 +25,7 @@
 	err  error
 }
 
-// Start runs f in a new goroutine. The name is a prefix of the error that f returns.
+// Start runs f in a new goroutine. Errors of the task contain its name.
 func Start(ctx context.Context, name string, f func(context.Context) error) *Task {
 	t := &Task{name: name, done: make(chan struct{})}
 	go t.run(ctx, f)
@@ -45,16 +45,15 @@
 // Done returns a channel that is closed when the goroutine has ended.
 func (t *Task) Done() <-chan struct{} { return t.done }
 
-// Err waits for the end of the goroutine and returns its error. It is nil if the
-// context had ended by then.
+// Err waits for the end of the goroutine and returns its error. It is nil if the context had ended
+// by then.
 func (t *Task) Err() error {
 	<-t.done
 	return t.err
 }
 
-// Group owns several tasks. Its zero value is ready to use. It keeps no
-// reference to a task that has ended, so that a long-lived owner can start any
-// number.
+// Group waits for any number of tasks and keeps their first error. Its zero value is ready to use.
+// It keeps no reference to a task that has ended, so that a long-lived owner can start any number.
 type Group struct {
 	running  sync.WaitGroup
 	mu       sync.Mutex
