--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -393,13 +393,13 @@
 	t.Cleanup(func() { cancel(); c.Advance(spanrill.Minute); running.Wait() })
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	var all []*Follower
+	var followers []*Follower
 	for range daemons {
 		f := NewFollower(h.store(), WithClock(c), WithLogger(log))
-		all = append(all, f)
+		followers = append(followers, f)
 		running.Go(func() { _ = f.Run(ctx) })
 	}
-	for _, f := range all {
+	for _, f := range followers {
 		h.waitForRevision(f, 1)
 	}
 	h.platform.SetFaults(platform.Faults{Down: true})
@@ -415,7 +415,7 @@
 	if n := calls.Reads + calls.Watches - before.Reads - before.Watches; n > seconds*daemons/4 {
 		t.Errorf("%d calls in %d seconds of outage, want at most one in 4 s for each daemon", n, seconds)
 	}
-	for _, f := range all {
+	for _, f := range followers {
 		if f.Revision() != 1 {
 			t.Fatal("revision 1 is no longer in force after the outage")
 		}
@@ -424,7 +424,7 @@
 	edit := h.commit(map[Name]json.RawMessage{account(1): accountDoc(account(1), "keeper")})
 	before = h.platform.Calls()
 	c.Advance(maxBackoff)
-	for _, f := range all {
+	for _, f := range followers {
 		h.waitForRevision(f, edit.Revision)
 	}
 	calls = h.platform.Calls()
