--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -27,8 +27,8 @@
 	ID             string
 	Zone           string
 	Layers         spanrill.LayerRange
-	ReservedTokens int64   // of holders of the same layers, the most used one is a part and the others are spares
-	Pace           float64 // time factor of its kind, lower is faster; of series that cover as much, the fastest becomes the chain
+	ReservedTokens int64   // tokens reserved by running requests; of holders of the same layers, the one with the most becomes a part
+	Pace           float64 // time factor of the engine's kind, lower is faster; of series that cover as much, the fastest becomes the chain
 }
 
 // Chain is a series of holders in the order of their layers.
