--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -155,7 +155,7 @@
 	return nil
 }
 
-func retryReason(attemptOutcome spanrill.Outcome) meter.Retry {
+func retryReason(attemptOutcome spanrill.Outcome) meter.RetryReason {
 	if attemptOutcome == spanrill.OutcomeNotRun {
 		return meter.RetryDial
 	}
--- a/coordination/pipeline/failure.go
+++ b/coordination/pipeline/failure.go
@@ -18,7 +18,7 @@
 // failure describes a failed attempt.
 type failure struct {
 	cause  error
-	reason meter.Retry
+	reason meter.RetryReason
 	stage  *load.Upstream // the stage that failed, or nil if it is not known
 	chain  []*load.Upstream
 }
--- a/coordination/relay/attempts.go
+++ b/coordination/relay/attempts.go
@@ -14,7 +14,7 @@
 // have run.
 type sendError struct {
 	outcome       spanrill.Outcome
-	retryReason   meter.Retry // why the request is sent again, if it is
+	retryReason   meter.RetryReason // why the request is sent again, if it is
 	cause         error
 	engineAtFault *fleet.Upstream // engine that refused, or nil
 	misdirected   bool            // the engine does not hold the layers that its entry lists
--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -55,7 +55,7 @@
 	sends             int  // attempts that reached an upstream, including this one
 	sentAt            spanrill.Millis
 	earlierMayHaveRun bool        // an earlier attempt may have run
-	retryReason       meter.Retry // why the request is sent again, if it is
+	retryReason       meter.RetryReason // why the request is sent again, if it is
 	err               error
 }
 
--- a/coordination/relay/start.go
+++ b/coordination/relay/start.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	if s.firstHeldAt.CompareAndSwap(noneHeld, int64(s.clock.Now())) {
-		events.CallersHeld.Log(log, nil)
+		events.RequestsHeld.Log(log, nil)
 	}
 	timeout := s.clock.After(maxHold)
 	for _, known := range s.ready {
--- a/coordination/relay/stream.go
+++ b/coordination/relay/stream.go
@@ -176,7 +176,7 @@
 }
 
 // retryReasonOf returns the metric label for the cause of a continuation.
-func retryReasonOf(cause error) meter.Retry {
+func retryReasonOf(cause error) meter.RetryReason {
 	switch {
 	case errors.Is(cause, errFirstEngineDead), errors.Is(cause, errStageDead), errors.Is(cause, errMovesFailed):
 		return meter.RetryStageLost
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -80,7 +80,7 @@
 		return false // those first in rank did not take the lease when it was free
 	}
 	first := g.peers.list.Ranked("placement")[0]
-	return membership.PowerClass(first) > membership.PowerClass(peermsg.Member{MilliCores: g.settings.Power()})
+	return membership.PowerClass(first) > membership.PowerClass(peermsg.Member{MilliCores: g.settings.MilliCores()})
 }
 
 // unrankedContendDelay is how long the lease is free before daemons without a rank try to take
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -163,7 +163,7 @@
 		g.settings.CPUShare, g.settings.Cores = f.power(i), 1
 	}
 	self := peermsg.Member{Name: name + "/1", PeerAddr: name, // the name differs after each start
-		Zone: g.settings.Zone, MilliCores: g.settings.Power()}
+		Zone: g.settings.Zone, MilliCores: g.settings.MilliCores()}
 	list := membership.New(self, d, d.send, membership.WithLogger(log), membership.WithRandom(g.random), membership.WithRound(memberRound))
 	g.peers = &peers{gateway: g, name: self.Name, list: list}
 	var seeds []spanrill.Box
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -16,13 +16,13 @@
 	"spanrill"
 )
 
-// Retry is the reason for a retry of a request.
-type Retry uint8
+// RetryReason is the reason for a retry of a request.
+type RetryReason uint8
 
 // The reasons for a retry.
 const (
 	// RetryRefused means that a stage refused the request before it did any work.
-	RetryRefused Retry = iota
+	RetryRefused RetryReason = iota
 	// RetryDial means that no connection to an upstream could be opened.
 	RetryDial
 	// RetryStageLost means that a stage failed while the chain was running.
@@ -41,11 +41,11 @@
 var retryNames = [retryCount]string{"refused", "dial", "stage_lost", "stalled", "bad_token", "cut", "withheld"}
 
 // String returns the value of the label in metrics.
-func (r Retry) String() string { return retryNames[r] }
+func (r RetryReason) String() string { return retryNames[r] }
 
 // RetryReasons returns all reasons for a retry.
-func RetryReasons() []Retry {
-	all := make([]Retry, retryCount)
+func RetryReasons() []RetryReason {
+	all := make([]RetryReason, retryCount)
 	for r := range retryCount {
 		all[r] = r
 	}
@@ -144,10 +144,10 @@
 func (m *Meters) Refusals(r spanrill.Reason) uint64 { return m.refusals[r].Get() }
 
 // CountRetry counts a retry by its reason.
-func (m *Meters) CountRetry(r Retry) { m.retries[r].Inc() }
+func (m *Meters) CountRetry(r RetryReason) { m.retries[r].Inc() }
 
 // Retries returns the number of retries for the reason.
-func (m *Meters) Retries(r Retry) uint64 { return m.retries[r].Get() }
+func (m *Meters) Retries(r RetryReason) uint64 { return m.retries[r].Get() }
 
 // CountOutcome counts the end of a request by its outcome.
 func (m *Meters) CountOutcome(o spanrill.Outcome) { m.outcomes[o].Inc() }
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -50,9 +50,9 @@
 // DefaultDrain is the shortest time that deployments of the users give an upstream to leave.
 const DefaultDrain = 2 * spanrill.Second
 
-// Power returns the processor capacity of the process in thousandths of a reference core, or 0 if
+// MilliCores returns the processor capacity of the process in thousandths of a reference core, or 0 if
 // unknown.
-func (g *Gateway) Power() int { return int(math.Round(1000 * g.CPUShare * g.Cores)) }
+func (g *Gateway) MilliCores() int { return int(math.Round(1000 * g.CPUShare * g.Cores)) }
 
 // DefaultGateway returns settings with the default of each optional field.
 func DefaultGateway() Gateway {
