--- a/coordination/relay/plain.go
+++ b/coordination/relay/plain.go
@@ -54,7 +54,7 @@
 	reached           bool // bytes may have been sent
 	sends             int  // attempts that reached an upstream, including this one
 	sentAt            spanrill.Millis
-	earlierMayHaveRun bool        // an earlier attempt may have run
+	earlierMayHaveRun bool              // an earlier attempt may have run
 	retryReason       meter.RetryReason // why the request is sent again, if it is
 	err               error
 }
--- a/events/events.go
+++ b/events/events.go
@@ -58,7 +58,7 @@
 	SettingsReloaded    = define(106, logrus.InfoLevel, "settings file checked, running settings unchanged")
 	AcceptFailed        = define(107, logrus.WarnLevel, "cannot accept new connections from callers")
 	AcceptRecovered     = define(108, logrus.InfoLevel, "accepting new connections from callers")
-	RequestsHeld         = define(109, logrus.InfoLevel, "holding requests until configuration and upstreams are known")
+	RequestsHeld        = define(109, logrus.InfoLevel, "holding requests until configuration and upstreams are known")
 )
 
 // Configuration, 200 to 299.
