--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"testing/synctest"
 
 	"spanrill"
 	"spanrill/coordination/exchange"
@@ -119,16 +120,18 @@
 	for _, sc := range drainScenarios() {
 		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
-			f := newDrainFleet(simDaemons, simZones, sc)
-			last, rank := f.run(t)
-			t.Logf("last request %d ms after the engine left, with entries of at most %d ms; oldest entries %d ms; %d store calls, %d requests to peers",
-				last, f.maxSendAge, f.maxEntryAge(), f.calls, f.requests.Load())
-			if last+dialTimeout > sc.drain {
-				t.Fatalf("rank %d sends a request %d ms after the store has acknowledged that the engine leaves", rank, last)
-			}
-			if f.maxSendAge+dialTimeout > sc.drain && !sc.uninformed {
-				t.Fatalf("a daemon sends requests with entries that are %d ms old", f.maxSendAge)
-			}
+			synctest.Test(t, func(t *testing.T) {
+				f := newDrainFleet(simDaemons, simZones, sc)
+				last, rank := f.run(t)
+				t.Logf("last request %d ms after the engine left, with entries of at most %d ms; oldest entries %d ms; %d store calls, %d requests to peers",
+					last, f.maxSendAge, f.maxEntryAge(), f.calls, f.requests.Load())
+				if last+dialTimeout > sc.drain {
+					t.Fatalf("rank %d sends a request %d ms after the store has acknowledged that the engine leaves", rank, last)
+				}
+				if f.maxSendAge+dialTimeout > sc.drain && !sc.uninformed {
+					t.Fatalf("a daemon sends requests with entries that are %d ms old", f.maxSendAge)
+				}
+			})
 		})
 	}
 }
@@ -146,14 +149,16 @@
 		return simCallTime, nil
 	}
 	sc.restoredAt = storeReturn + rewriteDelay
-	f := newDrainFleet(simDaemons, simZones, sc)
-	f.end = storeReturn + 5*spanrill.Second
-	for now := simStart; now < f.end; now += simStep {
-		f.advance(now)
-		for _, d := range f.daemons {
-			if now > simStart+3*spanrill.Second && (!d.sends(simStaying) || !d.sends(simRemoved)) {
-				t.Fatalf("rank %d sends no requests %d ms after the store is available again", d.rank, now-storeReturn)
+	synctest.Test(t, func(t *testing.T) {
+		f := newDrainFleet(simDaemons, simZones, sc)
+		f.end = storeReturn + 5*spanrill.Second
+		for now := simStart; now < f.end; now += simStep {
+			f.advance(now)
+			for _, d := range f.daemons {
+				if now > simStart+3*spanrill.Second && (!d.sends(simStaying) || !d.sends(simRemoved)) {
+					t.Fatalf("rank %d sends no requests %d ms after the store is available again", d.rank, now-storeReturn)
+				}
 			}
 		}
-	}
+	})
 }
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -27,7 +27,10 @@
 )
 
 // drainFleet simulates a fleet of daemons that read a store and poll one another as gateways do,
-// on a clock that the test advances.
+// on a clock that the test advances. It is created and run inside synctest.Test: there the real
+// time limit of an exchange round passes only when no goroutine can continue, so that no request
+// outlives the round that sent it. On a busy machine such a request would change a daemon between
+// two reads of a check, or see the clock lag of another daemon.
 type drainFleet struct {
 	now        atomic.Int64
 	daemons    []*drainDaemon // in the order of their ranks
