--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -39,7 +39,7 @@
 	table.Report("e", spanrill.UpstreamStatus{
 		Model: "advice", Version: "1", Layers: spanrill.LayerRange{To: 4}, Slots: 1, StepMicros: 1000,
 	}, 0)
-	return New(c, table, append([]Option{WithPerSlot(1)}, opts...)...)
+	return New(c, table, append([]Option{WithRequestsPerSlot(1)}, opts...)...)
 }
 
 func admit(g *Gate, s *config.Snapshot, account string) (func(int), *spanrill.Refusal) {
@@ -59,11 +59,11 @@
 	}
 	_, refusal := admit(g, s, "a")
 	if refusal == nil || refusal.Reason() != spanrill.ReasonAccountRate || refusal.Outcome() != spanrill.OutcomeNotRun {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v, want ReasonAccountRate with outcome not-run", refusal)
 	}
 	c.Advance(refusal.RetryAfter())
 	if _, refusal := admit(g, s, "a"); refusal != nil {
-		t.Fatalf("after the Retry-After time: %v", refusal)
+		t.Fatalf("refused after the Retry-After time: %v", refusal)
 	}
 }
 
@@ -77,7 +77,7 @@
 	release(50)
 	_, refusal = admit(g, s, "a")
 	if refusal == nil || refusal.Reason() != spanrill.ReasonAccountTokens {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v, want ReasonAccountTokens", refusal)
 	}
 	if want := 3 * spanrill.Second; refusal.RetryAfter() != want {
 		t.Fatalf("retry after %d ms, want %d", refusal.RetryAfter(), want)
@@ -85,14 +85,14 @@
 }
 
 func TestInFlightLimit(t *testing.T) {
-	g, s := newGate(clock.NewManual(), WithPerSlot(10)), snapshot(t, `{"in_flight":2}`, "a")
+	g, s := newGate(clock.NewManual(), WithRequestsPerSlot(10)), snapshot(t, `{"in_flight":2}`, "a")
 	for range 2 {
 		if _, refusal := admit(g, s, "a"); refusal != nil {
 			t.Fatal(refusal)
 		}
 	}
 	if _, refusal := admit(g, s, "a"); refusal == nil || refusal.Reason() != spanrill.ReasonAccountInFlight {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v of the third request, want ReasonAccountInFlight", refusal)
 	}
 }
 
@@ -131,7 +131,7 @@
 	t.Helper()
 	q := newQueue(c, func() int { return 1 })
 	if w, refusal := q.join("first", 1, 100, spanrill.Minute); w != nil || refusal != nil {
-		t.Fatal("the first request must start at once")
+		t.Fatal("the first request did not start at once")
 	}
 	return q
 }
@@ -226,10 +226,10 @@
 	}
 	_, refusal := q.join("x", 1, 100, spanrill.Second)
 	if refusal == nil || refusal.Reason() != spanrill.ReasonQueueDeadline || refusal.RetryAfter() < minRetryAfter {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v of a request whose expected wait is too long, want ReasonQueueDeadline and a retry time of at least minRetryAfter", refusal)
 	}
 	if _, refusal := q.join("x", 1, 2, spanrill.Minute); refusal == nil || refusal.Reason() != spanrill.ReasonQueueFull {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v of a request to a full queue, want ReasonQueueFull", refusal)
 	}
 }
 
@@ -247,6 +247,6 @@
 	c.AwaitTimers(1)
 	c.Advance(2 * spanrill.Second)
 	if refusal := <-refused; refusal == nil || refusal.Reason() != spanrill.ReasonQueueDeadline {
-		t.Fatalf("got %v", refusal)
+		t.Fatalf("refusal %v after the maximum wait, want ReasonQueueDeadline", refusal)
 	}
 }
