--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -144,8 +144,8 @@
 	if err := c.messenger.Ask(ctx, addr, uint8(peermsg.KindClaim), msg, &reply); err != nil {
 		return false, record.Record{}, fmt.Errorf("ask owner of slot: %w", err)
 	}
-	if reply.Failed != "" {
-		return false, record.Record{}, errors.Wrap(spanrill.ErrUnavailable, reply.Failed)
+	if reply.Failure != "" {
+		return false, record.Record{}, errors.Wrap(spanrill.ErrUnavailable, reply.Failure)
 	}
 	var first record.Record
 	if err := json.Unmarshal(reply.Record, &first); err != nil {
@@ -217,17 +217,17 @@
 func (c *Claims) HandleClaim(ctx context.Context, m *peermsg.Claim) *peermsg.ClaimReply {
 	var r record.Record
 	if err := json.Unmarshal(m.Record, &r); err != nil {
-		return &peermsg.ClaimReply{Failed: err.Error()}
+		return &peermsg.ClaimReply{Failure: err.Error()}
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
 	granted, first, err := c.keeper.Claim(ctx, m.Slot, r)
 	if err != nil {
-		return &peermsg.ClaimReply{Failed: err.Error()}
+		return &peermsg.ClaimReply{Failure: err.Error()}
 	}
 	value, err := json.Marshal(first)
 	if err != nil {
-		return &peermsg.ClaimReply{Failed: err.Error()}
+		return &peermsg.ClaimReply{Failure: err.Error()}
 	}
 	return &peermsg.ClaimReply{Granted: granted, Record: value}
 }
