--- a/protocol/peermsg/messages.go
+++ b/protocol/peermsg/messages.go
@@ -145,7 +145,7 @@
 type ClaimReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Granted  bool
-	Failure   string // why the owner could not decide, or ""
+	Failure  string // why the owner could not decide, or ""
 	Record   []byte // the claim record that holds the key, in JSON
 }
 
