--- a/soak/bounds.go
+++ b/soak/bounds.go
@@ -16,22 +16,24 @@
 )
 
 const (
-	// inTransitTime is how long after an answer with a rest requests that were already sent may
-	// still arrive. From then on, one daemon may send maxRequestsInRest requests until the rest
-	// ends.
+	// inTransitTime allows for requests that were already sent when an upstream asked for a rest, that
+	// is, asked to receive no requests for some time: those that arrive within inTransitTime of that
+	// answer are not counted. From then until the end of the rest, one daemon may send
+	// maxRequestsInRest requests.
 	inTransitTime     = 500 * time.Millisecond
 	maxRequestsInRest = 2
-	// drainTime is the setting drain_ms of the daemons: how long after a daemon has passed on that
-	// an upstream leaves it may still route requests there.
+	// drainTime is the setting drain_ms of the daemons. A daemon that has passed on an upstream's
+	// announcement that it leaves may still route requests to that upstream for this long.
 	drainTime = 2 * time.Second
 	// retryRatio, retrySlack and retryWindow are the settings of the daemons' retry budget.
 	retryRatio  = 0.2
 	retrySlack  = 200
 	retryWindow = 10 * time.Second
 	// limitEnforceDelay is the time from the first answer with a limit until the limit is enforced.
-	// Daemons that were disturbed during a window or this long before it are not counted.
+	// Requests from daemons that were disturbed during a window, or up to this long before it, are
+	// not counted.
 	limitEnforceDelay = 3 * time.Second
-	// limitWindow is the window of platformtest.LimitCheck.
+	// limitWindow is the length of the window over which platformtest.LimitCheck counts requests.
 	limitWindow = 4 * time.Second
 )
 
@@ -39,9 +41,9 @@
 type traffic struct {
 	arrivals []platformtest.Arrival
 	requests map[string]callRecord // by request ID
-	// isExcused reports whether, between two times, a daemon was frozen or restarted or an upstream
-	// was cut off.
-	isExcused func(daemon *process, upstream string, from, to time.Time) bool
+	// isExempt reports whether the rules do not apply to a daemon and an upstream between two times,
+	// because the daemon was frozen or restarted or the upstream was cut off.
+	isExempt func(daemon *process, upstream string, from, to time.Time) bool
 }
 
 // boundViolation is a violated bound and the request that shows it.
@@ -61,8 +63,8 @@
 func (t *traffic) arrivalsByPair() map[daemonUpstream][]platformtest.Arrival {
 	arrivals := map[daemonUpstream][]platformtest.Arrival{}
 	for _, a := range t.arrivals {
-		if s, ok := t.requests[a.ID]; ok {
-			pair := daemonUpstream{daemon: s.daemon, upstream: a.Upstream}
+		if call, ok := t.requests[a.ID]; ok {
+			pair := daemonUpstream{daemon: call.daemon, upstream: a.Upstream}
 			arrivals[pair] = append(arrivals[pair], a)
 		}
 	}
@@ -75,7 +77,7 @@
 	for pair, arrivals := range t.arrivalsByPair() {
 		for _, arrival := range arrivals {
 			from, to := arrival.Answered.Add(inTransitTime), arrival.Answered.Add(arrival.Rest)
-			if arrival.Rest == 0 || t.isExcused(pair.daemon, pair.upstream, arrival.Answered, to) {
+			if arrival.Rest == 0 || t.isExempt(pair.daemon, pair.upstream, arrival.Answered, to) {
 				continue
 			}
 			within := arrivalsBetween(arrivals, from, to)
@@ -88,7 +90,7 @@
 	return found
 }
 
-// arrivalsBetween returns the arrivals between two times.
+// arrivalsBetween returns the arrivals after from and before to.
 func arrivalsBetween(arrivals []platformtest.Arrival, from, to time.Time) (within []platformtest.Arrival) {
 	for _, a := range arrivals {
 		if a.At.After(from) && a.At.Before(to) {
@@ -98,8 +100,8 @@
 	return within
 }
 
-// leavingViolations returns the requests that a daemon sent to a leaving upstream although the
-// caller sent them more than drainTime after the daemon had passed on that the upstream leaves.
+// leavingViolations returns the requests that a daemon routed to a leaving upstream although callers
+// sent them more than drainTime after the daemon had passed on the upstream's announcement.
 func (t *traffic) leavingViolations() (found []boundViolation) {
 	for pair, arrivals := range t.arrivalsByPair() {
 		announced := t.firstLeavingAnswer(arrivals)
@@ -107,30 +109,30 @@
 			continue
 		}
 		for _, a := range arrivals {
-			s := t.requests[a.ID]
-			if s.sent.After(announced.Add(drainTime)) && !t.isExcused(pair.daemon, pair.upstream, announced, a.At) {
-				found = append(found, boundViolation{s, fmt.Sprintf("%s had announced %v before that it leaves", pair.upstream, s.sent.Sub(announced).Round(time.Millisecond))})
+			call := t.requests[a.ID]
+			if call.sent.After(announced.Add(drainTime)) && !t.isExempt(pair.daemon, pair.upstream, announced, a.At) {
+				found = append(found, boundViolation{call, fmt.Sprintf("%s had announced that it leaves %v before the caller sent the request", pair.upstream, call.sent.Sub(announced).Round(time.Millisecond))})
 			}
 		}
 	}
 	return found
 }
 
-// firstLeavingAnswer returns the time at which a caller first had a complete answer that announces
-// that the upstream leaves, or the zero time.
+// firstLeavingAnswer returns the earliest time at which a caller had received a complete answer that
+// announces that the upstream leaves, or the zero time if there is none.
 func (t *traffic) firstLeavingAnswer(arrivals []platformtest.Arrival) (first time.Time) {
 	for _, a := range arrivals {
-		s := t.requests[a.ID]
-		if at := s.sent.Add(s.reply.Elapsed); a.Leaving && s.reply.Signed && s.reply.Err == nil && (first.IsZero() || at.Before(first)) {
-			first = at
+		call := t.requests[a.ID]
+		if received := call.sent.Add(call.reply.Elapsed); a.Leaving && call.reply.Signed && call.reply.Err == nil && (first.IsZero() || received.Before(first)) {
+			first = received
 		}
 	}
 	return first
 }
 
 // retryBudgetViolations returns, for each service, the first window in which it received more
-// retries than all daemons together may send. The budget counts the requests of that window, of the
-// one half a window earlier or of the one a window earlier, whichever has the most.
+// retries than the retry budget of all daemons together allows: retryRatio retries for each of the
+// requests that highestRequestCount returns, plus retrySlack.
 func (t *traffic) retryBudgetViolations() (found []boundViolation) {
 	retriesOf, sendTimes := t.retriesByService(), t.sendTimesByService()
 	for service, retries := range retriesOf {
@@ -139,9 +141,9 @@
 			for n < len(retries)-i && retries[i+n].At.Before(first.At.Add(retryWindow)) {
 				n++
 			}
-			limit := retryRatio*float64(maxRequestsInWindow(sendTimes[service], first.At)) + retrySlack
+			limit := retryRatio*float64(highestRequestCount(sendTimes[service], first.At)) + retrySlack
 			if float64(n) > limit {
-				found = append(found, boundViolation{t.requests[first.ID], fmt.Sprintf("%s received %d retries in the %v from this request, allowed are %.0f", service, n, retryWindow, limit)})
+				found = append(found, boundViolation{t.requests[first.ID], fmt.Sprintf("%s received %d retries within %v, beginning with this request; at most %.0f are allowed", service, n, retryWindow, limit)})
 				break
 			}
 		}
@@ -164,19 +166,19 @@
 // sendTimesByService returns the times at which callers sent requests to each service.
 func (t *traffic) sendTimesByService() map[string][]time.Time {
 	times := map[string][]time.Time{}
-	for _, s := range t.requests {
+	for _, call := range t.requests {
 		service := platformtest.PlainService
-		if s.path == platformtest.StreamPath {
+		if call.path == platformtest.StreamPath {
 			service = platformtest.ModelService
 		}
-		times[service] = append(times[service], s.sent)
+		times[service] = append(times[service], call.sent)
 	}
 	return times
 }
 
-// maxRequestsInWindow returns the number of requests that the retry budget of the window beginning
-// at from counts.
-func maxRequestsInWindow(sent []time.Time, from time.Time) (most int) {
+// highestRequestCount returns the number of requests that callers sent in the window that begins at
+// from, in the one half a window earlier or in the one a whole window earlier, whichever is highest.
+func highestRequestCount(sent []time.Time, from time.Time) (most int) {
 	for _, earlier := range []time.Duration{0, retryWindow / 2, retryWindow} {
 		n, begin := 0, from.Add(-earlier)
 		for _, at := range sent {
@@ -196,19 +198,19 @@
 	check := platformtest.LimitCheck{
 		EnforcedAfter: limitEnforceDelay,
 		DaemonOf: func(request string) (string, bool) {
-			s, ok := t.requests[request]
+			call, ok := t.requests[request]
 			if ok {
-				daemons[s.daemon.name] = s.daemon
-				return s.daemon.name, true
+				daemons[call.daemon.name] = call.daemon
+				return call.daemon.name, true
 			}
 			return "", false
 		},
 		Exempt: func(daemon, upstream string, from, to time.Time) bool {
-			return t.isExcused(daemons[daemon], upstream, from.Add(-limitEnforceDelay), to)
+			return t.isExempt(daemons[daemon], upstream, from.Add(-limitEnforceDelay), to)
 		},
 	}
 	for _, v := range check.FindViolations(t.arrivals) {
-		found = append(found, boundViolation{t.requests[v.Last.ID], fmt.Sprintf("%s set a limit of %v requests per second and received %d in %v; allowed are %d", v.Upstream, v.Limit, v.Received, limitWindow, v.Allowed)})
+		found = append(found, boundViolation{t.requests[v.Last.ID], fmt.Sprintf("%s set a limit of %v requests per second and received %d in %v; at most %d are allowed", v.Upstream, v.Limit, v.Received, limitWindow, v.Allowed)})
 	}
 	return found
 }
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -27,10 +27,10 @@
 	all []callRecord
 }
 
-func (r *records) add(s callRecord) {
+func (r *records) add(call callRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = append(r.all, s)
+	r.all = append(r.all, call)
 }
 
 // list returns the requests recorded so far.
@@ -48,30 +48,30 @@
 	// callPause is the pause between two requests of a caller.
 	callPause = 25 * time.Millisecond
 	// requestsPerConnection is the number of requests that a caller sends on one connection before it
-	// chooses a daemon anew, unless the connection fails. It keeps the connection while the daemon
-	// stops.
+	// chooses a daemon anew, unless the connection fails. The caller also keeps using the connection
+	// while the daemon shuts down.
 	requestsPerConnection = 40
 )
 
 var requestPaths = []string{platformtest.StreamPath, platformtest.StreamPath, platformtest.OncePath, platformtest.SafePath}
 
-// runCaller sends requests until the context ends.
+// runCaller runs the caller with number n, which sends requests until the context ends.
 func (r *run) runCaller(ctx context.Context, n int) error {
 	random := rng.New(r.options.Seed<<16 + uint64(n))
 	caller := platformtest.NewCaller()
 	defer caller.Close()
 	daemon, remaining := r.daemons[random.IntN(len(r.daemons))], requestsPerConnection
 	for i := 0; ctx.Err() == nil; i++ {
-		s := callRecord{
+		call := callRecord{
 			id: fmt.Sprintf("c%d-%d", n, i), path: requestPaths[random.IntN(len(requestPaths))], daemon: daemon,
 			key: r.env.key(random.IntN(activeKeys)), sent: time.Now(),
 		}
-		s.body = "asked by " + s.id
+		call.body = "asked by " + call.id
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callLimit)
-		s.reply = caller.Call(callCtx, daemon.listenAddr, s.path, s.id, s.key, s.body, callDeadline)
+		call.reply = caller.Call(callCtx, daemon.listenAddr, call.path, call.id, call.key, call.body, callDeadline)
 		cancel()
-		r.records.add(s)
-		if remaining--; remaining == 0 || s.reply.Status == 0 {
+		r.records.add(call)
+		if remaining--; remaining == 0 || call.reply.Status == 0 {
 			caller.Close()
 			daemon, remaining = r.daemons[random.IntN(len(r.daemons))], requestsPerConnection
 		}
@@ -86,22 +86,22 @@
 	defer caller.Close()
 	random := rng.New(r.options.Seed)
 	for i := 0; ctx.Err() == nil; i++ {
-		if key := r.env.revokedKey(); key != "" {
+		if key := r.env.longWithdrawnKey(); key != "" {
 			p := r.daemons[random.IntN(len(r.daemons))]
-			s := callRecord{id: fmt.Sprintf("withdrawn-%d", i), path: platformtest.OncePath, daemon: p, key: key, sent: time.Now(), body: "withdrawn"}
+			call := callRecord{id: fmt.Sprintf("withdrawn-%d", i), path: platformtest.OncePath, daemon: p, key: key, sent: time.Now(), body: "withdrawn"}
 			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callLimit)
-			s.reply = caller.Call(callCtx, p.listenAddr, s.path, s.id, s.key, s.body, callDeadline)
+			call.reply = caller.Call(callCtx, p.listenAddr, call.path, call.id, call.key, call.body, callDeadline)
 			cancel()
-			r.withdrawnKeyRecords.add(s)
+			r.withdrawnKeyRecords.add(call)
 		}
 		wait(ctx, 4*callPause)
 	}
 	return nil
 }
 
-// revokedKey returns the latest key that was withdrawn more than revokeTime ago, under which no
-// request may run, or "".
-func (env *environment) revokedKey() string {
+// longWithdrawnKey returns the latest of the keys that were withdrawn more than revokeTime ago, or ""
+// if there is none. No request with such a key may run.
+func (env *environment) longWithdrawnKey() string {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	for i := len(env.withdrawn) - 1; i >= 0; i-- {
--- a/soak/check.go
+++ b/soak/check.go
@@ -26,7 +26,7 @@
 	ruleOnce          = "at most one run"
 	ruleNotRun        = "not-run is true"
 	ruleLayers        = "every layer once and in order"
-	ruleRevoked       = "no run under a withdrawn key"
+	ruleWithdrawnKey  = "no run under a withdrawn key"
 	ruleTerminates    = "every request has an end"
 	ruleUnexpectedEnd = "daemons end only when told"
 	ruleRecovers      = "service after the last fault"
@@ -36,39 +36,39 @@
 // runCounter returns the number of times that upstreams ran a request.
 type runCounter func(id string) int
 
-// checkReply checks one request by the reply of its caller and its runs at upstreams. It returns the
-// rule and a description of the violation, which is empty if there is none.
-func checkReply(s callRecord, events int, runs runCounter) (rule, what string) {
-	n := runs(s.id)
+// checkReply checks the reply to one request and how often upstreams ran the request. It returns the
+// violated rule and a description of the violation. The description is empty if there is none.
+func checkReply(call callRecord, eventCount int, runs runCounter) (rule, description string) {
+	n := runs(call.id)
 	switch {
-	case s.path == platformtest.OncePath && n > 1:
+	case call.path == platformtest.OncePath && n > 1:
 		return ruleOnce, fmt.Sprintf("ran %d times", n)
-	case promisesNotRun(s.reply.Status) && !s.reply.Signed && n > 0:
-		return ruleNotRun, fmt.Sprintf("status %d, but it ran %d times", s.reply.Status, n)
-	case s.reply.Status == http.StatusOK:
-		return ruleComplete, checkBody(s, events)
-	case s.reply.Err != nil && s.reply.Elapsed >= callLimit:
-		return ruleTerminates, fmt.Sprintf("not finished within %v: %v", callLimit, s.reply.Err)
+	case promisesNotRun(call.reply.Status) && !call.reply.Signed && n > 0:
+		return ruleNotRun, fmt.Sprintf("status %d, but it ran %d times", call.reply.Status, n)
+	case call.reply.Status == http.StatusOK:
+		return ruleComplete, checkBody(call, eventCount)
+	case call.reply.Err != nil && call.reply.Elapsed >= callLimit:
+		return ruleTerminates, fmt.Sprintf("not finished within %v: %v", callLimit, call.reply.Err)
 	}
 	return "", ""
 }
 
 // checkBody describes what is wrong with the body of a successful answer, or returns "". The body of
 // an answer that was cut off must be a prefix of the complete body.
-func checkBody(s callRecord, events int) string {
-	want := string(platformtest.PlainAnswer([]byte(s.body)))
-	if s.path == platformtest.StreamPath {
+func checkBody(call callRecord, eventCount int) string {
+	want := string(platformtest.PlainAnswer([]byte(call.body)))
+	if call.path == platformtest.StreamPath {
 		var b strings.Builder
-		for n := range events {
-			b.WriteString(platformtest.Event([]byte(s.body), n+1))
+		for n := range eventCount {
+			b.WriteString(platformtest.Event([]byte(call.body), n+1))
 		}
 		want = b.String()
 	}
 	switch {
-	case s.reply.Err == nil && s.reply.Body != want:
-		return fmt.Sprintf("ended without an error: %q, want %q", s.reply.Body, want)
-	case s.reply.Err != nil && !strings.HasPrefix(want, s.reply.Body):
-		return fmt.Sprintf("cut off: %q is not a prefix of %q", s.reply.Body, want)
+	case call.reply.Err == nil && call.reply.Body != want:
+		return fmt.Sprintf("ended without an error: %q, want %q", call.reply.Body, want)
+	case call.reply.Err != nil && !strings.HasPrefix(want, call.reply.Body):
+		return fmt.Sprintf("cut off: %q is not a prefix of %q", call.reply.Body, want)
 	}
 	return ""
 }
@@ -85,26 +85,26 @@
 // findViolations checks all rules against the recorded requests, arrivals and process failures.
 func (r *run) findViolations() []Violation {
 	var all []Violation
-	addViolation := func(s callRecord, rule, what string) {
-		if what != "" {
-			all = append(all, Violation{Rule: rule, Request: s.id, Daemon: s.daemon.name, At: s.sent.Sub(r.startTime).Round(time.Millisecond), Description: what})
+	addViolation := func(call callRecord, rule, description string) {
+		if description != "" {
+			all = append(all, Violation{Rule: rule, Request: call.id, Daemon: call.daemon.name, At: call.sent.Sub(r.startTime).Round(time.Millisecond), Description: description})
 		}
 	}
-	for _, s := range r.records.list() {
-		rule, what := checkReply(s, r.env.fleet.Events, r.env.fleet.Runs)
-		if rule == ruleTerminates && r.wasDisturbed(s.daemon, s.sent, s.sent.Add(callLimit)) {
+	for _, call := range r.records.list() {
+		rule, description := checkReply(call, r.env.fleet.Events, r.env.fleet.Runs)
+		if rule == ruleTerminates && r.wasDisturbed(call.daemon, call.sent, call.sent.Add(callLimit)) {
 			continue // a frozen or stopped process does not answer
 		}
-		addViolation(s, rule, what)
+		addViolation(call, rule, description)
 	}
-	for _, s := range r.records.list() {
-		if r.isStaleRefusal(s) {
-			addViolation(s, ruleConfigApplied, fmt.Sprintf("key %s was refused with status %d, %v after it was written to the store", s.key, s.reply.Status, s.sent.Sub(r.env.keyWriteTime(s.key)).Round(time.Millisecond)))
+	for _, call := range r.records.list() {
+		if r.isStaleRefusal(call) {
+			addViolation(call, ruleConfigApplied, fmt.Sprintf("key %s was refused with status %d, %v after it was written to the store", call.key, call.reply.Status, call.sent.Sub(r.env.keyWriteTime(call.key)).Round(time.Millisecond)))
 		}
 	}
-	for _, s := range r.withdrawnKeyRecords.list() {
-		if n := r.env.fleet.Runs(s.id); n > 0 {
-			addViolation(s, ruleRevoked, fmt.Sprintf("key %s had been withdrawn for more than %v, but the request ran", s.key, revokeTime))
+	for _, call := range r.withdrawnKeyRecords.list() {
+		if n := r.env.fleet.Runs(call.id); n > 0 {
+			addViolation(call, ruleWithdrawnKey, fmt.Sprintf("key %s had been withdrawn for more than %v, but the request ran", call.key, revokeTime))
 		}
 	}
 	t := r.traffic()
@@ -113,13 +113,13 @@
 			addViolation(b.request, rule, b.description)
 		}
 	}
-	for _, what := range r.env.fleet.Violations() {
-		all = append(all, Violation{Rule: ruleLayers, Description: what})
+	for _, description := range r.env.fleet.Violations() {
+		all = append(all, Violation{Rule: ruleLayers, Description: description})
 	}
 	for _, p := range r.daemons {
 		p.mu.Lock()
-		for _, what := range p.failures {
-			all = append(all, Violation{Rule: ruleUnexpectedEnd, Daemon: p.name, Description: what})
+		for _, description := range p.failures {
+			all = append(all, Violation{Rule: ruleUnexpectedEnd, Daemon: p.name, Description: description})
 		}
 		p.mu.Unlock()
 	}
@@ -129,10 +129,10 @@
 // traffic returns what callers have sent and upstreams have received so far.
 func (r *run) traffic() *traffic {
 	t := &traffic{arrivals: r.env.fleet.Arrivals(), requests: map[string]callRecord{}}
-	for _, s := range append(r.records.list(), r.withdrawnKeyRecords.list()...) {
-		t.requests[s.id] = s
+	for _, call := range append(r.records.list(), r.withdrawnKeyRecords.list()...) {
+		t.requests[call.id] = call
 	}
-	t.isExcused = func(p *process, upstream string, from, to time.Time) bool {
+	t.isExempt = func(p *process, upstream string, from, to time.Time) bool {
 		return r.wasDisturbed(p, from, to) || r.wasCutOff(upstream, from, to)
 	}
 	return t
@@ -146,15 +146,15 @@
 	undisturbedTime = 3 * time.Second
 )
 
-// isStaleRefusal reports whether a request was refused because the daemon did not know a key that
-// must be in force, or had no proof that its configuration is current, although neither the daemon
-// nor the store was disturbed. Guards against daemons that do not apply a configuration in time.
-func (r *run) isStaleRefusal(s callRecord) bool {
-	refused := s.reply.Status == http.StatusUnauthorized || strings.Contains(s.reply.Body, spanrill.ReasonConfigStale.Code())
-	if s.reply.Signed || !refused || s.sent.Sub(r.env.keyWriteTime(s.key)) < applyDeadline || r.env.wasWithdrawn(s.key, s.sent.Add(s.reply.Elapsed)) {
+// isStaleRefusal reports whether a daemon refused a request because it did not know a key that must
+// be in force, or because it had no proof that its configuration is current, although neither the
+// daemon nor the store was disturbed. It detects daemons that do not apply a configuration in time.
+func (r *run) isStaleRefusal(call callRecord) bool {
+	refused := call.reply.Status == http.StatusUnauthorized || strings.Contains(call.reply.Body, spanrill.ReasonConfigStale.Code())
+	if call.reply.Signed || !refused || call.sent.Sub(r.env.keyWriteTime(call.key)) < applyDeadline || r.env.wasWithdrawn(call.key, call.sent.Add(call.reply.Elapsed)) {
 		return false
 	}
-	return !r.wasDisturbed(s.daemon, s.sent.Add(-undisturbedTime), s.sent) && !r.wasStoreDisturbed(s.sent.Add(-undisturbedTime-applyDeadline), s.sent)
+	return !r.wasDisturbed(call.daemon, call.sent.Add(-undisturbedTime), call.sent) && !r.wasStoreDisturbed(call.sent.Add(-undisturbedTime-applyDeadline), call.sent)
 }
 
 // keyWriteTime returns the time at which a key was first written to the store.
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -10,7 +10,7 @@
 	"spanrill/platform/platformtest"
 )
 
-// Each rule is violated by the cases that it covers and by no others.
+// Each case violates the rule named in it and no other rule.
 func TestCheckReply(t *testing.T) {
 	const events = 3
 	cut := errors.New("connection reset")
@@ -51,14 +51,14 @@
 				rule = ""
 			}
 			if rule != c.want {
-				t.Errorf("rule %q (%s), want %q", rule, what, c.want)
+				t.Errorf("violated rule %q (%s), want %q", rule, what, c.want)
 			}
 		})
 	}
 }
 
-// Violations are also found from requests with withdrawn keys, process failures and calls without an
-// end. A call without an end is excused if its daemon was disturbed.
+// A run under a withdrawn key, an unexpected end of a daemon and a call without an end are reported
+// as violations. A call without an end is not reported if its daemon was disturbed.
 func TestFindViolations(t *testing.T) {
 	env, err := newEnvironment(Shape{Daemons: 1, Zones: 1, Engines: 1, Plain: 1})
 	if err != nil {
@@ -77,7 +77,7 @@
 	r.withdrawnKeyRecords.add(callRecord{id: "late", path: platformtest.OncePath, daemon: p})
 	p.recordFailure("it has ended")
 	r.records.add(callRecord{id: "hangs", path: platformtest.SafePath, daemon: p, sent: time.Now(), reply: platformtest.Reply{Err: errors.New("timeout"), Elapsed: callLimit}})
-	want := map[string]bool{ruleRevoked: true, ruleUnexpectedEnd: true, ruleTerminates: true}
+	want := map[string]bool{ruleWithdrawnKey: true, ruleUnexpectedEnd: true, ruleTerminates: true}
 	for _, v := range r.findViolations() {
 		if !want[v.Rule] {
 			t.Errorf("unexpected violation: %+v", v)
@@ -90,7 +90,7 @@
 	r.recordDaemonDisturbance(p)
 	for _, v := range r.findViolations() {
 		if v.Rule == ruleTerminates {
-			t.Error("a call to a disturbed daemon is reported as a violation")
+			t.Error("a call without an end to a disturbed daemon is reported as a violation")
 		}
 	}
 }
--- a/soak/environment.go
+++ b/soak/environment.go
@@ -162,7 +162,7 @@
 	return env.keys[n%len(env.keys)]
 }
 
-// upstreamAt returns the slot and its upstream. The slot is taken modulo the number of upstreams.
+// upstreamAt takes a slot modulo the number of slots and returns it with the upstream in it.
 func (env *environment) upstreamAt(slot int) (int, *upstream) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -170,7 +170,7 @@
 	return slot, env.upstreams[slot]
 }
 
-// replaceUpstream starts a new upstream in a slot.
+// replaceUpstream starts a new upstream in a slot and closes the link to the previous one.
 func (env *environment) replaceUpstream(slot int) error {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -145,8 +145,9 @@
 	heartbeatTimeout = 3600 * time.Millisecond
 )
 
-// restoreStore restores the store from a copy that is as old as the step is long and lacks
-// lostRevisions configuration changes. The operator and the upstreams write their objects again.
+// restoreStore restores the store from a copy that it takes at the start of the step. The copy lacks
+// the lostRevisions configuration changes that are made during the step. After the restore, the
+// configuration and the upstreams' entries are written again, as the operator and the upstreams do.
 // Depending on Step.Variant, the configuration also changes right after the restore, or the store is
 // restored twice. After heartbeatTimeout, entries of upstreams that have ended are removed and a
 // key is replaced.
@@ -264,7 +265,8 @@
 	return nil
 }
 
-// limitSequences lists the limits that an upstream sets in succession, indexed by Step.Variant.
+// limitSequences lists the limits, in requests per second, that an upstream sets one after another,
+// indexed by Step.Variant.
 var limitSequences = [variantCount][]string{{"2.5"}, {"5", "1"}, {"0.5", "4"}, {"0"}}
 
 // limitTime is how long each limit is in effect: the time until it is enforced plus two check
@@ -284,7 +286,7 @@
 	return nil
 }
 
-// withdrawal is a withdrawn key and the time at which the store had the withdrawal.
+// withdrawal is a withdrawn key and the time at which the store had the configuration without it.
 type withdrawal struct {
 	key string
 	at  time.Time
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -94,8 +94,8 @@
 	// independentSeedOffset is added to the seed of the random source for independentWeights.
 	independentSeedOffset = 1 << 32
 	// shortestFault and longestFault bound the duration of a fault: from less than one round of
-	// exchange with peers to longer than a key may be used without proof that the configuration is
-	// current.
+	// exchange with peers to almost as long as a daemon accepts keys without proof that its
+	// configuration is current, which is a little less than revokeTime.
 	shortestFault = 200 * time.Millisecond
 	longestFault  = 4 * time.Second
 	// repeatShare is the share of steps that are repeated twice, repeatGap apart, on the next
@@ -109,7 +109,7 @@
 // Plan returns the faults of a run in order. The result depends on the seed and the length alone.
 func Plan(seed uint64, length time.Duration) []Step {
 	steps := append(drawSteps(rng.New(seed), weights, stepGap, length), drawSteps(rng.New(seed+independentSeedOffset), independentWeights, independentGap, length)...)
-	sort.SliceStable(steps, func(i, k int) bool { return steps[i].At < steps[k].At })
+	sort.SliceStable(steps, func(i, j int) bool { return steps[i].At < steps[j].At })
 	return steps
 }
 
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -20,7 +20,7 @@
 		for i, s := range steps {
 			kinds[s.Kind]++
 			if i > 0 && s.At < steps[i-1].At || s.At > length+2*repeatGap || s.Duration < shortestFault || s.Duration > longestFault || s.Target < 0 {
-				t.Errorf("seed %d, step %d: %+v", seed, i, s)
+				t.Errorf("seed %d, step %d is out of order or out of bounds: %+v", seed, i, s)
 			}
 		}
 	}
@@ -31,7 +31,7 @@
 		}
 	}
 	if len(kinds) != len(all) {
-		t.Errorf("%d kinds in plans, want %d", len(kinds), len(all))
+		t.Errorf("plans contain %d kinds, want %d", len(kinds), len(all))
 	}
 }
 
--- a/soak/process.go
+++ b/soak/process.go
@@ -123,7 +123,8 @@
 	_ = p.logs.Close()
 }
 
-// isReady reports whether the process is ready, by the request that the platform's balancer sends.
+// isReady reports whether the process answers the readiness request of the platform's balancer with
+// 200.
 func (p *process) isReady(client *http.Client, readyPath string) bool {
 	resp, err := client.Get("http://" + p.readyAddr + readyPath)
 	if err != nil {
--- a/soak/run.go
+++ b/soak/run.go
@@ -64,15 +64,15 @@
 	recoveryViolations  []Violation
 
 	mu                sync.Mutex
-	disturbances      map[*process][]time.Time
-	cutOffs           map[string][]time.Time // by upstream ID
-	storeDisturbances []interval             // of the store and of the links to it
+	disturbances      map[*process][]time.Time // start times of daemon faults
+	cutOffs           map[string][]time.Time   // start times of link faults, by upstream ID
+	storeDisturbances []interval               // faults of the store and of the links to it
 }
 
 // interval is the period during which a fault may be in effect.
 type interval struct{ from, to time.Time }
 
-// recordDaemonDisturbance records that a fault of a daemon begins now, so that it may not answer.
+// recordDaemonDisturbance records that a fault begins now, during which a daemon may not answer.
 func (r *run) recordDaemonDisturbance(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,13 +152,13 @@
 }
 
 func (r *run) startDaemons() error {
-	var seeds []string
+	var peers []string
 	for i := range r.options.Shape.Daemons {
 		addrs := r.listenAddrs(i)
 		name := fmt.Sprintf("daemon-%d", i)
 		p, err := newProcess(r.options.Dir, r.options.Daemon, name, addrs[0], addrs[1], map[string]any{
 			"name": name, "availability_zone": fmt.Sprintf("zone-%d", i%r.options.Shape.Zones), "listen": addrs[0], "ready_listen": addrs[1],
-			"peer_listen": addrs[2], "metrics_listen": addrs[3], "peers": append([]string{}, seeds...), "platform": r.env.storeLinkAddr(i),
+			"peer_listen": addrs[2], "metrics_listen": addrs[3], "peers": append([]string{}, peers...), "platform": r.env.storeLinkAddr(i),
 			"fleet_secret": "a secret for this run alone",
 			"bounds": map[string]any{
 				"revoke_ms": revokeTime.Milliseconds(), "grace_ms": graceTime.Milliseconds(), "drain_ms": drainTime.Milliseconds(),
@@ -168,7 +168,7 @@
 		if err != nil {
 			return err
 		}
-		seeds = append(seeds, addrs[2])
+		peers = append(peers, addrs[2])
 		r.daemons, r.restartLocks[p] = append(r.daemons, p), &sync.Mutex{}
 		if err := p.start(); err != nil {
 			return err
@@ -188,7 +188,8 @@
 )
 
 // listenAddrs returns the listen addresses of a daemon. The loopback address is derived from the
-// process ID, so that neither concurrent runs nor outgoing connections occupy these ports.
+// process ID, so that concurrent runs do not occupy these ports. Outgoing connections do not either,
+// because the ports are below the ephemeral range.
 func (r *run) listenAddrs(daemon int) []string {
 	pid := os.Getpid()
 	addrs := make([]string, portsPerDaemon)
@@ -215,11 +216,11 @@
 }
 
 // answersAllPaths reports whether a daemon answers a request on each path.
-func (r *run) answersAllPaths(ctx context.Context, n int, p *process) bool {
+func (r *run) answersAllPaths(ctx context.Context, daemonIndex int, p *process) bool {
 	caller := platformtest.NewCaller()
 	defer caller.Close()
 	for _, path := range requestPaths[1:] {
-		id := fmt.Sprintf("first-%d-%s-%d", n, path[1:len(path)-1], time.Now().UnixNano())
+		id := fmt.Sprintf("first-%d-%s-%d", daemonIndex, path[1:len(path)-1], time.Now().UnixNano())
 		if caller.Call(ctx, p.listenAddr, path, id, r.env.key(0), "first", callDeadline).Status != http.StatusOK {
 			return false
 		}
@@ -230,13 +231,13 @@
 // execute runs the callers, injects the faults and checks at the end that the daemons recover.
 func (r *run) execute(ctx context.Context, steps []Step) error {
 	var callers, faults task.Group
-	calling, stop := context.WithCancel(ctx)
-	defer stop()
+	callersCtx, stopCallers := context.WithCancel(ctx)
+	defer stopCallers()
 	r.startTime = time.Now()
 	for n := range r.options.Shape.Callers {
-		callers.Start(calling, "caller", func(ctx context.Context) error { return r.runCaller(ctx, n) })
+		callers.Start(callersCtx, "caller", func(ctx context.Context) error { return r.runCaller(ctx, n) })
 	}
-	callers.Start(calling, "caller with withdrawn keys", r.runWithdrawnKeyCaller)
+	callers.Start(callersCtx, "caller with withdrawn keys", r.runWithdrawnKeyCaller)
 	for _, s := range steps {
 		wait(ctx, time.Until(r.startTime.Add(s.At)))
 		if ctx.Err() != nil {
@@ -246,13 +247,13 @@
 		faults.Start(ctx, string(s.Kind), func(ctx context.Context) error { return r.apply(ctx, s) })
 	}
 	if err := faults.Wait(); err != nil {
-		stop()
+		stopCallers()
 		_ = callers.Wait()
 		return fmt.Errorf("inject fault: %w", err)
 	}
 	wait(ctx, recoveryTime)
 	r.checkRecovery(ctx)
-	stop()
+	stopCallers()
 	return callers.Wait()
 }
 
@@ -260,35 +261,35 @@
 func (r *run) checkRecovery(ctx context.Context) {
 	caller := platformtest.NewCaller()
 	defer caller.Close()
-	served, last := 0, platformtest.Reply{}
+	served, lastFailure := 0, platformtest.Reply{}
 	for i := range recoveryCalls {
 		p, path := r.daemons[i%len(r.daemons)], requestPaths[i/len(r.daemons)%len(requestPaths)]
 		reply := caller.Call(ctx, p.listenAddr, path, fmt.Sprintf("last-%d", i), r.env.key(0), "last", callDeadline)
 		if reply.Status == http.StatusOK && reply.Err == nil {
 			served++
 		} else {
-			last = reply
+			lastFailure = reply
 		}
 	}
 	if float64(served) < minServedShare*recoveryCalls && ctx.Err() == nil {
 		r.recoveryViolations = append(r.recoveryViolations, Violation{
 			Rule: ruleRecovers, At: time.Since(r.startTime).Round(time.Millisecond),
-			Description: fmt.Sprintf("%d of %d requests were served %v after the last fault; the last failure: status %d, error %v, body %s", served, recoveryCalls, recoveryTime, last.Status, last.Err, last.Body),
+			Description: fmt.Sprintf("%d of %d requests were served %v after the last fault; the last failure: status %d, error %v, body %s", served, recoveryCalls, recoveryTime, lastFailure.Status, lastFailure.Err, lastFailure.Body),
 		})
 	}
 }
 
 func (r *run) report(steps []Step) *Report {
 	report := &Report{Seed: r.options.Seed, Length: r.options.Length, Steps: len(steps), Statuses: map[string]int{}, Logs: r.options.Dir}
-	for _, s := range r.records.list() {
+	for _, call := range r.records.list() {
 		report.Requests++
 		switch {
-		case s.reply.Status == 0:
+		case call.reply.Status == 0:
 			report.Statuses["no answer"]++
-		case s.reply.Err != nil:
-			report.Statuses[fmt.Sprintf("%d, cut", s.reply.Status)]++
+		case call.reply.Err != nil:
+			report.Statuses[fmt.Sprintf("%d, cut", call.reply.Status)]++
 		default:
-			report.Statuses[fmt.Sprint(s.reply.Status)]++
+			report.Statuses[fmt.Sprint(call.reply.Status)]++
 		}
 	}
 	report.Violations = r.findViolations()
