--- a/e2e/badinput_test.go
+++ b/e2e/badinput_test.go
@@ -15,7 +15,7 @@
 func TestBadRequestsGetClearErrors(t *testing.T) {
 	f := newFleet(t, shape{daemons: 1, enginesPerStage: 1, services: 1})
 	chatPath := "/v1/chat/completions"
-	good := chat{prompt: "hive", seed: 1, tokens: 2}.body()
+	validBody := chat{prompt: "hive", seed: 1, tokens: 2}.body()
 	for _, c := range []struct {
 		name    string
 		method  string
@@ -27,21 +27,21 @@
 		param   string
 		message string
 	}{
-		{"wrong key", "POST", chatPath, "nobody", good, 401, "invalid_api_key", "", "no client account"},
+		{"wrong key", "POST", chatPath, "nobody", validBody, 401, "invalid_api_key", "", "no client account"},
 		{"not JSON", "POST", chatPath, testKey, `{"model": oops`, 400, "invalid_body", "", "at byte 11"},
-		{"no object", "POST", chatPath, testKey, `[1]`, 400, "invalid_body", "", "JSON object"},
+		{"not a JSON object", "POST", chatPath, testKey, `[1]`, 400, "invalid_body", "", "JSON object"},
 		{"no model", "POST", chatPath, testKey, `{"messages":[]}`, 400, "invalid_field", "model", "missing"},
 		{"wrong type", "POST", chatPath, testKey, `{"model":"advice","max_tokens":"many"}`, 400, "invalid_field", "max_tokens", "not a string"},
 		{"unknown model", "POST", chatPath, testKey, `{"model":"x","messages":[]}`, 404, "model_not_found", "model", `"x"`},
 		{"no messages", "POST", chatPath, testKey, `{"model":"advice"}`, 400, "invalid_field", "messages", "missing"},
 		{"no prompt", "POST", "/v1/completions", testKey, `{"model":"advice"}`, 400, "invalid_field", "prompt", "missing"},
 		{"too many tokens", "POST", chatPath, testKey, `{"model":"advice","max_tokens":401,"messages":[]}`, 400, "invalid_field", "max_tokens", "1 to 400"},
-		{"two answers", "POST", chatPath, testKey, `{"model":"advice","n":2,"messages":[]}`, 400, "invalid_field", "n", "must be 1"},
+		{"more than one answer", "POST", chatPath, testKey, `{"model":"advice","n":2,"messages":[]}`, 400, "invalid_field", "n", "must be 1"},
 		{"unknown route", "GET", "/v2/chat", testKey, ``, 404, "unknown_route", "", "/v2/chat"},
 		{"unknown service", "POST", "/services/mail/x", testKey, ``, 404, "service_not_found", "", "mail"},
 		{"call not allowed", "DELETE", "/services/readings/readings", testKey, ``, 403, "call_not_allowed", "", "DELETE"},
 		{"body too large", "POST", chatPath, testKey, `{"pad":"` + strings.Repeat("x", 5<<20) + `"}`, 413, "body_too_large", "", "4194304"},
-		{"wrong event id", "POST", chatPath, testKey, good, 400, "invalid_field", "Last-Event-ID", "does not belong"},
+		{"wrong event id", "POST", chatPath, testKey, validBody, 400, "invalid_field", "Last-Event-ID", "does not belong"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			headers := map[string]string{"Authorization": "Bearer " + c.key}
@@ -53,19 +53,19 @@
 				Error struct{ Message, Code, Param, Outcome string }
 			}
 			if a.err != nil || json.Unmarshal(a.body, &body) != nil {
-				t.Fatalf("status %d, %v: %s", a.status, a.err, a.body)
+				t.Fatalf("the answer has no JSON error: status %d, %v: %s", a.status, a.err, a.body)
 			}
 			e := body.Error
 			if a.status != c.status || e.Code != c.code || e.Param != c.param || !strings.Contains(e.Message, c.message) {
-				t.Errorf("status %d, error %+v", a.status, e)
+				t.Errorf("not the expected status and error: got status %d, error %+v", a.status, e)
 			}
 			if a.outcome != "not-run" || e.Outcome != "not-run" || a.header.Get("X-Request-Id") == "" {
-				t.Errorf("outcome %q, header %v", a.outcome, a.header)
+				t.Errorf("got outcome %q and header %v, want not-run and an X-Request-Id", a.outcome, a.header)
 			}
 		})
 	}
 	if _, complete, a := f.ask("d1", chat{prompt: "hive", seed: 1, tokens: 2}); !complete {
-		t.Fatalf("a valid request afterwards: status %d %s", a.status, a.body)
+		t.Fatalf("a valid request afterwards is not answered completely: status %d %s", a.status, a.body)
 	}
 }
 
@@ -91,15 +91,15 @@
 	f := newFleet(t, shape{daemons: 1, enginesPerStage: 1, services: 1})
 	huge := "GET / HTTP/1.1\r\nHost: x\r\nX-Pad: " + strings.Repeat("x", 20<<10) + "\r\n\r\n"
 	if line := f.sendRaw("d1", huge, false); !strings.Contains(line, "431") {
-		t.Errorf("oversized headers got %q", line)
+		t.Errorf("oversized headers got %q, want status 431", line)
 	}
 	if line := f.sendRaw("d1", "what is this\r\n\r\n", false); !strings.Contains(line, "400") {
-		t.Errorf("garbage got %q", line)
+		t.Errorf("garbage got %q, want status 400", line)
 	}
 	f.sendRaw("d1", "POST /services/readings/readings HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+testKey+
 		"\r\nContent-Length: 100\r\n\r\n{\"id\":\"half\"", true)
 	if a := f.postReading("d1", "whole", ""); a.outcome != "ran" {
-		t.Errorf("a valid request afterwards has the outcome %q", a.outcome)
+		t.Errorf("a valid request afterwards has the outcome %q, want ran", a.outcome)
 	}
 	if f.runCount("half") != 0 {
 		t.Error("a truncated request has run")
@@ -123,7 +123,7 @@
 			s, err := f.status("d1")
 			return err == nil && s.Running == 0 && s.InFlight == 0
 		})
-		f.await("the daemon has counted the caller", func() bool {
+		f.await("the daemon has counted the disconnected caller", func() bool {
 			_, metrics := get("http://" + f.daemons["d1"].settings.AdminListen + "/metrics")
 			return !strings.Contains(metrics, "spanrill_callers_left_total 0\n")
 		})
@@ -137,10 +137,10 @@
 	body := `{"model":"advice","seed":1,"max_tokens":2,"top_k":40,"vendor":{"x":[1]},"messages":[{"role":"user","content":[{"type":"text","text":"hive"}]}]}`
 	a := f.call("d1", http.MethodPost, "/v1/chat/completions", nil, body)
 	if a.status != http.StatusOK {
-		t.Fatalf("status %d: %s", a.status, a.body)
+		t.Fatalf("a request with unknown fields: status %d, want 200: %s", a.status, a.body)
 	}
 	models := f.call("d1", http.MethodGet, "/v1/models", nil, "")
 	if !strings.Contains(string(models.body), `"id":"advice"`) {
-		t.Fatalf("models: %s", models.body)
+		t.Fatalf("the model list lacks advice: %s", models.body)
 	}
 }
--- a/e2e/chat_test.go
+++ b/e2e/chat_test.go
@@ -122,7 +122,7 @@
 func TestWrongTokensNeverReachCallers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		at     string
+		engine string
 		faults engine.Faults
 	}{
 		{"tokens doubled", "e1a", engine.Faults{DoubleTokens: true}},
@@ -135,7 +135,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, shape{daemons: 2, enginesPerStage: 2})
-			f.engines[c.at].SetFaults(c.faults)
+			f.engines[c.engine].SetFaults(c.faults)
 			if complete := f.askConcurrently(16, 24, nil); complete != 16 {
 				t.Errorf("%d of 16 answers are complete", complete)
 			}
@@ -150,7 +150,7 @@
 	f.engines["e2a"].SetFaults(engine.Faults{MisreportRange: true})
 	text, complete, a := f.ask("d1", chat{prompt: "hive", seed: 1, tokens: 8})
 	if complete || text != "" || a.outcome != "unknown" {
-		t.Fatalf("got %q, outcome %q, status %d", text, a.outcome, a.status)
+		t.Fatalf("got text %q, outcome %q, status %d, want no text and the outcome unknown", text, a.outcome, a.status)
 	}
 }
 
@@ -172,7 +172,7 @@
 	f.killUpstreams("e2a")
 	_, complete, a := f.ask("d1", chat{prompt: "hive", seed: 1, tokens: 8})
 	if complete || a.outcome != "not-run" || a.header.Get("Retry-After") == "" {
-		t.Fatalf("outcome %q, status %d: %s", a.outcome, a.status, a.body)
+		t.Fatalf("got outcome %q, status %d, want not-run and a Retry-After: %s", a.outcome, a.status, a.body)
 	}
 }
 
@@ -193,6 +193,6 @@
 	other := chat{prompt: "another hive", seed: 5, tokens: 30, stream: true}
 	refused := f.call("d2", http.MethodPost, "/v1/chat/completions", map[string]string{"Last-Event-ID": id}, other.body())
 	if refused.status != http.StatusBadRequest {
-		t.Fatalf("an event id of another request was accepted: status %d", refused.status)
+		t.Fatalf("an event id of another request: got status %d, want 400", refused.status)
 	}
 }
--- a/e2e/config_test.go
+++ b/e2e/config_test.go
@@ -40,7 +40,7 @@
 		revision := f.editAccount(i)
 		for name := range f.daemons {
 			if took := f.awaitRevision(name, revision); took > inForceLimit {
-				t.Errorf("%s took %v", name, took)
+				t.Errorf("the edit took effect on %s only after %v", name, took)
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 	f.awaitRevision("d1", revision)
 	f.signal("d2", syscall.SIGCONT)
 	if took := f.awaitRevision("d2", revision); took > inForceLimit {
-		t.Errorf("took %v after it resumed", took)
+		t.Errorf("the last edit took effect only %v after the daemon resumed", took)
 	}
 }
 
@@ -74,6 +74,6 @@
 	f.awaitRevision("d2", 1)
 	f.await("d2 is ready", func() bool { s, err := f.status("d2"); return err == nil && s.Ready })
 	if _, complete, a := f.ask("d2", chat{prompt: "hive", seed: 1, tokens: 4}); !complete {
-		t.Fatalf("status %d: %s", a.status, a.body)
+		t.Fatalf("d2 did not complete the answer: status %d: %s", a.status, a.body)
 	}
 }
--- a/e2e/control_test.go
+++ b/e2e/control_test.go
@@ -65,28 +65,28 @@
 	}
 	t.Logf("%8s %8s %9s %8s | %8s %8s %10s %10s | %8s %8s %8s", "daemons", "engines", "accounts", "edits/s",
 		"cpu %", "rss MB", "sent KB/s", "recv KB/s", "reads/s", "writes/s", "boxes/s")
-	for _, p := range sizes {
-		c := measureControl(t, p)
-		t.Logf("%8d %8d %9d %8.1f | %8.2f %8.1f %10.2f %10.2f | %8.2f %8.2f %8.2f", p.daemons, p.engines, p.accounts, p.editsPerSecond,
+	for _, size := range sizes {
+		c := measureControl(t, size)
+		t.Logf("%8d %8d %9d %8.1f | %8.2f %8.1f %10.2f %10.2f | %8.2f %8.2f %8.2f", size.daemons, size.engines, size.accounts, size.editsPerSecond,
 			c.cpu, c.rss, c.sent, c.received, c.reads, c.writes, c.boxes)
 	}
 }
 
-func measureControl(t *testing.T, p fleetSize) controlCost {
+func measureControl(t *testing.T, size fleetSize) controlCost {
 	var c controlCost
-	t.Run(fmt.Sprintf("%d_%d_%d_%g", p.daemons, p.engines, p.accounts, p.editsPerSecond), func(t *testing.T) {
-		f := newFleet(t, shape{daemons: p.daemons, noDaemons: true})
-		f.listStubs(p.engines)
-		f.addAccounts(p.accounts)
+	t.Run(fmt.Sprintf("%d_%d_%d_%g", size.daemons, size.engines, size.accounts, size.editsPerSecond), func(t *testing.T) {
+		f := newFleet(t, shape{daemons: size.daemons, noDaemons: true})
+		f.listStubs(size.engines)
+		f.addAccounts(size.accounts)
 		for name := range f.daemons {
 			s := &f.daemons[name].settings
 			s.Observe.Boxes, s.Observe.Status = 1000, 500
 			s.Placement = true
 			f.start(name)
 		}
-		f.awaitReady(p.daemons)
+		f.awaitReady(size.daemons)
 		<-time.After(warmupTime)
-		c = f.measureCost(p)
+		c = f.measureCost(size)
 	})
 	return c
 }
@@ -126,7 +126,7 @@
 	f.commit(docs)
 }
 
-// usage is the cumulated usage of all daemons: processor time in ticks and peer
+// usage is the cumulative usage of all daemons: processor time in ticks and peer
 // traffic in bytes.
 type usage struct {
 	ticks, sent, received float64
@@ -138,7 +138,8 @@
 	rssPattern      = regexp.MustCompile(`VmRSS:\s+(\d+) kB`)
 )
 
-// ticksPerSecond is the unit of processor time in /proc.
+// ticksPerSecond is the number of ticks per second in which /proc reports
+// processor time.
 const ticksPerSecond = 100
 
 func (f *fleet) measureUsage() usage {
@@ -168,9 +169,9 @@
 	return n
 }
 
-func (f *fleet) measureCost(p fleetSize) controlCost {
+func (f *fleet) measureCost(size fleetSize) controlCost {
 	callsBefore, usageBefore := f.platform.Calls(), f.measureUsage()
-	f.editFor(measureTime, p.editsPerSecond)
+	f.editFor(measureTime, size.editsPerSecond)
 	usageAfter, callsAfter := f.measureUsage(), f.platform.Calls()
 	seconds, daemons := measureTime.Seconds(), float64(len(f.daemons))
 	c := controlCost{
--- a/e2e/daemons_test.go
+++ b/e2e/daemons_test.go
@@ -61,9 +61,9 @@
 			f.await("e2a has requests in flight", func() bool { return f.hasInFlight("e2a") })
 			c.leave(f)
 			leaveTime := time.Now()
-			f.await("every daemon has e2a as leaving", func() bool { return f.leavingCount("e2a") == len(f.daemons) })
+			f.await("every daemon shows e2a as leaving", func() bool { return f.leavingCount("e2a") == len(f.daemons) })
 			if took := time.Since(leaveTime); took > leaveLimit {
-				t.Errorf("all daemons have it as leaving only after %v", took)
+				t.Errorf("all daemons show e2a as leaving only after %v", took)
 			}
 			wg.Wait()
 			before := f.requestCount("e2a")
@@ -71,7 +71,7 @@
 				t.Errorf("%d of 24 later answers are complete", complete)
 			}
 			if after := f.requestCount("e2a"); after != before {
-				t.Errorf("e2a received %d new requests", after-before)
+				t.Errorf("e2a received %d new requests, want none", after-before)
 			}
 		})
 	}
@@ -89,7 +89,8 @@
 	f.platform.SetBoxes(f.boxes)
 }
 
-// leavingCount returns the number of daemons that have an upstream as leaving.
+// leavingCount returns the number of daemons whose status shows an upstream as
+// leaving.
 func (f *fleet) leavingCount(name string) int {
 	n := 0
 	for d := range f.daemons {
@@ -158,7 +159,7 @@
 	close(stop)
 	wg.Wait()
 	if served.Load() < 200 {
-		t.Errorf("only %d requests were served (%d refused)", served.Load(), refused.Load())
+		t.Errorf("only %d requests were served, want at least 200 (%d refused)", served.Load(), refused.Load())
 	}
 }
 
@@ -190,6 +191,8 @@
 	f.countAnswer(a, served, refused)
 }
 
+// countAnswer counts an answer as served or refused. A missing answer and a refusal
+// without Retry-After fail the test.
 func (f *fleet) countAnswer(a answer, served, refused *atomic.Int64) {
 	switch {
 	case a.err != nil:
@@ -213,7 +216,7 @@
 		return complete
 	})
 	if n := f.orderCount(); n < 1 || n > 2 {
-		t.Errorf("%d orders were given", n)
+		t.Errorf("%d orders took effect, want 1 or 2", n)
 	}
 	if complete := f.askConcurrently(12, 20, nil); complete != 12 {
 		t.Errorf("%d of 12 answers are complete", complete)
@@ -300,7 +303,7 @@
 					t.Errorf("%d of 12 answers are complete", complete)
 				}
 				if a := f.postReading("d1", fmt.Sprint(i), ""); a.outcome != "ran" {
-					t.Errorf("a reading without a key has the outcome %q", a.outcome)
+					t.Errorf("a reading without a key has the outcome %q, want ran", a.outcome)
 				}
 			}
 			f.platform.SetFaults(platform.Faults{})
@@ -358,7 +361,7 @@
 		p.SetFaults(faultproxy.Faults{Refuse: true})
 		p.CloseConnections()
 	}
-	f.await("each daemon is alone", func() bool { return f.peerCount("d1") == 1 && f.peerCount("d2") == 1 })
+	f.await("each daemon knows no other daemon", func() bool { return f.peerCount("d1") == 1 && f.peerCount("d2") == 1 })
 	revision := f.editAccount(1)
 	for name := range f.daemons {
 		f.awaitRevision(name, revision)
@@ -366,7 +369,7 @@
 		f.checkOutcome("same", f.postReading(name, "same", "k-same"))
 	}
 	if f.runCount("same") != 1 {
-		t.Errorf("one key ran %d times on partitioned daemons", f.runCount("same"))
+		t.Errorf("requests with one key ran %d times on partitioned daemons, want once", f.runCount("same"))
 	}
 	for _, p := range peerProxies {
 		p.SetFaults(faultproxy.Faults{})
@@ -374,6 +377,8 @@
 	f.awaitReady(2)
 }
 
+// peerCount returns the number of daemons that a daemon knows, including itself,
+// or 0 if it does not answer.
 func (f *fleet) peerCount(name string) int {
 	s, err := f.status(name)
 	if err != nil {
@@ -382,6 +387,7 @@
 	return len(s.Peers)
 }
 
+// peerAddr returns the address in the box list at which peers reach a daemon.
 func (f *fleet) peerAddr(name string) string {
 	for _, b := range f.boxes {
 		if b.Name == name {
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -67,10 +67,10 @@
 	daemons         int
 	enginesPerStage int // engines for each of the three stages
 	services        int
-	boxLag          time.Duration
+	boxLag          time.Duration // until the box list shows a change
 	speed           engine.Accelerator
-	noDaemons       bool // whether the test starts the daemons itself
-	limits          string
+	noDaemons       bool   // whether the test starts the daemons itself
+	limits          string // limits in the account template as JSON, "" for none
 }
 
 var testSpeed = engine.Accelerator{Kind: "t", Slots: 32, BaseTime: 2 * time.Millisecond, PositionLayerTime: time.Microsecond, MaxLayers: 24}
@@ -218,10 +218,12 @@
 	case err := <-f.daemons[name].exited:
 		f.check(err)
 	case <-time.After(awaitLimit):
-		f.t.Fatalf("%s does not exit", name)
+		f.t.Fatalf("%s did not exit in time", name)
 	}
 }
 
+// awaitReady waits until all daemons are ready and each knows at least the given
+// number of daemons, including itself.
 func (f *fleet) awaitReady(peers int) {
 	f.t.Helper()
 	for name := range f.daemons {
@@ -274,6 +276,8 @@
 	return edit.Revision
 }
 
+// configure commits the initial configuration: a model, a site, an account template
+// with the limits and an account with testKey.
 func (f *fleet) configure(limits string) {
 	if limits == "" {
 		limits = "{}"
@@ -305,7 +309,8 @@
 // may.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 30 * time.Second}
 
-// call sends a request to one daemon.
+// call sends a request to one daemon, with testKey unless the headers contain
+// another Authorization.
 func (f *fleet) call(name, method, path string, headers map[string]string, body string) answer {
 	req, err := http.NewRequest(method, "http://"+f.daemons[name].settings.Listen+path, bytes.NewBufferString(body))
 	if err != nil {
@@ -327,6 +332,8 @@
 	}
 }
 
+// postReading sends a reading to the plain service, with an idempotency key unless
+// key is "".
 func (f *fleet) postReading(name, id, key string) answer {
 	headers := map[string]string{}
 	if key != "" {
@@ -335,8 +342,7 @@
 	return f.call(name, http.MethodPost, "/services/readings/readings", headers, `{"id":"`+id+`"}`)
 }
 
-// runCount returns the number of runs of a reading over all upstreams of the
-// service.
+// runCount returns how often all upstreams of the service together ran a reading.
 func (f *fleet) runCount(id string) int {
 	n := 0
 	for _, s := range f.services {
@@ -364,8 +370,7 @@
 	return model.Text(model.Answer(f.spec, "<user> "+c.prompt, uint64(c.seed), c.tokens))
 }
 
-// ask sends a chat and returns the text and whether the answer ends as a complete
-// one.
+// ask sends a chat and returns the text and whether the answer is complete.
 func (f *fleet) ask(name string, c chat) (text string, complete bool, a answer) {
 	a = f.call(name, http.MethodPost, "/v1/chat/completions", nil, c.body())
 	if a.err != nil || a.status != http.StatusOK {
--- a/e2e/gateway_test.go
+++ b/e2e/gateway_test.go
@@ -37,11 +37,11 @@
 	t.Helper()
 	store := platformtest.NewStore()
 	addr, err := store.Listen()
-	r := &gateway{t: t, settings: settings.DefaultGateway(), fleet: platformtest.NewFleet(store, 1), exited: make(chan error, 1)}
-	r.check(err)
+	g := &gateway{t: t, settings: settings.DefaultGateway(), fleet: platformtest.NewFleet(store, 1), exited: make(chan error, 1)}
+	g.check(err)
 	t.Cleanup(store.Close)
-	e, err := r.fleet.Start("p-0", "readings", testZone, "")
-	r.check(err)
+	e, err := g.fleet.Start("p-0", "readings", testZone, "")
+	g.check(err)
 	t.Cleanup(e.Kill)
 	store.Set("config", "main", map[string]any{
 		"version": 1, "services": []any{map[string]any{"name": "readings", "health_path": "/healthz"}},
@@ -51,62 +51,62 @@
 		}},
 	})
 	ip := nextIP()
-	s := &r.settings
+	s := &g.settings
 	s.Name, s.Zone, s.Platform, s.FleetSecret = "front-1", testZone, addr, testSecret
 	s.Listen, s.ReadyListen, s.PeerListen, s.MetricsListen = ip+":9001", ip+":9201", ip+":9401", ip+":9601"
 	s.Bounds.Revoke, s.Bounds.Grace = 5000, 8000
-	return r
+	return g
 }
 
-func (r *gateway) check(err error) {
-	r.t.Helper()
+func (g *gateway) check(err error) {
+	g.t.Helper()
 	if err != nil {
-		r.t.Fatal(err)
+		g.t.Fatal(err)
 	}
 }
 
 // start starts the process. After a failed test its log is printed.
-func (r *gateway) start() {
-	r.t.Helper()
-	s := r.settings
+func (g *gateway) start() {
+	g.t.Helper()
+	s := g.settings
 	data, err := json.Marshal(map[string]any{
 		"name": s.Name, "availability_zone": s.Zone, "platform": s.Platform, "fleet_secret": s.FleetSecret,
 		"listen": s.Listen, "ready_listen": s.ReadyListen, "peer_listen": s.PeerListen, "metrics_listen": s.MetricsListen,
 		"bounds": map[string]any{"revoke_ms": s.Bounds.Revoke, "grace_ms": s.Bounds.Grace},
 	})
-	r.check(err)
-	dir := r.t.TempDir()
+	g.check(err)
+	dir := g.t.TempDir()
 	file := filepath.Join(dir, "settings.json")
-	r.check(os.WriteFile(file, data, 0o600))
-	r.logs = filepath.Join(dir, "log")
-	out, err := os.Create(r.logs)
-	r.check(err)
-	r.cmd = exec.Command("spanrilld", "gateway", "--settings", file)
-	r.cmd.Stdout, r.cmd.Stderr = out, out
-	r.check(r.cmd.Start())
-	go func() { r.exited <- r.cmd.Wait() }()
-	r.t.Cleanup(func() {
-		_ = r.cmd.Process.Signal(syscall.SIGCONT)
-		_ = r.cmd.Process.Kill()
-		if r.t.Failed() {
-			r.t.Logf("logs:\n%s", tail([]byte(r.log()), 6000))
+	g.check(os.WriteFile(file, data, 0o600))
+	g.logs = filepath.Join(dir, "log")
+	out, err := os.Create(g.logs)
+	g.check(err)
+	g.cmd = exec.Command("spanrilld", "gateway", "--settings", file)
+	g.cmd.Stdout, g.cmd.Stderr = out, out
+	g.check(g.cmd.Start())
+	go func() { g.exited <- g.cmd.Wait() }()
+	g.t.Cleanup(func() {
+		_ = g.cmd.Process.Signal(syscall.SIGCONT)
+		_ = g.cmd.Process.Kill()
+		if g.t.Failed() {
+			g.t.Logf("logs:\n%s", tail([]byte(g.log()), 6000))
 		}
 	})
 }
 
-func (r *gateway) log() string {
-	data, err := os.ReadFile(r.logs)
-	r.check(err)
+func (g *gateway) log() string {
+	data, err := os.ReadFile(g.logs)
+	g.check(err)
 	return string(data)
 }
 
 // await waits until a condition holds and fails the test after awaitLimit.
-func (r *gateway) await(condition string, isMet func() bool) {
-	r.t.Helper()
+func (g *gateway) await(condition string, isMet func() bool) {
+	g.t.Helper()
 	deadline := time.Now().Add(awaitLimit)
 	for !isMet() {
 		if time.Now().After(deadline) {
-			r.t.Fatalf("condition not met in time: %s", condition)
+			g.t.Fatalf("condition not met in time: %s", condition)
 		}
 		<-time.After(10 * time.Millisecond)
 	}
@@ -114,9 +114,9 @@
 
 // readyStatus returns the status of a readiness request, as the balancer sends it, or 0
 // without an answer. An idle connection is reused if there is one.
-func (r *gateway) readyStatus() int {
+func (g *gateway) readyStatus() int {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + r.settings.ReadyListen + platform.ReadyPath)
+	resp, err := client.Get("http://" + g.settings.ReadyListen + platform.ReadyPath)
 	if err != nil {
 		return 0
 	}
@@ -129,11 +129,11 @@
 
 // limitDescriptors sets the number of descriptors that the process may open and returns
 // the previous limit.
-func (r *gateway) limitDescriptors(n uint64) uint64 {
-	r.t.Helper()
+func (g *gateway) limitDescriptors(n uint64) uint64 {
+	g.t.Helper()
 	var previous unix.Rlimit
-	r.check(unix.Prlimit(r.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &previous))
-	r.check(unix.Prlimit(r.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: previous.Max}, nil))
+	g.check(unix.Prlimit(g.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &previous))
+	g.check(unix.Prlimit(g.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: previous.Max}, nil))
 	return previous.Cur
 }
 
@@ -169,14 +169,14 @@
 	callTimeout = time.Second
 )
 
-func (r *gateway) startCallers() *callerPool {
+func (g *gateway) startCallers() *callerPool {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &callerPool{gateway: r, cancel: cancel}
+	c := &callerPool{gateway: g, cancel: cancel}
 	c.repeat(ctx, readinessPause, c.checkReadiness)
 	for range callerCount {
 		c.repeat(ctx, callPause, c.call)
 	}
-	r.t.Cleanup(c.stop)
+	g.t.Cleanup(c.stop)
 	return c
 }
 
@@ -221,8 +221,10 @@
 	c.served++
 }
 
-func (r *gateway) call() error {
-	conn, err := net.DialTimeout("tcp", r.settings.Listen, callTimeout)
+// call sends one request over a new connection. It returns an error unless the
+// connection opens within callTimeout and an answer begins within another callTimeout.
+func (g *gateway) call() error {
+	conn, err := net.DialTimeout("tcp", g.settings.Listen, callTimeout)
 	if err != nil {
 		return fmt.Errorf("connect: %w", err)
 	}
@@ -237,8 +239,7 @@
 	return nil
 }
 
-// awaitMoreAnswers waits until twice as many more calls are answered as there are
-// callers.
+// awaitMoreAnswers waits until 2*callerCount more calls are answered.
 func (c *callerPool) awaitMoreAnswers(phase string) {
 	c.gateway.t.Helper()
 	before := c.answerCount()
@@ -283,27 +284,27 @@
 // settings, runs out of descriptors and stops.
 func TestReadyDaemonAcceptsConnections(t *testing.T) {
 	t.Parallel()
-	r := newGateway(t)
-	c := r.startCallers()
-	r.start()
+	g := newGateway(t)
+	c := g.startCallers()
+	g.start()
 	c.awaitMoreAnswers("at the start")
 	for range 5 {
-		r.check(r.cmd.Process.Signal(syscall.SIGHUP))
+		g.check(g.cmd.Process.Signal(syscall.SIGHUP))
 	}
-	r.await("the settings are reloaded", func() bool { return strings.Contains(r.log(), `"event":106,`) })
+	g.await("the settings are reloaded", func() bool { return strings.Contains(g.log(), `"event":106,`) })
 	c.awaitMoreAnswers("after the settings were reloaded")
-	before := r.limitDescriptors(1)
-	r.await("no connection is accepted", func() bool { return strings.Contains(r.log(), `"event":107,`) })
-	r.await("readiness fails", func() bool { return r.readyStatus() == http.StatusServiceUnavailable })
-	r.limitDescriptors(before)
-	r.await("it is ready again", func() bool { return r.readyStatus() == http.StatusOK })
+	before := g.limitDescriptors(1)
+	g.await("the daemon logs that it cannot accept connections", func() bool { return strings.Contains(g.log(), `"event":107,`) })
+	g.await("readiness fails", func() bool { return g.readyStatus() == http.StatusServiceUnavailable })
+	g.limitDescriptors(before)
+	g.await("the daemon is ready again", func() bool { return g.readyStatus() == http.StatusOK })
 	c.awaitMoreAnswers("after the descriptor limit was raised")
-	r.check(r.cmd.Process.Signal(syscall.SIGTERM))
+	g.check(g.cmd.Process.Signal(syscall.SIGTERM))
 	select {
-	case err := <-r.exited:
-		r.check(err)
+	case err := <-g.exited:
+		g.check(err)
 	case <-time.After(awaitLimit):
-		t.Fatal("the daemon does not exit")
+		t.Fatal("the daemon did not exit in time")
 	}
 	c.stop()
 	c.checkNoFailureWhileReady()
@@ -313,24 +314,24 @@
 // read, reaches no upstream.
 func TestCallerDisconnectsBeforeItsRequestIsRead(t *testing.T) {
 	t.Parallel()
-	r := newGateway(t)
-	r.start()
-	r.await("it is ready", func() bool { return r.readyStatus() == http.StatusOK })
-	r.await("a request is answered", func() bool { return r.call() == nil && r.fleet.Work("r").Arrivals > 0 })
-	r.check(r.cmd.Process.Signal(syscall.SIGSTOP))
+	g := newGateway(t)
+	g.start()
+	g.await("the daemon is ready", func() bool { return g.readyStatus() == http.StatusOK })
+	g.await("a request is answered", func() bool { return g.call() == nil && g.fleet.Work("r").Arrivals > 0 })
+	g.check(g.cmd.Process.Signal(syscall.SIGSTOP))
 	const callers = 20
 	for i := range callers {
-		conn, err := net.DialTimeout("tcp", r.settings.Listen, callTimeout)
-		r.check(err)
+		conn, err := net.DialTimeout("tcp", g.settings.Listen, callTimeout)
+		g.check(err)
 		_, err = fmt.Fprintf(conn, "GET /open/x HTTP/1.1\r\nHost: api.example\r\nX-Request-Id: left-%d\r\n\r\n", i)
-		r.check(err)
-		r.check(conn.Close())
+		g.check(err)
+		g.check(conn.Close())
 	}
-	r.check(r.cmd.Process.Signal(syscall.SIGCONT))
-	r.await("all disconnected callers are logged", func() bool { return strings.Count(r.log(), `"event":627,`) >= callers })
+	g.check(g.cmd.Process.Signal(syscall.SIGCONT))
+	g.await("all disconnected callers are logged", func() bool { return strings.Count(g.log(), `"event":627,`) >= callers })
 	for i := range callers {
-		if n := r.fleet.Work(fmt.Sprintf("left-%d", i)).Arrivals; n > 0 {
-			t.Errorf("request %d reached an upstream %d times", i, n)
+		if n := g.fleet.Work(fmt.Sprintf("left-%d", i)).Arrivals; n > 0 {
+			t.Errorf("request %d of a disconnected caller reached an upstream %d times, want never", i, n)
 		}
 	}
 }
--- a/e2e/idempotency_test.go
+++ b/e2e/idempotency_test.go
@@ -19,11 +19,11 @@
 	runs := f.runCount(id)
 	switch {
 	case runs > 1:
-		f.t.Errorf("%s ran %d times", id, runs)
+		f.t.Errorf("%s ran %d times, want at most once", id, runs)
 	case a.outcome == "not-run" && runs != 0:
 		f.t.Errorf("%s ran, but its outcome is not-run", id)
 	case a.outcome == "ran" && runs != 1:
-		f.t.Errorf("%s has the outcome ran, but ran %d times", id, runs)
+		f.t.Errorf("%s has the outcome ran, but ran %d times, want once", id, runs)
 	case a.err == nil && a.outcome == "":
 		f.t.Errorf("%s has no outcome: status %d", id, a.status)
 	}
@@ -83,7 +83,7 @@
 	f.proxies["s1"].Close()
 	a := f.postReading("d1", "r-1", "")
 	if a.outcome != "not-run" || a.header.Get("Retry-After") == "" {
-		t.Fatalf("outcome %q, Retry-After %q", a.outcome, a.header.Get("Retry-After"))
+		t.Fatalf("got outcome %q and Retry-After %q, want not-run and a Retry-After", a.outcome, a.header.Get("Retry-After"))
 	}
 	f.checkOutcome("r-1", a)
 }
@@ -98,7 +98,7 @@
 		}
 		wg.Wait()
 		if f.runCount(id) != 1 {
-			t.Errorf("%s ran %d times", id, f.runCount(id))
+			t.Errorf("%s ran %d times, want once", id, f.runCount(id))
 		}
 	}
 }
@@ -112,10 +112,10 @@
 			a.header.Get("Idempotent-Replayed") == "true"
 	})
 	if f.runCount("r-1") != 1 {
-		t.Fatalf("ran %d times", f.runCount("r-1"))
+		t.Fatalf("r-1 ran %d times, want once", f.runCount("r-1"))
 	}
 	if a := f.postReading("d2", "other", "k-1"); a.status != http.StatusUnprocessableEntity || f.runCount("other") != 0 {
-		t.Fatalf("another request with the same key: status %d, %d runs", a.status, f.runCount("other"))
+		t.Fatalf("another request with the same key: got status %d and %d runs, want 422 and none", a.status, f.runCount("other"))
 	}
 }
 
@@ -123,12 +123,12 @@
 	f := newFleet(t, shape{daemons: 2, services: 1})
 	f.services["s1"].SetFaults(service.Faults{LoseAnswers: 1})
 	if a := f.postReading("d1", "r-1", "k-1"); a.outcome != "unknown" {
-		t.Fatalf("outcome %q after a lost answer", a.outcome)
+		t.Fatalf("outcome %q after a lost answer, want unknown", a.outcome)
 	}
 	for i := range 4 {
 		a := f.postReading(fmt.Sprintf("d%d", 1+i%2), "r-1", "k-1")
 		if a.outcome != "unknown" {
-			t.Errorf("a repeat has the outcome %q", a.outcome)
+			t.Errorf("a repeat has the outcome %q, want unknown", a.outcome)
 		}
 		f.checkOutcome("r-1", a)
 	}
@@ -142,13 +142,13 @@
 	f.await("the call has reached the service", func() bool { return f.runCount("r-1") == 1 })
 	f.signal("d1", syscall.SIGKILL)
 	if a := <-answers; a.err == nil {
-		t.Fatalf("the killed daemon answered %d", a.status)
+		t.Fatalf("the killed daemon answered with status %d, want no answer", a.status)
 	}
 	for _, d := range []string{"d2", "d3", "d2"} {
 		f.checkOutcome("r-1", f.postReading(d, "r-1", "k-1"))
 	}
 	if f.runCount("r-1") != 1 {
-		t.Fatalf("ran %d times", f.runCount("r-1"))
+		t.Fatalf("r-1 ran %d times, want once", f.runCount("r-1"))
 	}
 }
 
@@ -163,15 +163,15 @@
 		started := time.Now()
 		a := f.postReading(fmt.Sprintf("d%d", 1+i%2), "r-1", "k-1")
 		if a.outcome != "unknown" || a.header.Get("Retry-After") == "" || f.runCount("r-1") != 0 {
-			t.Errorf("outcome %q (status %d) while the platform is down", a.outcome, a.status)
+			t.Errorf("outcome %q (status %d) while the platform is down, want unknown, a Retry-After and no run", a.outcome, a.status)
 		}
 		if took := time.Since(started); took > 2*time.Second {
-			t.Errorf("refused after %v", took)
+			t.Errorf("refused only after %v, want within 2 s", took)
 		}
 	}
 	// A call without a key needs no claim and is served.
 	if a := f.postReading("d1", "r-2", ""); a.outcome != "ran" {
-		t.Errorf("a call without a key has the outcome %q", a.outcome)
+		t.Errorf("a call without a key has the outcome %q, want ran", a.outcome)
 	}
 	f.platform.SetFaults(platform.Faults{})
 	f.await("the key can be used again", func() bool { return f.postReading("d1", "r-1", "k-1").outcome == "ran" })
@@ -188,7 +188,7 @@
 		f.checkOutcome(id, f.postReading("d1", id, "k-"+id))
 		f.checkOutcome(id, f.postReading("d2", id, "k-"+id))
 		if f.runCount(id) != 1 {
-			t.Errorf("%s ran %d times", id, f.runCount(id))
+			t.Errorf("%s ran %d times, want once", id, f.runCount(id))
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	f.checkOutcome("r-1", <-answers)
 	f.checkOutcome("r-1", f.postReading("d2", "r-1", "k-1"))
 	if f.runCount("r-1") != 1 {
-		t.Fatalf("ran %d times", f.runCount("r-1"))
+		t.Fatalf("r-1 ran %d times, want once", f.runCount("r-1"))
 	}
 }
 
--- a/e2e/random_test.go
+++ b/e2e/random_test.go
@@ -48,9 +48,9 @@
 		wg.Go(func() { f.runCheckedLoad(w, stop) })
 	}
 	wg.Go(func() { f.watchRevisions(stop) })
-	c := &faultInjector{f: f, random: rand.New(rand.NewPCG(uint64(seed), 0))}
+	inj := &faultInjector{f: f, random: rand.New(rand.NewPCG(uint64(seed), 0))}
 	for end := time.Now().Add(time.Duration(seconds) * time.Second); time.Now().Before(end); {
-		c.injectTwo()
+		inj.injectTwo()
 	}
 	close(stop)
 	wg.Wait()
@@ -96,98 +96,101 @@
 				continue
 			}
 			if s.Revision < last[name] {
-				f.t.Errorf("%s went from revision %d to %d", name, last[name], s.Revision)
+				f.t.Errorf("the revision of %s decreased from %d to %d", name, last[name], s.Revision)
 			}
 			last[name] = s.Revision
 		}
 	}
 }
 
-// injectTwo injects two faults, waits and removes them.
-func (c *faultInjector) injectTwo() {
+// injectTwo injects two faults, waits and removes them. The second one is drawn
+// from the first six in the list: faults of upstreams, services and the platform.
+func (inj *faultInjector) injectTwo() {
 	faults := []func() func(){
-		c.cutUpstream, c.freezeUpstream, c.slowUpstream, c.loseServiceAnswers,
-		c.failPlatform, c.losePlatformAnswers, c.freezeDaemon, c.killDaemon, c.corruptTokens, c.editConfig,
+		inj.cutUpstream, inj.freezeUpstream, inj.slowUpstream, inj.loseServiceAnswers,
+		inj.failPlatform, inj.losePlatformAnswers, inj.freezeDaemon, inj.killDaemon, inj.corruptTokens, inj.editConfig,
 	}
-	endFirst, endSecond := faults[c.random.IntN(len(faults))](), faults[c.random.IntN(6)]()
-	<-time.After(time.Duration(100+c.random.IntN(500)) * time.Millisecond)
+	endFirst, endSecond := faults[inj.random.IntN(len(faults))](), faults[inj.random.IntN(6)]()
+	<-time.After(time.Duration(100+inj.random.IntN(500)) * time.Millisecond)
 	endFirst()
 	endSecond()
 }
 
-func (c *faultInjector) upstream() string {
-	names := make([]string, 0, len(c.f.boxes))
-	for _, b := range c.f.boxes {
-		if c.f.proxies[b.Name] != nil {
+func (inj *faultInjector) upstream() string {
+	names := make([]string, 0, len(inj.f.boxes))
+	for _, b := range inj.f.boxes {
+		if inj.f.proxies[b.Name] != nil {
 			names = append(names, b.Name)
 		}
 	}
-	return names[c.random.IntN(len(names))]
+	return names[inj.random.IntN(len(names))]
 }
 
-func (c *faultInjector) engine() *engine.Engine {
-	return c.f.engines[fmt.Sprintf("e%d%c", 1+c.random.IntN(3), 'a'+c.random.IntN(3))]
+func (inj *faultInjector) engine() *engine.Engine {
+	return inj.f.engines[fmt.Sprintf("e%d%c", 1+inj.random.IntN(3), 'a'+inj.random.IntN(3))]
 }
 
-func (c *faultInjector) daemon() string { return fmt.Sprintf("d%d", 1+c.random.IntN(3)) }
+func (inj *faultInjector) daemon() string { return fmt.Sprintf("d%d", 1+inj.random.IntN(3)) }
 
 // proxyFault injects a fault into the proxy of a random upstream.
-func (c *faultInjector) proxyFault(fault faultproxy.Faults) func() {
-	p := c.f.proxies[c.upstream()]
+func (inj *faultInjector) proxyFault(fault faultproxy.Faults) func() {
+	p := inj.f.proxies[inj.upstream()]
 	p.SetFaults(fault)
 	return func() { p.SetFaults(faultproxy.Faults{}) }
 }
 
-func (c *faultInjector) cutUpstream() func() {
-	p := c.f.proxies[c.upstream()]
+func (inj *faultInjector) cutUpstream() func() {
+	p := inj.f.proxies[inj.upstream()]
 	p.SetFaults(faultproxy.Faults{Refuse: true})
 	p.CloseConnections()
 	return func() { p.SetFaults(faultproxy.Faults{}) }
 }
 
-func (c *faultInjector) freezeUpstream() func() { return c.proxyFault(faultproxy.Faults{Freeze: true}) }
+func (inj *faultInjector) freezeUpstream() func() {
+	return inj.proxyFault(faultproxy.Faults{Freeze: true})
+}
 
-func (c *faultInjector) slowUpstream() func() {
-	return c.proxyFault(faultproxy.Faults{DelayMillis: 20})
+func (inj *faultInjector) slowUpstream() func() {
+	return inj.proxyFault(faultproxy.Faults{DelayMillis: 20})
 }
 
-func (c *faultInjector) loseServiceAnswers() func() {
-	s := c.f.services["s1"]
+func (inj *faultInjector) loseServiceAnswers() func() {
+	s := inj.f.services["s1"]
 	s.SetFaults(service.Faults{LoseAnswers: 3})
 	return func() { s.SetFaults(service.Faults{}) }
 }
 
-func (c *faultInjector) failPlatform() func() {
-	c.f.platform.SetFaults(platform.Faults{Down: c.random.IntN(2) == 0, FailEvery: 2})
-	return func() { c.f.platform.SetFaults(platform.Faults{}) }
+func (inj *faultInjector) failPlatform() func() {
+	inj.f.platform.SetFaults(platform.Faults{Down: inj.random.IntN(2) == 0, FailEvery: 2})
+	return func() { inj.f.platform.SetFaults(platform.Faults{}) }
 }
 
-func (c *faultInjector) losePlatformAnswers() func() {
-	c.f.platform.SetFaults(platform.Faults{LoseAnswers: 2, LoseRequests: 1, StaleReads: 1})
-	return func() { c.f.platform.SetFaults(platform.Faults{}) }
+func (inj *faultInjector) losePlatformAnswers() func() {
+	inj.f.platform.SetFaults(platform.Faults{LoseAnswers: 2, LoseRequests: 1, StaleReads: 1})
+	return func() { inj.f.platform.SetFaults(platform.Faults{}) }
 }
 
-func (c *faultInjector) corruptTokens() func() {
-	e := c.engine()
+func (inj *faultInjector) corruptTokens() func() {
+	e := inj.engine()
 	e.SetFaults(engine.Faults{DoubleTokens: true, DropToken: 9})
 	return func() { e.SetFaults(engine.Faults{}) }
 }
 
-func (c *faultInjector) freezeDaemon() func() {
-	name := c.daemon()
-	c.f.signal(name, syscall.SIGSTOP)
-	return func() { c.f.signal(name, syscall.SIGCONT) }
+func (inj *faultInjector) freezeDaemon() func() {
+	name := inj.daemon()
+	inj.f.signal(name, syscall.SIGSTOP)
+	return func() { inj.f.signal(name, syscall.SIGCONT) }
 }
 
-func (c *faultInjector) killDaemon() func() {
-	name := c.daemon()
-	c.f.signal(name, syscall.SIGKILL)
-	<-c.f.daemons[name].exited
-	return func() { c.f.start(name) }
+func (inj *faultInjector) killDaemon() func() {
+	name := inj.daemon()
+	inj.f.signal(name, syscall.SIGKILL)
+	<-inj.f.daemons[name].exited
+	return func() { inj.f.start(name) }
 }
 
-func (c *faultInjector) editConfig() func() {
-	c.edits++
-	c.f.editAccount(c.edits)
+func (inj *faultInjector) editConfig() func() {
+	inj.edits++
+	inj.f.editAccount(inj.edits)
 	return func() {}
 }
--- a/e2e/script_test.go
+++ b/e2e/script_test.go
@@ -38,11 +38,13 @@
 	})
 }
 
-var scenarios atomic.Int64
+// usedIPs is the number of addresses that nextIP has returned.
+var usedIPs atomic.Int64
 
-// nextIP returns an unused loopback address.
+// nextIP returns a loopback address that this process has not used yet. The process
+// ID is part of it, so that concurrent test processes rarely share addresses.
 func nextIP() string {
-	return fmt.Sprintf("127.%d.%d.1", 10+os.Getpid()%200, scenarios.Add(1))
+	return fmt.Sprintf("127.%d.%d.1", 10+os.Getpid()%200, usedIPs.Add(1))
 }
 
 func TestScenarios(t *testing.T) {
