--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -25,9 +25,9 @@
 	InFlight       int64            `json:"in_flight"`
 	RoutingPolicy  string           `json:"routing_policy"`
 	PlacementTerm  uint64           `json:"placement_term,omitempty"` // term of the placement lease, if held
-	Running        int              `json:"running"`
-	Waiting        int              `json:"waiting"`
-	Peers          []string         `json:"peers"` // live daemons, including this one
+	Running        int              `json:"running"`                  // requests admitted
+	Waiting        int              `json:"waiting"`                  // requests in the queue
+	Peers          []string         `json:"peers"`                    // names of the live daemons, including this one
 	Upstreams      []UpstreamStatus `json:"upstreams"`
 }
 
@@ -52,8 +52,8 @@
 //	GET  /readyz    200 if the daemon should get requests
 //	GET  /metrics   counters
 //	GET  /status    a Status
-//	GET  /requests  the generations that ended last
-//	GET  /explain   the routing decision for an account's request
+//	GET  /requests  the most recently finished generations
+//	GET  /explain   the routing decision for an account and a model
 //	POST /drain     starts a planned stop
 func (d *Daemon) handleAdmin(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
@@ -98,7 +98,7 @@
 
 func (d *Daemon) serveAdmin(context.Context) error {
 	server := &fasthttp.Server{Handler: d.handleAdmin, NoDefaultServerHeader: true}
-	if err := server.Serve(d.admin); err != nil {
+	if err := server.Serve(d.adminListener); err != nil {
 		return fmt.Errorf("serve admin interface: %w", err)
 	}
 	return nil
@@ -115,10 +115,11 @@
 	return stages
 }
 
-// Recent returns the generations that ended last, newest first.
+// Recent returns the most recently finished generations, newest first.
 func (d *Daemon) Recent() []callerapi.Finished { return d.api.Recent() }
 
-// serveExplain explains the routing for the query arguments account and model.
+// serveExplain explains how a request of the client account and for the model in the query arguments
+// would be routed.
 func (d *Daemon) serveExplain(ctx *fasthttp.RequestCtx) {
 	account, model := string(ctx.QueryArgs().Peek("account")), string(ctx.QueryArgs().Peek("model"))
 	snapshot := d.follower.Current()
@@ -167,15 +168,15 @@
 	}
 	now := d.clock.Now()
 	for _, u := range d.table.Upstreams() {
-		us := UpstreamStatus{
+		status := UpstreamStatus{
 			Name: u.Name(), Addr: u.Addr(), Zone: u.Zone(), Service: u.Service(),
 			InFlight: u.InFlight(), Load: u.Load(now), Slowdown: u.Slowdown(now),
 			Leaving: d.table.Leaving(u), Ejected: u.Ejected(now),
 		}
 		if r := u.Report(); r != nil {
-			us.Model, us.Layers = r.Model, r.Layers
+			status.Model, status.Layers = r.Model, r.Layers
 		}
-		s.Upstreams = append(s.Upstreams, us)
+		s.Upstreams = append(s.Upstreams, status)
 	}
 	return s
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -63,14 +63,14 @@
 	api      *callerapi.Server
 	peers    *peers
 	engines  spanrill.Engines
-	lease    atomic.Pointer[lease.Lease] // of the placement of this daemon's site
+	lease    atomic.Pointer[lease.Lease] // placement lease of this daemon's site, nil until runPlacement sets it
 
-	callers  net.Listener
-	admin    net.Listener
-	draining atomic.Bool
-	stop     chan struct{} // closed when an operator asks for a planned stop
-	stopOnce sync.Once
-	done     chan struct{}
+	callerListener net.Listener
+	adminListener  net.Listener
+	draining       atomic.Bool
+	stopRequested  chan struct{} // closed when an operator asks for a planned stop
+	stopOnce       sync.Once
+	done           chan struct{}
 
 	work   context.Context // ends when the daemon has drained
 	cancel context.CancelFunc
@@ -93,7 +93,7 @@
 func New(s settings.Settings, opts ...Option) (*Daemon, error) {
 	d := &Daemon{
 		settings: s, clock: clock.NewSystem(), log: logrus.NewEntry(logrus.StandardLogger()),
-		meters: meter.New(), stop: make(chan struct{}), done: make(chan struct{}),
+		meters: meter.New(), stopRequested: make(chan struct{}), done: make(chan struct{}),
 	}
 	d.work, d.cancel = context.WithCancel(context.Background())
 	for _, o := range opts {
@@ -110,6 +110,7 @@
 	return d, nil
 }
 
+// seedOf returns the configured seed of the random source, or one derived from the time.
 func seedOf(s settings.Settings) uint64 {
 	if s.Seed != 0 {
 		return s.Seed
@@ -130,7 +131,7 @@
 		return fmt.Errorf("build peers: %w", err)
 	}
 	d.follower = config.NewFollower(d.platform, config.WithClock(d.clock), config.WithLogger(d.log),
-		config.WithJitter(d.jitter), config.WithOnChange(d.configChanged), config.WithWatchesHead(d.peers.watchesStore))
+		config.WithJitter(d.jitter), config.WithOnChange(d.configChanged), config.WithWatchesHead(d.peers.shouldWatchHead))
 	engines, services := engineapi.New(d.http), serviceapi.New(d.http)
 	d.engines = engines
 	d.observer = observe.New(d.platform, engines, services, d.table, d.clock, observe.WithLogger(d.log),
@@ -167,6 +168,7 @@
 	return pause/2 + spanrill.Millis(d.random.Float64()*float64(pause))
 }
 
+// configChanged applies the sites of a new configuration, and gossips its revision at once.
 func (d *Daemon) configChanged(s *config.Snapshot) {
 	d.table.SetSites(func(zone string) string {
 		if site := s.SiteOf(zone); site != nil {
@@ -179,27 +181,27 @@
 
 func (d *Daemon) listen() error {
 	var err error
-	if d.callers, err = net.Listen("tcp", d.settings.Listen); err != nil {
+	if d.callerListener, err = net.Listen("tcp", d.settings.Listen); err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	if d.admin, err = net.Listen("tcp", d.settings.AdminListen); err != nil {
-		_ = d.callers.Close()
+	if d.adminListener, err = net.Listen("tcp", d.settings.AdminListen); err != nil {
+		_ = d.callerListener.Close()
 		return fmt.Errorf("listen for operators: %w", err)
 	}
 	return nil
 }
 
 // Addr returns the address that callers use.
-func (d *Daemon) Addr() string { return d.callers.Addr().String() }
+func (d *Daemon) Addr() string { return d.callerListener.Addr().String() }
 
 // AdminAddr returns the address that operators use.
-func (d *Daemon) AdminAddr() string { return d.admin.Addr().String() }
+func (d *Daemon) AdminAddr() string { return d.adminListener.Addr().String() }
 
 // Meters returns the daemon's counters.
 func (d *Daemon) Meters() *meter.Meters { return d.meters }
 
 // Stop starts a planned stop.
-func (d *Daemon) Stop() { d.stopOnce.Do(func() { close(d.stop) }) }
+func (d *Daemon) Stop() { d.stopOnce.Do(func() { close(d.stopRequested) }) }
 
 // Done returns a channel that is closed when the daemon has stopped.
 func (d *Daemon) Done() <-chan struct{} { return d.done }
@@ -212,16 +214,16 @@
 	defer d.cancel()
 	var tasks task.Group
 	failed := make(chan error, 1)
-	for name, part := range d.parts() {
+	for name, run := range d.components() {
 		tasks.Start(d.work, name, func(ctx context.Context) error {
-			return d.runPart(ctx, name, part, failed)
+			return d.runComponent(ctx, name, run, failed)
 		})
 	}
 	var err error
 	select {
 	case <-ctx.Done():
 		d.drain()
-	case <-d.stop:
+	case <-d.stopRequested:
 		d.drain()
 	case err = <-failed:
 	}
@@ -236,12 +238,12 @@
 	return err
 }
 
-// parts returns the long-running components by name.
-func (d *Daemon) parts() map[string]func(context.Context) error {
+// components returns the long-running components by name.
+func (d *Daemon) components() map[string]func(context.Context) error {
 	return map[string]func(context.Context) error{
 		"configuration": d.follower.Run,
 		"observer":      d.observer.Run,
-		"callers":       func(ctx context.Context) error { return d.api.Serve(ctx, d.callers) },
+		"callers":       func(ctx context.Context) error { return d.api.Serve(ctx, d.callerListener) },
 		"admin":         d.serveAdmin,
 		"readiness":     d.logReady,
 		"peers":         d.peers.run,
@@ -249,19 +251,20 @@
 	}
 }
 
-func (d *Daemon) runPart(ctx context.Context, name string, part func(context.Context) error, failed chan<- error) error {
-	err := part(ctx)
+func (d *Daemon) runComponent(ctx context.Context, name string, run func(context.Context) error, failed chan<- error) error {
+	err := run(ctx)
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
 	events.ComponentFailed.Log(d.log, logrus.Fields{"part": name, "error": err})
 	select {
-	case failed <- fmt.Errorf("part %s: %w", name, err):
+	case failed <- fmt.Errorf("component %s: %w", name, err):
 	default:
 	}
 	return err
 }
 
+// logReady logs when the daemon has read the configuration and seen upstreams.
 func (d *Daemon) logReady(ctx context.Context) error {
 	for _, ready := range []<-chan struct{}{d.follower.Ready(), d.observer.Ready()} {
 		select {
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -13,8 +13,9 @@
 // drainPoll is how often a draining daemon checks whether requests still run.
 const drainPoll = 20 * spanrill.Millis(1)
 
-// drain fails readiness, accepts requests until the load balancer has noticed, and then refuses
-// new ones. It returns when the running requests have ended, or at the end of the drain time.
+// drain fails readiness, accepts requests for the notice time, in which the load balancer notices,
+// and then refuses new ones. It returns when the running requests have ended, or after the finish
+// time at the latest.
 func (d *Daemon) drain() {
 	if d.draining.Swap(true) {
 		return
@@ -23,9 +24,9 @@
 	d.peers.list.Leave(d.work)
 	<-d.clock.After(d.settings.Drain.Notice)
 	d.api.Drain()
-	limit := d.clock.Now() + d.settings.Drain.Finish
+	deadline := d.clock.Now() + d.settings.Drain.Finish
 	for d.api.InFlight() > 0 {
-		if d.clock.Now() > limit {
+		if d.clock.Now() > deadline {
 			events.DaemonDrainTimedOut.Log(d.log, logrus.Fields{"in_flight": d.api.InFlight()})
 			return
 		}
@@ -33,14 +34,14 @@
 	}
 }
 
-// closeTimeout bounds the wait for open connections at the end.
+// closeTimeout bounds the wait for callers' connections to end when the daemon closes.
 const closeTimeout = time.Second
 
 func (d *Daemon) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = d.api.Shutdown(ctx)
-	_ = d.callers.Close()
-	_ = d.admin.Close()
+	_ = d.callerListener.Close()
+	_ = d.adminListener.Close()
 	d.http.Close()
 }
--- a/daemon/peerhandler.go
+++ b/daemon/peerhandler.go
@@ -23,11 +23,11 @@
 	if reply == nil {
 		return nil
 	}
-	answer, err := peermsg.Encode(reply)
+	encoded, err := peermsg.Encode(reply)
 	if err != nil {
 		return nil
 	}
-	return answer
+	return encoded
 }
 
 func (p *peers) dispatch(from string, kind peernet.Kind, payload []byte) (reply any, err error) {
@@ -53,13 +53,13 @@
 			p.claims.HandleOutcome(&m)
 		}
 	default:
-		return p.answer(kind, payload)
+		return p.replyTo(kind, payload)
 	}
 	return nil, err
 }
 
-// answer returns the reply to a request of a peer.
-func (p *peers) answer(kind peernet.Kind, payload []byte) (any, error) {
+// replyTo returns the reply to a request of a peer.
+func (p *peers) replyTo(kind peernet.Kind, payload []byte) (any, error) {
 	switch kind {
 	case peermsg.KindHead:
 		return p.headReply(), nil
@@ -89,6 +89,7 @@
 	return nil, errUnknownKind
 }
 
+// headReply returns the head of this daemon's configuration, without a value if it has none.
 func (p *peers) headReply() *peermsg.Head {
 	reply := &peermsg.Head{}
 	if head := p.daemon.follower.Head(); head != nil {
@@ -99,6 +100,7 @@
 	return reply
 }
 
+// applyReports records the reports of upstreams that a peer forwarded.
 func (p *peers) applyReports(m *peermsg.Reports) {
 	reports := make([]load.Report, len(m.Reports))
 	for i, r := range m.Reports {
@@ -107,6 +109,7 @@
 	p.daemon.table.ReportAll(reports)
 }
 
+// applyDemand records the demand of each client account at a peer.
 func (p *peers) applyDemand(from string, m *peermsg.Demand) {
 	accounts := make(map[string]float64, len(m.Accounts))
 	for _, a := range m.Accounts {
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -28,7 +28,7 @@
 	list   *membership.List
 	claims *claim.Claims
 
-	boxes       atomic.Pointer[[]byte] // the last box list as JSON
+	boxes       atomic.Pointer[[]byte] // the last box list as JSON, nil before the first
 	fetching    sync.Mutex             // held while a configuration is fetched
 	fetches     task.Group
 	lastReports map[string]sentReport // by name of the upstream
@@ -47,7 +47,7 @@
 		PeerAddr: d.settings.PeerAddr(), AdminAddr: d.settings.AdminListen,
 	}
 	p.list = membership.New(self, d.clock, p.gossip, membership.WithLogger(d.log),
-		membership.WithRandom(d.random), membership.WithRevision(d.revision, p.fetchNewer))
+		membership.WithRandom(d.random), membership.WithRevision(d.revision, p.fetchNewerConfig))
 	p.setBoxes(nil)
 	return p, nil
 }
@@ -68,6 +68,7 @@
 // demandInterval is the pause between two demand messages.
 const demandInterval = spanrill.Second
 
+// exchangeDemand maintains the admission gate and sends this daemon's demand periodically.
 func (p *peers) exchangeDemand(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.daemon.gate.SetDaemons(len(p.list.Live()))
@@ -134,9 +135,9 @@
 	return p.list.Owns("observe/"+upstream, p.daemon.settings.Observe.Observers)
 }
 
-// BroadcastReports forwards reports of upstreams to the other daemons. A report that differs in more
-// than load is sent at once. One that differs only in load is sent every loadReportInterval, by
-// the first of the upstream's observers.
+// BroadcastReports forwards reports of upstreams to the other daemons. A report that differs from the
+// last one in more than load is sent at once. Other reports are sent every loadReportInterval, by
+// the first of the upstream's observers only.
 func (p *peers) BroadcastReports(reports []spanrill.UpstreamStatus) {
 	m := &peermsg.Reports{}
 	now := p.daemon.clock.Now()
@@ -150,8 +151,8 @@
 	}
 }
 
-// loadReportInterval is the pause between two reports that differ only in load. It is shorter than
-// the age at which a daemon asks an upstream itself.
+// loadReportInterval is the pause between two reports that differ at most in load. It is shorter than
+// the age of a report at which a daemon asks the upstream itself.
 const loadReportInterval = 2 * spanrill.Second
 
 // sentReport is the last report of an upstream that was sent.
@@ -173,14 +174,15 @@
 	return true
 }
 
-// The head of the configuration in the platform's store is watched by all daemons of a fleet of up
-// to maxWatchingFleet, and by watchersPerZone in each availability zone of a larger one.
+// In a fleet of up to maxWatchingFleet daemons all watch the head of the configuration in the
+// platform's store. In a larger one watchersPerZone daemons in each availability zone do.
 const (
 	maxWatchingFleet = 16
 	watchersPerZone  = 2
 )
 
-func (p *peers) watchesStore() bool {
+// shouldWatchHead reports whether this daemon watches the head of the configuration.
+func (p *peers) shouldWatchHead() bool {
 	live := p.list.Live()
 	if len(live) <= maxWatchingFleet {
 		return true
@@ -190,21 +192,23 @@
 	})
 }
 
-// fetchNewer fetches the configuration of a member whose revision is newer than this daemon's. It
+// fetchNewerConfig fetches the configuration of a member whose revision is newer than this daemon's. It
 // does nothing while another fetch runs.
-func (p *peers) fetchNewer(m peermsg.Member) {
+func (p *peers) fetchNewerConfig(m peermsg.Member) {
 	if !p.fetching.TryLock() {
 		return
 	}
 	p.fetches.Start(p.daemon.work, "configuration of peer", func(ctx context.Context) error {
 		defer p.fetching.Unlock()
-		return p.fetch(ctx, m)
+		return p.fetchConfig(ctx, m)
 	})
 }
 
+// fetchTimeout bounds fetching a configuration from a peer.
 const fetchTimeout = 3 * spanrill.Second
 
-func (p *peers) fetch(ctx context.Context, m peermsg.Member) error {
+// fetchConfig fetches and applies the configuration of a member.
+func (p *peers) fetchConfig(ctx context.Context, m peermsg.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
 	var reply peermsg.Head
@@ -215,21 +219,22 @@
 	if err := json.Unmarshal(reply.Value, &head); err != nil {
 		return fmt.Errorf("decode head of %s: %w", m.Name, err)
 	}
-	if err := p.daemon.follower.Offer(ctx, &head, configSource{peers: p, addr: m.PeerAddr}); err != nil {
+	if err := p.daemon.follower.Offer(ctx, &head, peerConfigSource{peers: p, addr: m.PeerAddr}); err != nil {
 		return fmt.Errorf("apply configuration of %s: %w", m.Name, err)
 	}
 	events.ConfigFromPeer.Log(p.daemon.log, logrus.Fields{"peer": m.Name, "revision": head.Revision})
 	return nil
 }
 
-// configSource reads parts of the configuration from one peer.
-type configSource struct {
+// peerConfigSource reads parts of the configuration from one peer.
+type peerConfigSource struct {
 	peers *peers
 	addr  string
 }
 
-// Part returns the value with the given hash.
-func (s configSource) Part(ctx context.Context, hash string) ([]byte, error) {
+// Part returns the value of the part with the given hash, or spanrill.ErrNotFound if the peer lacks
+// it.
+func (s peerConfigSource) Part(ctx context.Context, hash string) ([]byte, error) {
 	var reply peermsg.Part
 	err := s.peers.Ask(ctx, s.addr, uint8(peermsg.KindPart), &peermsg.Part{Hash: hash}, &reply)
 	if err == nil && reply.Value == nil {
@@ -254,13 +259,13 @@
 	}
 }
 
-// Errors of peers.
+// Errors of requests to peers and of messages from them.
 var (
 	errNoBoxes     = errors.New("no peer has a box list")
 	errUnknownKind = errors.New("unknown message kind")
 )
 
-// Boxes returns the box list of the first peer that has one.
+// Boxes returns the box list of the first peer that has one, or errNoBoxes.
 func (p *peers) Boxes(ctx context.Context) ([]spanrill.Box, error) {
 	for _, m := range p.list.Others() {
 		var reply peermsg.Boxes
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -27,7 +27,7 @@
 	}
 	leaseName := "placement/" + site.Name
 	l := lease.New(d.platform, d.clock, leaseName, d.settings.Name, lease.WithLogger(d.log),
-		lease.WithCandidate(func() bool { return d.contends(leaseName, site) }))
+		lease.WithCandidate(func() bool { return d.isLeaseCandidate(leaseName, site) }))
 	d.lease.Store(l)
 	p := placement.New(l, d.engines, d.table, d.clock, d.placementSite, placement.WithLogger(d.log))
 	var tasks task.Group
@@ -36,7 +36,8 @@
 	return tasks.Wait()
 }
 
-func (d *Daemon) contends(leaseName string, site *config.Site) bool {
+// isLeaseCandidate reports whether this daemon is one of maxContenders in the site, and not stopping.
+func (d *Daemon) isLeaseCandidate(leaseName string, site *config.Site) bool {
 	return !d.draining.Load() && d.peers.list.OwnsAmong(leaseName, maxContenders, func(m peermsg.Member) bool {
 		return site.HasZone(m.Zone)
 	})
