--- a/collection.go
+++ b/collection.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrHistoryGone means that a watch asked for changes that the store no longer keeps, or
-// continued from a revision of an earlier era. The collection has to be listed again.
+// ErrHistoryGone means that a watch asked for changes that the store no longer keeps, or started
+// from a revision of an earlier era. The collection has to be listed again.
 var ErrHistoryGone = errors.New("store no longer has the requested changes")
 
 // Item is one object of a collection.
@@ -27,8 +27,8 @@
 // counter, which increases with each change; see RevisionOf.
 type Collection interface {
 	// List returns all objects, and the revision of this snapshot.
-	List(ctx context.Context) (items []Item, at uint64, err error)
+	List(ctx context.Context) (items []Item, revision uint64, err error)
 	// Watch returns the changes after a revision as soon as there are any, or none
 	// once wait has passed, and the revision to continue from.
-	Watch(ctx context.Context, after uint64, wait Millis) (changes []Change, at uint64, err error)
+	Watch(ctx context.Context, after uint64, wait Millis) (changes []Change, revision uint64, err error)
 }
--- a/layerengine.go
+++ b/layerengine.go
@@ -21,18 +21,18 @@
 // EngineReport is the state that an engine returns on request. Its load figures lag behind.
 type EngineReport struct {
 	Layers          LayerRange
-	Busy            bool // an order is being carried out
-	Sequence        uint64
+	Busy            bool   // whether the engine is carrying out an order
+	Sequence        uint64 // number of orders accepted so far
 	Running         int
 	Waiting         int
-	KVUsed          float64 // tokens times layers, as KVTotal
-	KVTotal         float64
+	KVUsed          float64          // KV cache in use, in tokens times layers
+	KVTotal         float64          // size of the KV cache, in tokens times layers
 	StartedAt       int64            // Unix time of the start in milliseconds, 0 if unknown
 	Pace            float64          // step time relative to its kind: over 1 is slower
 	StalledRequests []StalledRequest // requests that wait for another engine
 }
 
-// StalledRequest is a request of which the first engine reports that it waits for another engine.
+// StalledRequest is a request that waits for another engine, as the first engine of its path reports.
 type StalledRequest struct {
 	RequestID string
 	Addr      string // of the engine that it waits for
@@ -50,7 +50,7 @@
 	Layers        LayerRange
 	Term          uint64 // fencing token of the lease
 	Sequence      uint64 // number of orders that the engine has accepted so far
-	CancelRunning bool   // requests on layers that the engine unloads are cancelled, not waited for
+	CancelRunning bool   // cancel requests on layers to unload, instead of waiting for them
 }
 
 // OrderState is an engine's answer to an order.
--- a/millis.go
+++ b/millis.go
@@ -21,9 +21,9 @@
 	return Millis(d / time.Millisecond)
 }
 
-// Clock returns the time in milliseconds.
+// Clock tells the time in milliseconds.
 //
-// Deadlines, leases and ages use Now, which never jumps. Unix is only for
+// Deadlines, leases and ages use Now, which never jumps. Use Unix only for
 // records that operators or other processes read.
 type Clock interface {
 	// Now returns the monotonic time. Its zero point is arbitrary.
--- a/notice.go
+++ b/notice.go
@@ -2,14 +2,14 @@
 
 // Notice is what an upstream reports about itself in the headers of any answer.
 type Notice struct {
-	Leaving bool   // it is shutting down and wants no new requests
+	Leaving bool   // whether it is shutting down and wants no new requests
 	Rest    Millis // how long it wants no requests from this daemon, or 0
-	// UnreadableRest is the value of a request for rest that is not a valid time, or "". The
-	// length of the rest is unknown then.
+	// UnreadableRest is the value of a rest that is not a valid time, or "". How long the upstream
+	// wants no requests is unknown then.
 	UnreadableRest string
 	// Limit is the request rate limit that the upstream sent, if any.
 	Limit RateLimit
-	// UnreadableLimit is an invalid value of the limit, or "".
+	// UnreadableLimit is the value of a rate limit that is not valid, or "".
 	UnreadableLimit string
 }
 
--- a/outcome.go
+++ b/outcome.go
@@ -3,7 +3,7 @@
 // Outcome tells whether a request ran on an upstream.
 type Outcome uint8
 
-// The outcomes. The zero value is the one to report when nothing is known.
+// The outcomes. The zero value applies when nothing is known.
 const (
 	// OutcomeUnknown means that the request may or may not have run.
 	OutcomeUnknown Outcome = iota
@@ -58,8 +58,8 @@
 	return phaseNames[p]
 }
 
-// OutcomeOf derives the outcome of a failed call; nothing else does. Written is the number of
-// bytes of the request that were handed to the operating system.
+// OutcomeOf returns the outcome of a call that failed in phase p. It is the only place that decides
+// this. Written is the number of bytes of the request that were handed to the operating system.
 func OutcomeOf(p Phase, written int) Outcome {
 	switch p {
 	case PhaseDial, PhaseRefused:
--- a/refusal.go
+++ b/refusal.go
@@ -39,15 +39,15 @@
 	ReasonUpstreamRefused  // the upstream reported that it did not run the request
 	ReasonUpstreamFailed   // the upstream failed before the answer was complete
 	ReasonUpstreamTimeout  // the upstream did not answer in time
-	ReasonRetryBudget      // a retry was needed and the retry budget was exhausted
+	ReasonRetryBudget      // the request needed a retry, and the retry budget was exhausted
 	ReasonClaimOutstanding // an earlier request with this key has no outcome yet
 	ReasonClaimsFull       // the claims object of the key's slot is full
 	ReasonConfigStale      // the configuration was not confirmed recently enough
-	ReasonUpstreamsStale   // the entries of upstreams are outdated, other daemons have newer ones
+	ReasonUpstreamsStale   // this daemon's entries of upstreams are outdated, and others have newer ones
 	ReasonChainsFull       // all chains are at capacity
-	ReasonSuspected        // upstreams crashed while running the request, which is withheld for a while
-	ReasonUpstreamsRest    // every upstream that could take it has asked for rest
-	ReasonUpstreamsLimited // every upstream that could take it has exhausted its rate limit
+	ReasonSuspected        // withheld for a while, because upstreams crashed while running the request
+	ReasonUpstreamsRest    // every upstream that could run the request wants none for a while
+	ReasonUpstreamsLimited // every upstream that could run the request is at its rate limit
 	ReasonCrashesUpstreams // too many upstreams crashed while running the request
 	ReasonInternal         // an internal error of this daemon
 	reasonCount
@@ -166,7 +166,7 @@
 // Outcome returns whether the request ran.
 func (r *Refusal) Outcome() Outcome { return r.outcome }
 
-// RetryAfter returns after what time the caller should retry, or 0 if it should not.
+// RetryAfter returns how long the caller should wait before it retries, or 0 if it should not retry.
 func (r *Refusal) RetryAfter() Millis { return r.retryAfter }
 
 // Detail returns the human-readable message.
--- a/relaytypes.go
+++ b/relaytypes.go
@@ -6,7 +6,7 @@
 type CallerRequest struct {
 	ID             string // differs for each attempt of the caller
 	APIKey         string // API key, "" if none was sent
-	Deadline       Millis // how long the caller waits from now, or 0 if unknown
+	Deadline       Millis // how long the caller will wait, counted from now, or 0 if unknown
 	LastEventID    string // last event that the caller has received, or ""
 	PromptTokens   int
 	MaxTokens      int // upper limit of generated tokens
@@ -18,7 +18,7 @@
 	EngineID    string // the only engine that may run the request
 	Account     string // "" if the route needs no key
 	Remaining   Millis // time left for the upstream
-	LastEventID string // continue after this event, or ""
+	LastEventID string // event after which the stream continues, or "" for its start
 	Priority    int
 	Path        []PathStage // nil for a plain service
 }
@@ -28,7 +28,7 @@
 	RequestID  string
 	Signed     bool   // the answer is signed by the upstream that ran the request
 	NotRun     bool   // the upstream reports that it has not run the request
-	FailedAddr string // address of the engine because of which a path could not run
+	FailedAddr string // address of the engine that kept the path from running, or ""
 	Load       string // load figures reported by the upstream, or ""
 }
 
@@ -36,13 +36,13 @@
 type HeaderCodec interface {
 	// ReadRequest decodes the headers of a caller's request.
 	ReadRequest(h *fasthttp.RequestHeader) (CallerRequest, error)
-	// WriteRequest turns a copy of the caller's headers into those for an upstream.
-	WriteRequest(h *fasthttp.RequestHeader, s UpstreamRequest)
+	// WriteRequest changes h, a copy of the caller's headers, into the headers for an upstream.
+	WriteRequest(h *fasthttp.RequestHeader, req UpstreamRequest)
 	// ReadResponse decodes the headers of an upstream's answer.
 	ReadResponse(h *fasthttp.ResponseHeader) UpstreamResponse
 	// ReadNotice decodes what an upstream reports about itself in the headers of any answer.
 	ReadNotice(h *fasthttp.ResponseHeader) Notice
-	// CopyResponse copies the headers of an upstream's answer for the caller.
+	// CopyResponse copies the status and the end-to-end headers of an upstream's answer.
 	CopyResponse(to, from *fasthttp.ResponseHeader)
 	// WriteRefusal sets the headers of an error answer of spanrill's own.
 	WriteRefusal(h *fasthttp.ResponseHeader, requestID string, retryAfter Millis)
--- a/route.go
+++ b/route.go
@@ -1,6 +1,6 @@
 package spanrill
 
-// Repeat tells how often a request of a route may run.
+// Repeat tells whether a request of a route may run more than once.
 type Repeat uint8
 
 // The kinds of repetition. The zero value is the most restrictive.
@@ -24,7 +24,7 @@
 	return repeatNames[r]
 }
 
-// WeightedService is one service of a route that splits its requests, and its weight.
+// WeightedService is one of the services between which a route splits its requests.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -51,7 +51,7 @@
 type ServiceInfo struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int          // that one upstream accepts from all callers together
+	MaxConnections int          // maximum that one upstream accepts from all callers together
 	Model          *EngineModel // nil for a plain service
 }
 
@@ -86,7 +86,7 @@
 	ZoneDelayMillis       map[ZonePair]float64 // one way, milliseconds
 }
 
-// ZonePair is an unordered pair of availability zones: A is not after B in the order of names.
+// ZonePair is an unordered pair of availability zones. A does not sort after B.
 type ZonePair struct{ A, B string }
 
 // ZonePairOf returns the pair of two availability zones.
@@ -101,7 +101,7 @@
 type Account struct {
 	Name     string
 	Keys     []string
-	Priority int // NoPriority: that of the route applies
+	Priority int // NoPriority if that of the route applies
 }
 
 // NoPriority means that an account sets no priority of its own.
--- a/service.go
+++ b/service.go
@@ -14,7 +14,7 @@
 	Path       string // path and query
 	Headers    []Header
 	Body       []byte
-	Repeatable bool // the service's template allows that it runs more than once
+	Repeatable bool // whether the service's template allows the call to run more than once
 }
 
 // ServiceAnswer is the complete answer of a plain service.
--- a/upstream.go
+++ b/upstream.go
@@ -44,7 +44,7 @@
 	Boxes(ctx context.Context) ([]Box, error)
 }
 
-// LayerRange is the half-open range of layers From..To.
+// LayerRange is a half-open range of layers: it includes From and excludes To.
 type LayerRange struct {
 	From int `json:"from"`
 	To   int `json:"to"`
@@ -53,20 +53,20 @@
 // Len returns the number of layers.
 func (r LayerRange) Len() int { return r.To - r.From }
 
-// CoveredBy reports whether those of the given ranges that lie within r together hold every
-// layer of r, so that a path can run r on them. Ranges may overlap.
+// CoveredBy reports whether the given ranges that lie within r together contain every layer of r, so
+// that a path can run r on them. Ranges may overlap, and those that do not lie within r do not count.
 func (r LayerRange) CoveredBy(ranges []LayerRange) bool {
-	for at := r.From; at < r.To; {
-		next := at
-		for _, o := range ranges {
-			if o.From <= at && o.To > at && o.From >= r.From && o.To <= r.To {
-				next = max(next, o.To)
+	for layer := r.From; layer < r.To; {
+		next := layer
+		for _, other := range ranges {
+			if other.From <= layer && other.To > layer && other.From >= r.From && other.To <= r.To {
+				next = max(next, other.To)
 			}
 		}
-		if next == at {
+		if next == layer {
 			return false
 		}
-		at = next
+		layer = next
 	}
 	return true
 }
@@ -106,7 +106,7 @@
 	Body      []byte     `json:"body"` // the caller's body, unmodified
 	Model     string     `json:"model"`
 	Version   string     `json:"version"`
-	LayerNum  int        `json:"layers"`   // layers of the whole model
+	LayerNum  int        `json:"layers"`   // number of layers of the whole model
 	Seed      uint64     `json:"seed"`     // the same for each attempt
 	Priority  int        `json:"priority"` // 0 is lowest
 	MaxTokens int        `json:"max_tokens"`
@@ -125,7 +125,7 @@
 // Finish tells why a generation ended.
 type Finish string
 
-// The reasons for which a generation ends.
+// The values of Finish. FinishNone stands in events that do not complete a generation.
 const (
 	FinishNone   Finish = ""
 	FinishStop   Finish = "stop"
@@ -144,7 +144,7 @@
 	Error        *RunError  `json:"error,omitempty"`
 }
 
-// RunError is an error that an engine reports about a chain.
+// RunError is an error that an engine reports while it runs a chain.
 type RunError struct {
 	Code   string `json:"code"`
 	Engine string `json:"engine"` // the stage that failed
@@ -202,17 +202,17 @@
 type Order struct {
 	Kind      OrderKind  `json:"kind"`
 	LeaseName string     `json:"duty"` // the lease that authorizes the order
-	Term      uint64     `json:"term"` // fencing token: an engine refuses one lower than it has seen
+	Term      uint64     `json:"term"` // fencing token: an engine refuses an order with a lower one than it has seen
 	Model     string     `json:"model"`
 	Version   string     `json:"version"`
 	Layers    LayerRange `json:"layers"`
-	LayerNum  int        `json:"layer_num"`
+	LayerNum  int        `json:"layer_num"` // number of layers of the whole model
 }
 
 // CallError is the error of one call to an upstream.
 type CallError struct {
 	Phase   Phase
-	Written int
+	Written int // bytes of the request that were handed to the operating system
 	Cause   error
 }
 
@@ -240,5 +240,5 @@
 	return false
 }
 
-// Outcome tells whether the request ran, as far as the failure shows.
+// Outcome returns whether the request ran, as far as the phase and the bytes written tell.
 func (e *CallError) Outcome() Outcome { return OutcomeOf(e.Phase, e.Written) }
