--- a/cli/spanrillcmd/bench.go
+++ b/cli/spanrillcmd/bench.go
@@ -22,11 +22,11 @@
 	}
 }
 
-func benchFlags(load string) []cli.Flag {
+func benchFlags(defaultLoad string) []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "scene", Value: "quebec", Usage: "quebec, dakar or demo"},
 		&cli.StringFlag{Name: "policy", Value: "least-work", Usage: "comma-separated routing policies"},
-		&cli.StringFlag{Name: "load", Value: load, Usage: "comma-separated offered loads, as fractions of what the engines could deliver"},
+		&cli.StringFlag{Name: "load", Value: defaultLoad, Usage: "comma-separated offered loads, as fractions of what the engines could deliver"},
 		&cli.DurationFlag{Name: "duration", Value: 10 * time.Second, Usage: "length of each measurement"},
 		&cli.DurationFlag{Name: "warmup", Value: 5 * time.Second, Usage: "warm-up time before each measurement"},
 		&cli.IntFlag{Name: "daemons", Usage: "number of daemons, instead of that of the scene"},
@@ -67,8 +67,8 @@
 
 const greedyFactor = 10
 
-// greedyShares returns the share of the load for each account. The share of the first account is
-// greedyFactor times that of each other one.
+// greedyShares returns the share of each account in the load. The first account has greedyFactor
+// times the share of any other.
 func greedyShares(accounts int) []float64 {
 	shares := make([]float64, accounts)
 	for i := range shares {
@@ -115,7 +115,7 @@
 	}
 }
 
-// measureEach calls run for each combination of load and routing policy, and shows the reports.
+// measureEach calls run for each combination of load and routing policy, and prints each report.
 func measureEach(ctx context.Context, c *cli.Command, run func(context.Context, scene.Spec, bench.Options) (*bench.Report, error)) error {
 	loads, err := loadsFromFlags(c)
 	if err != nil {
--- a/cli/spanrillcmd/bundle.go
+++ b/cli/spanrillcmd/bundle.go
@@ -14,14 +14,15 @@
 	"spanrill/state/config"
 )
 
-// bundle is a set of documents in the form that get prints and edit reads.
+// bundle is a set of documents in the form that the commands get and edit print and read.
 type bundle struct {
 	Revision  uint64           `json:"revision,omitempty"`
 	Documents []bundleDocument `json:"documents"`
 }
 
-// bundleDocument is one document of a bundle. Base is the hash of the value that get printed. An
-// edit conflicts if the stored value no longer has that hash; without a base it overwrites any value.
+// bundleDocument is one document of a bundle. Base is the hash of the value that the command get
+// printed. An edit conflicts if the stored value no longer has that hash; without a base it
+// overwrites any value.
 type bundleDocument struct {
 	Kind     config.Kind     `json:"kind"`
 	Name     string          `json:"name"`
@@ -54,7 +55,7 @@
   }
 }`))
 
-func (e bundleDocument) documentName() config.Name { return config.Name{Kind: e.Kind, Name: e.Name} }
+func (d bundleDocument) documentName() config.Name { return config.Name{Kind: d.Kind, Name: d.Name} }
 
 // newBundle returns a bundle of the documents that match, sorted by kind and name.
 func newBundle(revision uint64, docs config.Documents, match func(config.Name) bool) bundle {
@@ -66,8 +67,8 @@
 		base := config.HashDocument(doc)
 		b.Documents = append(b.Documents, bundleDocument{Kind: name.Kind, Name: name.Name, Base: &base, Document: doc})
 	}
-	sort.Slice(b.Documents, func(i, k int) bool {
-		return b.Documents[i].documentName().String() < b.Documents[k].documentName().String()
+	sort.Slice(b.Documents, func(i, j int) bool {
+		return b.Documents[i].documentName().String() < b.Documents[j].documentName().String()
 	})
 	return b
 }
@@ -103,32 +104,32 @@
 // toChange validates each document by itself and returns the bundle as a change by author. Its error
 // lists the problems of all documents.
 func (b bundle) toChange(file, author string) (config.Change, error) {
-	c := config.Change{
+	change := config.Change{
 		Author: author, Documents: map[config.Name]json.RawMessage{}, Base: map[config.Name]string{},
 	}
 	var problems checked.Problems
-	for i, e := range b.Documents {
-		if e.Base != nil {
-			c.Base[e.documentName()] = *e.Base
+	for i, d := range b.Documents {
+		if d.Base != nil {
+			change.Base[d.documentName()] = *d.Base
 		}
-		if e.Remove {
-			c.Documents[e.documentName()] = nil
+		if d.Remove {
+			change.Documents[d.documentName()] = nil
 			continue
 		}
-		doc, err := config.Check(fmt.Sprintf("%s#/documents/%d", file, i), e.documentName(), indent(e.Document))
+		doc, err := config.Check(fmt.Sprintf("%s#/documents/%d", file, i), d.documentName(), indent(d.Document))
 		if err := appendProblems(&problems, err); err != nil {
-			return c, err
+			return change, err
 		}
-		c.Documents[e.documentName()] = doc
+		change.Documents[d.documentName()] = doc
 	}
 	if len(problems) > 0 {
-		return c, problems
+		return change, problems
 	}
-	return c, nil
+	return change, nil
 }
 
-// appendProblems appends the problems that err consists of and returns nil, or returns err if it is
-// another error.
+// appendProblems appends the problems in err and returns nil if err is a list of problems. Otherwise
+// it returns err.
 func appendProblems(problems *checked.Problems, err error) error {
 	var more checked.Problems
 	if errors.As(err, &more) {
--- a/cli/spanrillcmd/config.go
+++ b/cli/spanrillcmd/config.go
@@ -21,8 +21,8 @@
 		return func(config.Name) bool { return true }, nil
 	}
 	if !strings.Contains(arg, "/") {
-		k, err := config.ParseKind(arg)
-		return func(n config.Name) bool { return n.Kind == k }, err
+		kind, err := config.ParseKind(arg)
+		return func(n config.Name) bool { return n.Kind == kind }, err
 	}
 	want, err := config.ParseName(arg)
 	return func(n config.Name) bool { return n == want }, err
@@ -168,6 +168,7 @@
 	Proposed string `json:"then"`
 }
 
+// differences returns the documents of the change whose stored value would change.
 func differences(docs config.Documents, change config.Change) []difference {
 	changed := []difference{}
 	for n, doc := range change.Documents {
@@ -227,8 +228,8 @@
 				return printJSON(c, head.Recent)
 			}
 			for _, e := range head.Recent {
-				at := time.UnixMilli(int64(e.At)).UTC().Format(time.RFC3339)
-				printf(c, "%6d  %s  %s  %-12s  %v\n", e.Revision, at, e.EditID, e.Author, e.Documents)
+				editedAt := time.UnixMilli(int64(e.At)).UTC().Format(time.RFC3339)
+				printf(c, "%6d  %s  %s  %-12s  %v\n", e.Revision, editedAt, e.EditID, e.Author, e.Documents)
 			}
 			return nil
 		},
@@ -270,11 +271,11 @@
 	return &cli.Command{
 		Name: "schema", Usage: "print the JSON schema of a kind of document", ArgsUsage: "KIND",
 		Action: func(_ context.Context, c *cli.Command) error {
-			k, err := config.ParseKind(c.Args().First())
+			kind, err := config.ParseKind(c.Args().First())
 			if err != nil {
 				return cli.Exit(err.Error(), exitBadInput)
 			}
-			printf(c, "%s", config.Schema(k).Raw())
+			printf(c, "%s", config.Schema(kind).Raw())
 			return nil
 		},
 	}
--- a/cli/spanrillcmd/demo.go
+++ b/cli/spanrillcmd/demo.go
@@ -34,12 +34,12 @@
 	}
 }
 
-// demo sends requests to a scene and prints what becomes of them.
+// demo sends requests to a scene and prints the answers.
 type demo struct {
 	cmd       *cli.Command
 	scene     *scene.Scene
-	completed int
-	requested int
+	completed int // answers that were complete and equal to the reference
+	requested int // answers that were requested
 }
 
 func (d *demo) run(ctx context.Context) error {
@@ -107,7 +107,7 @@
 	return d.scene.Spec().Engines[0].Name
 }
 
-// printStream prints the events of a stream as they arrive and returns its text.
+// printStream prints the text of a stream as it arrives and returns it. It calls midStream as ask does.
 func (d *demo) printStream(body io.Reader, midStream func()) (string, error) {
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
@@ -151,6 +151,8 @@
 	return "unknown"
 }
 
+// send posts a body to a daemon as the client account rucher. An answer with a status other than 200
+// is an error.
 func (d *demo) send(ctx context.Context, daemon int, path, body string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, d.scene.URL(daemon)+path, strings.NewReader(body))
 	if err != nil {
--- a/cli/spanrillcmd/fleet.go
+++ b/cli/spanrillcmd/fleet.go
@@ -19,7 +19,7 @@
 	"spanrill/transport/httpcall"
 )
 
-// boxStatus is the status of the daemon on one entry box, or the error of asking for it.
+// boxStatus is the status of the daemon on one entry box, or the error with which reading it failed.
 type boxStatus struct {
 	Box    string         `json:"box"`
 	Admin  string         `json:"admin_addr"`
@@ -29,7 +29,8 @@
 
 const adminTimeout = 2 * time.Second
 
-// callAdmin calls a daemon's admin API and decodes the JSON answer into result, unless that is nil.
+// callAdmin calls a daemon's admin API and decodes the JSON answer into result, unless result is
+// nil. Its error wraps spanrill.ErrUnavailable if the daemon cannot be reached.
 func callAdmin(ctx context.Context, addr, method, path string, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -64,11 +65,11 @@
 
 // entryBoxes returns the entry boxes of the box list, those that are leaving included.
 func entryBoxes(ctx context.Context, c *cli.Command) ([]spanrill.Box, error) {
-	platform, err := platformClient(c)
+	client, err := platformClient(c)
 	if err != nil {
 		return nil, err
 	}
-	boxes, err := platform.Boxes(ctx)
+	boxes, err := client.Boxes(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("find entry boxes: %w", err)
 	}
@@ -81,16 +82,17 @@
 	return entries, nil
 }
 
+// fleetStatus reads the status of the daemon on each box, one after another.
 func fleetStatus(ctx context.Context, boxes []spanrill.Box) []boxStatus {
-	all := make([]boxStatus, 0, len(boxes))
+	statuses := make([]boxStatus, 0, len(boxes))
 	for _, b := range boxes {
 		s := boxStatus{Box: b.Name, Admin: b.AdminAddr, Status: &daemon.Status{}}
 		if err := callAdmin(ctx, b.AdminAddr, fasthttp.MethodGet, "/status", s.Status); err != nil {
 			s.Error, s.Status = err.Error(), nil
 		}
-		all = append(all, s)
+		statuses = append(statuses, s)
 	}
-	return all
+	return statuses
 }
 
 func statusCommand() *cli.Command {
@@ -109,20 +111,21 @@
 			if err != nil {
 				return err
 			}
-			all := fleetStatus(ctx, boxes)
+			statuses := fleetStatus(ctx, boxes)
 			if c.Bool(flagJSON) {
-				return printJSON(c, all)
+				return printJSON(c, statuses)
 			}
-			showStatus(c, all)
+			showStatus(c, statuses)
 			return nil
 		},
 	}
 }
 
-func showStatus(c *cli.Command, all []boxStatus) {
+// showStatus prints a row for each box, and the upstreams as the last daemon that answered knows them.
+func showStatus(c *cli.Command, statuses []boxStatus) {
 	printf(c, "%-16s %-14s %-8s %9s %9s  %s\n", "BOX", "ZONE", "READY", "REVISION", "IN FLIGHT", "")
 	var last *daemon.Status
-	for _, b := range all {
+	for _, b := range statuses {
 		if b.Status == nil {
 			printf(c, "%-16s %s\n", b.Box, b.Error)
 			continue
@@ -181,8 +184,8 @@
 	}
 }
 
-// boxesBehind returns the boxes that do not answer or have an older revision in force, each with
-// that reason.
+// boxesBehind returns the boxes that do not answer or have an older revision in force, each followed
+// by which of the two it is.
 func boxesBehind(ctx context.Context, boxes []spanrill.Box, revision uint64) []string {
 	var lagging []string
 	for _, s := range fleetStatus(ctx, boxes) {
--- a/cli/spanrillcmd/gatewaystatus.go
+++ b/cli/spanrillcmd/gatewaystatus.go
@@ -21,12 +21,12 @@
 // gatewayStatus is the state of a fleet of gateways that the users' platform stores.
 type gatewayStatus struct {
 	Version   int64                  `json:"config_version"`
-	Revision  uint64                 `json:"config_revision"` // of the store
+	Revision  uint64                 `json:"config_revision"` // of the object in the store
 	Routes    int                    `json:"routes"`
 	Accounts  int                    `json:"accounts"`
 	Lease     lease.State            `json:"lease"` // of placement; the zero value if it was never taken
 	Upstreams []spanrill.EngineEntry `json:"upstreams"`
-	Skipped   []string               `json:"skipped"` // upstreams whose entries cannot be read
+	Skipped   []string               `json:"skipped"` // names of entries that cannot be decoded, each with the error
 }
 
 // readGatewayStatus reads the configuration, the placement lease and the upstreams from the store.
@@ -60,10 +60,11 @@
 		}
 		s.Upstreams = append(s.Upstreams, entry)
 	}
-	sort.Slice(s.Upstreams, func(i, k int) bool { return upstreamLess(&s.Upstreams[i], &s.Upstreams[k]) })
+	sort.Slice(s.Upstreams, func(i, j int) bool { return upstreamLess(&s.Upstreams[i], &s.Upstreams[j]) })
 	return s, nil
 }
 
+// readLease returns the state of the placement lease, or the zero value if it was never taken.
 func readLease(ctx context.Context, store *platform.Store) (lease.State, error) {
 	obj, err := store.Get(ctx, placementLease)
 	if errors.Is(err, spanrill.ErrNotFound) {
@@ -104,8 +105,8 @@
 		}
 		fmt.Fprintf(w, "%-14s %-14s %-14s %-10s %-10s %s\n", u.ID, u.Service, u.Zone, u.Kind, formatLayers(u.Layers), state)
 	}
-	for _, name := range s.Skipped {
-		fmt.Fprintf(w, "not readable: %s\n", name)
+	for _, skipped := range s.Skipped {
+		fmt.Fprintf(w, "not readable: %s\n", skipped)
 	}
 }
 
--- a/cli/spanrillcmd/gatewaystatus_test.go
+++ b/cli/spanrillcmd/gatewaystatus_test.go
@@ -27,7 +27,7 @@
 	client := platform.NewStore(addr, httpcall.New())
 	for _, c := range []struct{ name, lease, want string }{
 		{"before the lease was taken", "", "lease of placement: nobody"},
-		{"held", `{"holder":"front-1/00","term":7,"time":2000}`, "lease of placement: front-1/00, term 7"},
+		{"while the lease is held", `{"holder":"front-1/00","term":7,"time":2000}`, "lease of placement: front-1/00, term 7"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.lease != "" {
@@ -59,6 +59,6 @@
 	}
 	store.Close()
 	if _, err := readGatewayStatus(context.Background(), platform.NewStore(addr, httpcall.New())); !errors.Is(err, spanrill.ErrUnavailable) {
-		t.Fatalf("error is %v, want ErrUnavailable", err)
+		t.Fatalf("reading from a closed store failed with %v, want ErrUnavailable", err)
 	}
 }
--- a/cli/spanrillcmd/logfiles.go
+++ b/cli/spanrillcmd/logfiles.go
@@ -8,7 +8,7 @@
 	"os"
 )
 
-// maxLineBytes is the length of the longest log line that can be read.
+// maxLineBytes limits the length of a log line. A longer line ends the reading with an error.
 const maxLineBytes = 1 << 20
 
 // readLogs calls read with each log file, or with standard input if names is empty.
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// scanLog calls handle for each line: with the text from its first brace on, which drops a prefix
-// before the JSON object, or with nil if the line has no brace.
+// scanLog calls handle for each line with its JSON object, which is the text from the first brace
+// on, or with nil if the line has no brace. The object is valid only during the call.
 func scanLog(r io.Reader, handle func(object []byte)) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
--- a/cli/spanrillcmd/losses.go
+++ b/cli/spanrillcmd/losses.go
@@ -47,11 +47,11 @@
 
 // lossCounter counts how the requests in logs ended, by row of the report.
 type lossCounter struct {
-	spanLength            time.Duration // length of the spans that are also counted separately, or 0 for none
-	counts                map[string]int
-	spans                 map[time.Time]map[string]int
-	skippedLines          int // lines without an event of a daemon: truncated, or of other programs
-	linesDroppedByDaemons int // lines that daemons left out of the log, as later lines report
+	spanLength            time.Duration                // length of the spans that are also counted separately, or 0 for none
+	counts                map[string]int               // by row
+	spans                 map[time.Time]map[string]int // by start of the span and row
+	skippedLines          int                          // lines without an event of a daemon: truncated, or of other programs
+	linesDroppedByDaemons int                          // lines that daemons left out of the log, as later lines report
 }
 
 func newLossCounter(spanLength time.Duration) *lossCounter {
@@ -70,7 +70,7 @@
 	})
 }
 
-// lossLine is the part of a log line that decides its row.
+// lossLine holds the fields of a log line that determine its row.
 type lossLine struct {
 	Time               time.Time `json:"time"`
 	Event              int       `json:"event"`
@@ -85,7 +85,7 @@
 	PauseTargetMillis  int64     `json:"pause_target_ms"`
 	Continuations      int       `json:"taken_up"`
 	Moves              int       `json:"moves"`
-	DroppedBefore      int       `json:"skipped_before"`
+	DroppedBefore      int       `json:"skipped_before"` // lines that the daemon left out before this one
 }
 
 // countLine adds one line to the counts if it logs the end of a request.
@@ -155,8 +155,8 @@
 	return "late: pause, engines slow or full"
 }
 
-// classifyCut returns the cause of a failed stream, by the known parts of its error text.
-func classifyCut(text string) string {
+// classifyCut returns the cause of a failed stream. It recognizes causes by parts of the error text.
+func classifyCut(errorText string) string {
 	for _, c := range []struct{ part, cause string }{
 		{"no answer within", "no more time, or the caller left"},
 		{"refused with status", "an engine refused to take it up"},
@@ -164,7 +164,7 @@
 		{"no path covers", "layers missing to take it up"},
 		{"does not know the request", "its first engine was lost"},
 	} {
-		if strings.Contains(text, c.part) {
+		if strings.Contains(errorText, c.part) {
 			return c.cause
 		}
 	}
@@ -194,7 +194,7 @@
 	return r
 }
 
-// maxSpanRows is how many rows are printed for each span besides rowInTime.
+// maxSpanRows is the maximum number of rows that are printed for a span besides rowInTime.
 const maxSpanRows = 3
 
 func (l *lossCounter) print(w io.Writer) {
@@ -219,16 +219,16 @@
 	}
 }
 
-// formatSpan returns the number of requests of one span that were in time, and its largest other
-// rows.
+// formatSpan formats the counts of one span: the requests that were in time, and the other rows with
+// the most requests.
 func (l *lossCounter) formatSpan(counts map[string]int) string {
-	counted := []string{fmt.Sprintf("%d in time", counts[rowInTime])}
+	parts := []string{fmt.Sprintf("%d in time", counts[rowInTime])}
 	for _, row := range rowsByCount(counts) {
-		if row != rowInTime && len(counted) <= maxSpanRows {
-			counted = append(counted, fmt.Sprintf("%d %s", counts[row], row))
+		if row != rowInTime && len(parts) <= maxSpanRows {
+			parts = append(parts, fmt.Sprintf("%d %s", counts[row], row))
 		}
 	}
-	return strings.Join(counted, ", ")
+	return strings.Join(parts, ", ")
 }
 
 // rowsByCount returns the rows, those with the most requests first.
@@ -237,11 +237,11 @@
 	for row := range counts {
 		rows = append(rows, row)
 	}
-	sort.Slice(rows, func(i, k int) bool {
-		if counts[rows[i]] != counts[rows[k]] {
-			return counts[rows[i]] > counts[rows[k]]
+	sort.Slice(rows, func(i, j int) bool {
+		if counts[rows[i]] != counts[rows[j]] {
+			return counts[rows[i]] > counts[rows[j]]
 		}
-		return rows[i] < rows[k]
+		return rows[i] < rows[j]
 	})
 	return rows
 }
--- a/cli/spanrillcmd/losses_test.go
+++ b/cli/spanrillcmd/losses_test.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-func TestLosses(t *testing.T) {
+// A line that logs the end of a request is counted in the row that its event, status and times determine.
+func TestRowOfLogLine(t *testing.T) {
 	const stream = `"event":621,"status":200,"whole":true,"target_ms":500,"pause_target_ms":200,`
 	for _, c := range []struct{ name, line, want string }{
-		{"in time", `{` + stream + `"first_ms":80,"longest_pause_ms":90}`, rowInTime},
-		{"after a prefix", `12.5 front-1 {` + stream + `"first_ms":80,"longest_pause_ms":90}`, rowInTime},
-		{"first event", `{` + stream + `"first_ms":501,"longest_pause_ms":900}`, "late: first event"},
-		{"taken up", `{` + stream + `"first_ms":80,"longest_pause_ms":201,"taken_up":1,"moves":2}`, "late: pause, taken up elsewhere"},
-		{"moved", `{` + stream + `"first_ms":80,"longest_pause_ms":201,"moves":2}`, "late: pause, moved"},
-		{"slow", `{` + stream + `"first_ms":80,"longest_pause_ms":201}`, "late: pause, engines slow or full"},
-		{"plain", `{"event":621,"status":200,"ms":90,"target_ms":100}`, rowInTime},
-		{"plain and late", `{"event":621,"status":200,"ms":101,"target_ms":100}`, "late: plain call"},
-		{"failed", `{"event":621,"status":500,"ms":10}`, "failed: the upstream's own 500"},
-		{"refused", `{"event":623,"reason":"no_room","status":503}`, "refused: no_room"},
-		{"cut", `{"event":602,"error":"no path has room: stream cannot be completed"}`, "cut: no room to take it up"},
-		{"another event", `{"event":620}`, ""},
+		{"stream in time", `{` + stream + `"first_ms":80,"longest_pause_ms":90}`, rowInTime},
+		{"stream in time, with a prefix before the JSON", `12.5 front-1 {` + stream + `"first_ms":80,"longest_pause_ms":90}`, rowInTime},
+		{"stream with a late first event", `{` + stream + `"first_ms":501,"longest_pause_ms":900}`, "late: first event"},
+		{"stream with a pause, taken up elsewhere and moved", `{` + stream + `"first_ms":80,"longest_pause_ms":201,"taken_up":1,"moves":2}`, "late: pause, taken up elsewhere"},
+		{"stream with a pause, moved", `{` + stream + `"first_ms":80,"longest_pause_ms":201,"moves":2}`, "late: pause, moved"},
+		{"stream with a pause, neither taken up nor moved", `{` + stream + `"first_ms":80,"longest_pause_ms":201}`, "late: pause, engines slow or full"},
+		{"plain call in time", `{"event":621,"status":200,"ms":90,"target_ms":100}`, rowInTime},
+		{"late plain call", `{"event":621,"status":200,"ms":101,"target_ms":100}`, "late: plain call"},
+		{"upstream answered 500", `{"event":621,"status":500,"ms":10}`, "failed: the upstream's own 500"},
+		{"refused request", `{"event":623,"reason":"no_room","status":503}`, "refused: no_room"},
+		{"failed stream", `{"event":602,"error":"no path has room: stream cannot be completed"}`, "cut: no room to take it up"},
+		{"event other than the end of a request", `{"event":620}`, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := newLossCounter(0)
@@ -28,7 +29,7 @@
 				t.Fatal(err)
 			}
 			if c.want == "" && len(l.counts) > 0 || c.want != "" && l.counts[c.want] != 1 {
-				t.Fatalf("counted as %v, want %q", l.counts, c.want)
+				t.Fatalf("counted in rows %v, want row %q once, or no row if empty", l.counts, c.want)
 			}
 		})
 	}
--- a/cli/spanrillcmd/plan.go
+++ b/cli/spanrillcmd/plan.go
@@ -52,6 +52,7 @@
 	return nil
 }
 
+// readPlans returns a plan for each service of the stored configuration that has a model.
 func readPlans(ctx context.Context, store *platform.Store) ([]servicePlan, error) {
 	configs, _, err := store.Collection(platform.KindConfig).List(ctx)
 	if err != nil {
@@ -81,6 +82,8 @@
 	return plans, nil
 }
 
+// planService describes the chains that the service's engines among items form. If none of them
+// holds layers, it describes the chains that would be planned.
 func planService(s spanrill.ServiceInfo, items []spanrill.Item) (servicePlan, error) {
 	p := servicePlan{Service: s.Name, Planned: true}
 	var engines []layout.Engine
--- a/cli/spanrillcmd/plan_test.go
+++ b/cli/spanrillcmd/plan_test.go
@@ -22,7 +22,7 @@
 	platformtest.WriteSample(store, 9)
 	plans, err := readPlans(context.Background(), platform.NewStore(addr, httpcall.New()))
 	if err != nil || len(plans) != 1 {
-		t.Fatalf("%d plans, error %v", len(plans), err)
+		t.Fatalf("read %d plans with error %v, want 1 plan and no error", len(plans), err)
 	}
 	p := plans[0]
 	if !p.Planned || p.Rate <= 0 || len(p.Chains) < 2 || len(p.Losses) == 0 {
@@ -30,7 +30,7 @@
 	}
 	for _, l := range p.Losses {
 		if l.RateAfterLoss >= l.RateBefore || l.RateRepaired < l.RateAfterLoss {
-			t.Errorf("rates before, after and repaired are out of order: %+v", l)
+			t.Errorf("want the rate to fall with the loss and not to fall further with the repair: %+v", l)
 		}
 	}
 	var text strings.Builder
--- a/cli/spanrillcmd/trace.go
+++ b/cli/spanrillcmd/trace.go
@@ -43,7 +43,7 @@
 	if len(lines) == 0 {
 		return cli.Exit("no line names "+id, exitFailed)
 	}
-	sort.SliceStable(lines, func(i, k int) bool { return lines[i].time < lines[k].time })
+	sort.SliceStable(lines, func(i, j int) bool { return lines[i].time < lines[j].time })
 	for _, l := range lines {
 		fmt.Fprintln(c.Root().Writer, l)
 	}
@@ -52,7 +52,7 @@
 
 // traceLine is a log line that contains the ID.
 type traceLine struct {
-	time        string
+	time        string // as logged; lines are sorted by this text
 	daemon      string
 	event       float64
 	msg         string
@@ -77,6 +77,7 @@
 	return lines, err
 }
 
+// newTraceLine returns the line with these fields. It drops the level.
 func newTraceLine(fields map[string]any) traceLine {
 	l := traceLine{}
 	for name, value := range fields {
--- a/cli/spanrilldcmd/gateway.go
+++ b/cli/spanrilldcmd/gateway.go
@@ -34,8 +34,8 @@
 }
 
 const (
-	// memoryLimitPercent is the part of the configured memory that becomes the soft limit of the
-	// Go runtime. The rest is for kernel buffers.
+	// memoryLimitPercent is the percentage of the configured memory that is set as the soft memory
+	// limit of the Go runtime. The rest is for kernel buffers.
 	memoryLimitPercent = 60
 	megabyte           = 1 << 20
 	// logFlushTimeout bounds the wait for queued log lines when the process stops.
@@ -45,8 +45,8 @@
 func runGateway(ctx context.Context, c *cli.Command) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT) // before all else, so that a signal during startup does not kill the process
 	defer stop()
-	reloads := make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	s, err := settings.LoadGateway(c.String("settings"))
 	if err != nil {
 		return cli.Exit(err.Error(), exitBadSettings)
@@ -55,8 +55,8 @@
 		fmt.Fprintln(c.Root().Writer, "settings are right")
 		return nil
 	}
-	tuning, stopTuning := context.WithCancel(context.WithoutCancel(ctx))
-	tuningDone := startMemoryTuning(tuning, clock.NewSystem())
+	tuningCtx, stopTuning := context.WithCancel(context.WithoutCancel(ctx))
+	tuningDone := startMemoryTuning(tuningCtx, clock.NewSystem())
 	defer func() {
 		stopTuning()
 		<-tuningDone
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	checkSettingsOnHangup(ctx, reloads, c.String("settings"), log)
+	checkSettingsOnHangup(ctx, hangups, c.String("settings"), log)
 	err = g.Run(ctx)
 	timeout := make(chan struct{})
 	time.AfterFunc(logFlushTimeout, func() { close(timeout) })
@@ -87,13 +87,13 @@
 // checkSettingsOnHangup validates the settings file again on every SIGHUP and logs the result.
 // A running gateway does not apply the new settings: its addresses must not change while callers
 // use them, and its limits, which the operator sets, hold for the life of a process.
-func checkSettingsOnHangup(ctx context.Context, reloads <-chan os.Signal, path string, log logrus.FieldLogger) {
+func checkSettingsOnHangup(ctx context.Context, hangups <-chan os.Signal, path string, log logrus.FieldLogger) {
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-reloads:
+			case <-hangups:
 				_, err := settings.LoadGateway(path)
 				events.SettingsReloaded.Log(log, logrus.Fields{"file": path, "error": err})
 			}
--- a/cli/spanrilldcmd/main.go
+++ b/cli/spanrilldcmd/main.go
@@ -95,6 +95,6 @@
 	return log, nil
 }
 
-// logTimeFormat has milliseconds, because several lines about one request can fall into one
-// second and the lines of several daemons are ordered by their times.
+// logTimeFormat has milliseconds so that the lines of several daemons can be sorted by time: a
+// request can log several lines within a second.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
--- a/cli/spanrilldcmd/memory.go
+++ b/cli/spanrilldcmd/memory.go
@@ -21,7 +21,8 @@
 	minGCPercent = 50
 	// initialGCPercent applies until the first collection has measured the live heap.
 	initialGCPercent = 100
-	// minGCPercentChange is the smallest change that is applied: each change stops the world.
+	// minGCPercentChange is the smallest change of the GC percent that is applied, because each
+	// change stops the world.
 	minGCPercentChange = 20
 	// firstReleaseDelay is the time from the start of the process to the first check for memory to
 	// release, long enough for startup to be over. releaseInterval is the time between later checks.
@@ -47,20 +48,22 @@
 	return sample[0].Value.Uint64()
 }
 
-// shouldReleaseMemory reports whether free memory should be returned to the system. Startup takes
-// a multiple of the memory that the daemon needs later.
-func shouldReleaseMemory(free uint64) bool { return free > heapGrowthBytes }
+// shouldReleaseMemory reports whether free heap memory should be returned to the system. Startup
+// takes a multiple of the memory that the daemon needs later.
+func shouldReleaseMemory(freeBytes uint64) bool { return freeBytes > heapGrowthBytes }
 
-// gcPercentFor returns the GC percent with which a live heap grows by about heapGrowthBytes.
-func gcPercentFor(live uint64) int {
-	if live == 0 {
+// gcPercentFor returns the GC percent with which a live heap of the given size grows by about
+// heapGrowthBytes between two collections.
+func gcPercentFor(liveBytes uint64) int {
+	if liveBytes == 0 {
 		return maxGCPercent
 	}
-	return int(max(minGCPercent, min(maxGCPercent, heapGrowthBytes*100/live)))
+	return int(max(minGCPercent, min(maxGCPercent, heapGrowthBytes*100/liveBytes)))
 }
 
-// gcTuner adapts the GC percent to the live heap after each collection. It cannot be set once: the
-// live heap of a starting daemon is small, and seconds later it holds thousands of upstreams.
+// gcTuner adapts the GC percent to the live heap after each collection. Setting the percent once at
+// startup is not enough: the live heap is small then, and seconds later it can hold thousands of
+// upstreams.
 type gcTuner struct{ percent int }
 
 // gcSentinel is an unreachable object whose finalizer runs after the next collection.
@@ -82,8 +85,9 @@
 	}
 }
 
-// startMemoryTuning starts to tune the GC percent, for the life of the process, and to return free
-// memory to the system until ctx ends. It closes the returned channel when the latter has stopped.
+// startMemoryTuning tunes the GC percent for the rest of the life of the process, and returns free
+// memory to the system at intervals until ctx ends. The returned channel is closed once no more
+// memory will be returned.
 func startMemoryTuning(ctx context.Context, clock spanrill.Clock) <-chan struct{} {
 	debug.SetGCPercent(initialGCPercent)
 	(&gcTuner{percent: initialGCPercent}).tuneAfterEachGC()
--- a/cli/standincmd/main.go
+++ b/cli/standincmd/main.go
@@ -113,11 +113,11 @@
 }
 
 func runEngine(ctx context.Context, c *cli.Command) error {
-	speed := engine.DefaultAccelerator
-	speed.Kind, speed.Slots, speed.BaseTime = c.String("kind"), c.Int("slots"), c.Duration("step")
+	accelerator := engine.DefaultAccelerator
+	accelerator.Kind, accelerator.Slots, accelerator.BaseTime = c.String("kind"), c.Int("slots"), c.Duration("step")
 	spec := model.Spec{Name: c.String("model"), Version: c.String("version"), Layers: c.Int("model-layers")}
 	layers := spanrill.LayerRange{From: c.Int("from"), To: c.Int("to")}
-	e := engine.New(c.String("name"), engine.WithModel(spec, layers), engine.WithAccelerator(speed),
+	e := engine.New(c.String("name"), engine.WithModel(spec, layers), engine.WithAccelerator(accelerator),
 		engine.WithReportLag(200*time.Millisecond))
 	return serve(ctx, c.String("listen"), e.Listen, e.Close)
 }
@@ -130,7 +130,7 @@
 func runProxy(ctx context.Context, c *cli.Command) error {
 	p := faultproxy.New(c.String("to"))
 	if _, err := p.ListenControl(c.String("control")); err != nil {
-		return fmt.Errorf("start control: %w", err)
+		return fmt.Errorf("serve fault commands: %w", err)
 	}
 	return serve(ctx, c.String("listen"), p.Listen, p.Close)
 }
