--- a/bench/bound.go
+++ b/bench/bound.go
@@ -23,32 +23,34 @@
 // meanTokens returns the mean length of an answer in tokens.
 func (m Mix) meanTokens() float64 { return float64(m.MinTokens+m.MaxTokens) / 2 }
 
-// The cost of prefill in the stand-in engines (standin/engine).
+// The cost of prefill in the stand-in engines; the values are those of standin/engine.
 const (
-	prefillWeight = 0.1
-	prefillChunk  = 64
-	cacheBlock    = 16
+	prefillCost   = 0.1 // cost of a prefill position, in decode positions
+	prefillChunk  = 64  // positions in a prefill step
+	cacheBlockLen = 16  // positions in a block of the prefix cache
 )
 
-// cost returns the batch slots that a request takes on each stage, and their
-// total weight. It assumes the best case: all shared words are cached.
+// cost returns the number of batch slots that a request takes on each stage, and
+// their total weight in decode positions. It assumes the best case, in which all
+// blocks of shared words are cached.
 func (m Mix) cost() (slots, weight float64) {
-	cached := m.SharedWords / cacheBlock * cacheBlock
-	positions := float64(m.PromptWords - cached)
-	return math.Ceil(positions/prefillChunk) + m.meanTokens(), prefillWeight*positions + m.meanTokens()
+	cached := m.SharedWords / cacheBlockLen * cacheBlockLen
+	uncached := float64(m.PromptWords - cached)
+	return math.Ceil(uncached/prefillChunk) + m.meanTokens(), prefillCost*uncached + m.meanTokens()
 }
 
-// engineRate returns the requests a second that an engine can serve when all
-// its batches are full.
-func engineRate(s engine.Accelerator, layers int, m Mix) float64 {
+// engineRate returns the requests a second that an engine with the given number of
+// layers can serve when all its batches are full.
+func engineRate(a engine.Accelerator, layers int, m Mix) float64 {
 	slots, weight := m.cost()
 	weightPerSlot := weight / slots
-	step := float64(s.BaseTime) + float64(s.PositionLayerTime)*float64(layers)*float64(s.Slots)*weightPerSlot
-	return float64(s.Slots) / (step / float64(time.Second)) / slots
+	step := float64(a.BaseTime) + float64(a.PositionLayerTime)*float64(layers)*float64(a.Slots)*weightPerSlot
+	return float64(a.Slots) / (step / float64(time.Second)) / slots
 }
 
 // Bound returns an upper bound on the requests a second that the engines of a
-// scene can serve: the maximum flow from the first layer to the last one.
+// scene can serve. It is the maximum flow from layer 0 to the end of the model, where
+// each engine is an edge from its first layer to the layer after its last one.
 func Bound(engines []scene.EngineSpec, layers int, m Mix) float64 {
 	capacity := make([][]float64, layers+1)
 	for i := range capacity {
@@ -73,9 +75,9 @@
 	}
 }
 
-// augment returns the shortest augmenting path from the first layer to the last
-// one, found by breadth-first search (Edmonds and Karp, 1972), and the flow that
-// it can take. The flow is 0 if there is no path.
+// augment returns the shortest augmenting path from layer 0 to the end of the model,
+// found by breadth-first search (Edmonds and Karp, 1972), and the flow that it can
+// take. The flow is 0 if there is no path.
 func augment(capacity [][]float64) (path []int, flow float64) {
 	last := len(capacity) - 1
 	parent := make([]int, last+1)
--- a/bench/control.go
+++ b/bench/control.go
@@ -8,8 +8,8 @@
 	"spanrill/scene"
 )
 
-// ControlTraffic is the traffic of a fleet without requests: messages between
-// daemons and calls of the platform, for each daemon and second.
+// ControlTraffic is the traffic of a fleet that serves no requests: messages between
+// daemons and calls of the platform, per daemon and second.
 type ControlTraffic struct {
 	Daemons        int     `json:"daemons"`
 	Engines        int     `json:"engines"`
@@ -20,7 +20,8 @@
 	BoxLists       float64 `json:"box_lists"`
 }
 
-// MeasureControlTraffic measures a fleet without requests for a duration.
+// MeasureControlTraffic starts a scene and measures its traffic without requests for a
+// duration.
 func MeasureControlTraffic(ctx context.Context, spec scene.Spec, duration time.Duration) (*ControlTraffic, error) {
 	s, err := scene.Start(ctx, spec)
 	if err != nil {
@@ -48,6 +49,7 @@
 // byteCounts is the traffic of all daemons with their peers.
 type byteCounts struct{ sent, received uint64 }
 
+// peerTraffic returns the bytes that all daemons have exchanged with peers so far.
 func peerTraffic(s *scene.Scene) byteCounts {
 	var total byteCounts
 	for _, d := range s.Daemons() {
--- a/bench/load.go
+++ b/bench/load.go
@@ -115,9 +115,9 @@
 	if len(shares) == 0 {
 		return r.IntN(accounts)
 	}
-	x := r.Float64()
+	remaining := r.Float64()
 	for i, share := range shares {
-		if x -= share; x < 0 {
+		if remaining -= share; remaining < 0 {
 			return i
 		}
 	}
@@ -148,7 +148,7 @@
 	wrong         int                     // answers whose text differs
 	late          int                     // answers after the deadline
 	failed        map[string]int          // by error code
-	tokens        []int                   // received in each window
+	tokens        []int                   // tokens received, by window since started
 	firstToken    *hdrhistogram.Histogram // time until the first token
 	betweenTokens *hdrhistogram.Histogram // time between two tokens
 	refusals      *hdrhistogram.Histogram // time until a refusal or another failure
@@ -185,7 +185,7 @@
 	return t
 }
 
-// record adds a duration to a histogram, within its range.
+// record adds a duration to a histogram, limited to the range of the histogram.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(max(1, min(d.Microseconds(), maxLatencyMicros)))
 }
@@ -201,6 +201,7 @@
 
 const maxIdleConns = 2048
 
+// newRunner returns a runner whose planned times count from started.
 func newRunner(s *scene.Scene, o Options, started time.Time) *runner {
 	return &runner{
 		scene: s, opts: o, spec: s.Spec().Model,
@@ -212,7 +213,8 @@
 	}
 }
 
-// run sends each request at its time and returns when all have ended, or at the end of ctx.
+// run sends each request at its planned time and returns when all have ended. If ctx ends while
+// requests remain to be sent, it returns without waiting.
 func (r *runner) run(ctx context.Context, arrivals []arrival) {
 	var tasks task.Group
 	for _, a := range arrivals {
@@ -229,13 +231,13 @@
 	_ = tasks.Wait()
 }
 
-// requestResult is the answer or failure of one request. Its times count from the intended send
+// requestResult is the answer or failure of one request. Its durations start at the intended send
 // time.
 type requestResult struct {
 	code       string // error code, empty if it succeeded
 	text       string
 	firstToken time.Duration
-	total      time.Duration
+	total      time.Duration // until the end of the answer or the failure
 }
 
 // sendAndCheck sends a request and counts its result against the expected answer.
@@ -250,9 +252,9 @@
 	r.tally.count(a, got, want, r.opts)
 }
 
-// count records the result of a request. A useful answer counts if it was complete within the
-// measured time. If it counted by its send time, the backlog that is answered after an overload
-// would add to the throughput. Offered requests, failures and latencies count if the intended
+// count records the result of a request. A useful answer counts if it was completed within the
+// measurement: counting by send time would add the backlog that is answered afterwards to the
+// throughput of an overloaded fleet. Offered requests, failures and latencies count if the intended
 // send time is after the warmup. Wrong and late answers always count.
 func (t *Tally) count(a arrival, got requestResult, want string, o Options) {
 	t.mu.Lock()
@@ -308,7 +310,7 @@
 	return r.readStream(bufio.NewReader(resp.Body), a, intended)
 }
 
-// errorCode returns the code of an error body.
+// errorCode returns the code in an error body, or "unreadable" if there is none.
 func errorCode(d *json.Decoder) string {
 	var e struct{ Error struct{ Code string } }
 	if d.Decode(&e) != nil || e.Error.Code == "" {
@@ -323,7 +325,7 @@
 	Error   *struct{ Code string }
 }
 
-// readStream reads an answer to its end and counts its tokens.
+// readStream reads a streamed answer to its end and counts its tokens.
 func (r *runner) readStream(lines *bufio.Reader, a arrival, intended time.Time) requestResult {
 	var got requestResult
 	var text strings.Builder
@@ -355,7 +357,9 @@
 	}
 }
 
-// recordToken counts a token that was received now, and returns the current time.
+// recordToken counts a token that was received now and returns the current time. It records the
+// time since the previous token, unless the request was sent during the warmup. For the first
+// token it sets got.firstToken instead.
 func (t *Tally) recordToken(a arrival, previous time.Time, got *requestResult, intended time.Time, warmup time.Duration) time.Time {
 	now := time.Now()
 	t.mu.Lock()
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -28,8 +28,8 @@
 	AddedP99  float64 `json:"added_p99"`
 }
 
-// MeasureOverhead calls the same stand-ins directly and through a daemon,
-// alternately and one call at a time.
+// MeasureOverhead calls the same stand-ins directly and through a daemon, in turn
+// and one call at a time. It makes the given number of measured calls of each kind.
 func MeasureOverhead(ctx context.Context, calls int) ([]Overhead, error) {
 	spec := scene.Demo()
 	spec.Daemons, spec.Engines = 1, spec.Engines[:3]
@@ -60,7 +60,8 @@
 	client *http.Client
 }
 
-// compare measures direct and routed calls alternately.
+// compare measures direct and routed calls in turn, after a tenth as many unmeasured
+// calls for warmup.
 func (o *overheadRunner) compare(ctx context.Context, name string, direct, routed func(context.Context, int) error) (Overhead, error) {
 	directTimes, routedTimes := newHistogram(), newHistogram()
 	for i := range o.calls + o.calls/10 {
@@ -86,6 +87,8 @@
 	return comparison, nil
 }
 
+// post sends a request as the first client account. An answer with a status other than
+// 200 is an error.
 func (o *overheadRunner) post(ctx context.Context, url string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -134,8 +137,9 @@
 	return o.post(ctx, "http://"+run.Chain[0].Addr+"/v1/run", body)
 }
 
-// chain builds a chain from the engines that the daemon knows: for each stage, the
-// first one that begins at the layer at which the stage before ends.
+// chain builds a chain from the engines that the daemon knows. Each stage is the first
+// engine that begins at the layer at which the previous stage ends. The chain ends early
+// if there is none.
 func (o *overheadRunner) chain() []spanrill.StageRef {
 	var chain []spanrill.StageRef
 	for layer := 0; layer < o.scene.Spec().Model.Layers; {
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -83,7 +83,8 @@
 
 // prepareFault returns the engines whose capacity remains after a fault, and a
 // function that injects the fault. An engine that the fault slows down does not
-// count as remaining. Links that it slows down do not reduce the capacity.
+// count as remaining; an engine with slow links does. inject may block until stop is
+// closed.
 func prepareFault(s *scene.Scene, fault Fault) (remaining []scene.EngineSpec, inject func(stop <-chan struct{}), err error) {
 	engines := s.Spec().Engines
 	switch fault {
@@ -107,11 +108,11 @@
 	return nil, nil, errors.Errorf("unknown fault %q: allowed are %v", fault, Faults())
 }
 
-// slowFactor is the slowdown of an engine by FaultSlowEngine and FaultFlap.
+// slowFactor is the factor by which FaultSlowEngine and FaultFlap slow an engine down.
 const slowFactor = 10
 
 // killEngines returns the engines that are not selected, and a function that kills
-// the others.
+// the selected ones.
 func killEngines(s *scene.Scene, selected func(int, scene.EngineSpec) bool) ([]scene.EngineSpec, func(<-chan struct{}), error) {
 	var remaining []scene.EngineSpec
 	var killed []string
@@ -161,10 +162,10 @@
 	}
 }
 
-// recovery returns the tokens a second before and after the fault, the lowest rate
-// after it, and the seconds until the rate had recovered, or -1 if it had not.
-// capacityShare is the capacity of the remaining engines as a share of the offered
-// load.
+// recovery returns the tokens a second before the fault and at the end of the run, the
+// lowest rate after the fault, and the seconds from the fault until the rate first
+// reached the target after its lowest value, or -1 if it did not. capacityShare is the
+// capacity of the remaining engines as a share of the offered load.
 func (t *Tally) recovery(faultAt time.Duration, o Options, capacityShare float64) map[string]float64 {
 	faultWindow := int(faultAt / window)
 	end := int((o.Warmup + o.Duration) / window)
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -18,17 +18,17 @@
 type Report struct {
 	Scene             string             `json:"scene"`
 	Policy            string             `json:"policy"`
-	Load              float64            `json:"load"`    // offered load as a fraction of the bound
-	Bound             float64            `json:"bound"`   // requests a second, see the function Bound
-	Offered           float64            `json:"offered"` // requests a second
-	Useful            float64            `json:"useful"`  // requests a second
-	UsefulOverBound   float64            `json:"useful_over_bound"`
-	UsefulOverOffered float64            `json:"useful_over_offered"`
+	Load              float64            `json:"load"`                // offered load as a fraction of the bound
+	Bound             float64            `json:"bound"`               // requests a second, see the function Bound
+	Offered           float64            `json:"offered"`             // requests a second
+	Useful            float64            `json:"useful"`              // requests a second
+	UsefulOverBound   float64            `json:"useful_over_bound"`   // Useful as a fraction of Bound
+	UsefulOverOffered float64            `json:"useful_over_offered"` // Useful as a fraction of Offered
 	FirstTokenP50     float64            `json:"first_token_p50"`
 	FirstTokenP95     float64            `json:"first_token_p95"`
 	FirstTokenP99     float64            `json:"first_token_p99"`
 	BetweenTokensP95  float64            `json:"between_tokens_p95"`
-	RefusalP99        float64            `json:"refusal_p99"`
+	RefusalP99        float64            `json:"refusal_p99"` // until a refusal or another failure
 	Wrong             int                `json:"wrong"`
 	Late              int                `json:"late"`
 	Failed            map[string]int     `json:"failed"`
@@ -43,10 +43,10 @@
 	Account  string  `json:"account"`
 	Offered  float64 `json:"offered"`
 	Useful   float64 `json:"useful"`
-	WholeP99 float64 `json:"whole_p99"`
+	WholeP99 float64 `json:"whole_p99"` // until the whole answer was received
 }
 
-// Throughput offers a load to a scene and reports the answers that it delivered.
+// Throughput starts a scene, offers a load to it and reports its answers.
 func Throughput(ctx context.Context, spec scene.Spec, o Options) (*Report, error) {
 	o = o.withDefaults()
 	s, err := scene.Start(ctx, spec)
@@ -126,13 +126,13 @@
 	return formatCounts(byCode)
 }
 
-func formatCounts(m map[string]uint64) string {
-	if len(m) == 0 {
+func formatCounts(counts map[string]uint64) string {
+	if len(counts) == 0 {
 		return "none"
 	}
-	parts := make([]string, 0, len(m))
-	for k, n := range m {
-		parts = append(parts, fmt.Sprintf("%s=%d", k, n))
+	parts := make([]string, 0, len(counts))
+	for name, n := range counts {
+		parts = append(parts, fmt.Sprintf("%s=%d", name, n))
 	}
 	sort.Strings(parts)
 	return strings.Join(parts, " ")
