--- a/knownred/result.go
+++ b/knownred/result.go
@@ -10,9 +10,9 @@
 // failed also all output except that of tests that passed.
 func (p *packageResult) print(w io.Writer, failed bool) {
 	for i, e := range p.output {
-		closing := i == len(p.output)-1
+		isLast := i == len(p.output)-1
 		hidden := e.Test != "" && p.tests[e.Test] == "pass" && p.completed() || isRunMarker(e.Output)
-		if closing || failed && !hidden {
+		if isLast || failed && !hidden {
 			fmt.Fprint(w, e.Output)
 		}
 	}
@@ -26,8 +26,8 @@
 	if n < 2 {
 		return false
 	}
-	fail, closing := p.output[n-2], p.output[n-1]
-	return fail.Test == "" && fail.Output == "FAIL\n" && strings.HasPrefix(closing.Output, "FAIL\t")
+	fail, last := p.output[n-2], p.output[n-1]
+	return fail.Test == "" && fail.Output == "FAIL\n" && strings.HasPrefix(last.Output, "FAIL\t")
 }
 
 // wroteNothing reports whether a test wrote nothing itself; its subtests may have.
--- a/knownred/run.go
+++ b/knownred/run.go
@@ -84,7 +84,7 @@
 		p := r.result(e.Package)
 		p.output = append(p.output, e)
 	case e.Action != "pass" && e.Action != "fail" && e.Action != "skip":
-		r.result(e.Package)
+		r.result(e.Package) // such as start or run: the package must finish
 	case e.Test != "":
 		r.result(e.Package).tests[e.Test] = e.Action
 	default:
@@ -92,7 +92,7 @@
 	}
 }
 
-// result returns the result of a package, which it adds if it is new.
+// result returns the result of a package, and adds an empty one for a new package.
 func (r *testRun) result(pkg string) *packageResult {
 	if r.packages[pkg] == nil {
 		r.packages[pkg] = &packageResult{tests: map[string]string{}}
@@ -116,7 +116,7 @@
 	r.checkTests(pkg, p)
 }
 
-// checkTests records each failed test that is not known to fail.
+// checkTests records a problem for each failed test that the list does not cover.
 func (r *testRun) checkTests(pkg string, p *packageResult) {
 	for _, test := range sortedKeys(p.tests) {
 		if p.tests[test] == "fail" && !r.mayFail(pkg, p, test) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// checkRaces records a data race outside the tests that are known to fail.
+// checkRaces records a problem if a data race is reported outside the listed tests.
 func (r *testRun) checkRaces(pkg string, p *packageResult) {
 	for _, e := range p.output {
 		if strings.HasPrefix(e.Output, "WARNING: DATA RACE") && !r.mayFail(pkg, p, e.Test) {
@@ -152,7 +152,7 @@
 	return false
 }
 
-// finish records the problems that show only at the end of the input.
+// finish records the problems that only the end of the input reveals.
 func (r *testRun) finish() {
 	for _, pkg := range sortedKeys(r.packages) {
 		if !r.packages[pkg].finished {
@@ -166,7 +166,7 @@
 	r.checkExitCode()
 }
 
-// checkKnownFailure records a listed test that did not fail.
+// checkKnownFailure records a problem if a listed test did not fail.
 func (r *testRun) checkKnownFailure(known knownFailure) {
 	p := r.packages[known.pkg]
 	if p == nil {
@@ -183,7 +183,8 @@
 	}
 }
 
-// checkExitCode compares the exit code of go test with the failures in its output.
+// checkExitCode records a problem if the exit code of go test is missing or does not fit
+// the failures in its output, or if no package was tested.
 func (r *testRun) checkExitCode() {
 	want := "0"
 	if r.failedPackages > 0 {
--- a/knownred/run_test.go
+++ b/knownred/run_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// The output is the same as without -json.
+// The printed output is that of go test without -json.
 func TestOutput(t *testing.T) {
 	_, printed := checkRun(t, listedTest, recordedRun(t, "broken", "green", "none", "red"))
 	const want = "# sample/broken [sample/broken.test]\n" +
@@ -172,20 +172,20 @@
 	for _, c := range []struct{ name, list, want string }{
 		{"empty", "", ""},
 		{"empty lines", "\n\n", ""},
-		{"three", listedTest + listedParent + listedSubtest, ""},
-		{"four", listedTest + listedParent + listedSubtest + listRed("green"), "4 known red tests, at most 3 are allowed"},
-		{"twice", listedTest + listedTest, "known red test TestRed of sample/red is listed twice"},
+		{"three lines", listedTest + listedParent + listedSubtest, ""},
+		{"four lines", listedTest + listedParent + listedSubtest + listRed("green"), "4 known red tests, at most 3 are allowed"},
+		{"a test listed twice", listedTest + listedTest, "known red test TestRed of sample/red is listed twice"},
 		{"no cause", "sample/red TestRed: , issue 30", "is not of the form"},
 		{"no issue", "sample/red TestRed: counts too few", "is not of the form"},
-		{"no number", "sample/red TestRed: counts too few, issue none", "is not of the form"},
+		{"no issue number", "sample/red TestRed: counts too few, issue none", "is not of the form"},
 		{"no package", "TestRed: counts too few, issue 30", "is not of the form"},
-		{"a pattern", "sample/red .*: counts too few, issue 30", "is not of the form"},
+		{"a pattern instead of a test name", "sample/red .*: counts too few, issue 30", "is not of the form"},
 		{"a comment", "# nothing is red", "is not of the form"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := parseList(c.list)
 			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want %q", err, c.want)
+				t.Errorf("parseList returned error %v, want one that contains %q, or none if empty", err, c.want)
 			}
 		})
 	}
