--- a/standin/faultproxy/proxy.go
+++ b/standin/faultproxy/proxy.go
@@ -1,6 +1,6 @@
 // Package faultproxy is a TCP proxy for tests that injects faults into the connections between two
-// processes. It can refuse, delay and freeze connections, cut them within or after a request or
-// within an answer, and let them become silent.
+// processes. It can refuse connections, delay or freeze the bytes that they carry, close them in the
+// middle of a request or an answer or between the two, and stop forwarding without closing them.
 //
 // # Usage
 //
@@ -21,7 +21,8 @@
 	"spanrill/standin/web"
 )
 
-// Faults are the faults that a proxy injects. With the zero value it forwards everything.
+// Faults are the faults that a proxy injects. With the zero value it forwards everything. A byte count
+// of 0 switches its fault off.
 type Faults struct {
 	Refuse          bool `json:"refuse"`            // close new connections at once
 	Freeze          bool `json:"freeze"`            // forward no bytes
@@ -29,8 +30,8 @@
 	CutRequestAfter int  `json:"cut_request_after"` // close a connection after this many bytes from the client
 	CutAnswerAfter  int  `json:"cut_answer_after"`  // close a connection after this many bytes from the target
 	CutBeforeAnswer bool `json:"cut_before_answer"` // close a connection when the first bytes from the target arrive
-	// Silence permanently stops the connections that are open when it is set: they forward neither
-	// bytes nor their end. New connections work.
+	// Silence permanently stops the connections that are open when it is set: the proxy no longer
+	// forwards their bytes, nor that a side closed. New connections work.
 	Silence bool `json:"silence"`
 }
 
@@ -39,7 +40,7 @@
 	target   string
 	mu       sync.Mutex
 	faults   Faults
-	changed  chan struct{}
+	changed  chan struct{} // closed when the faults change; then replaced
 	conns    map[net.Conn]bool
 	silenced chan struct{} // closed when the connections that are open now become silent; then replaced
 	accepted atomic.Int64
@@ -67,8 +68,8 @@
 	return ln.Addr().String(), nil
 }
 
-// ListenControl serves an HTTP interface on addr and returns the address that it is bound to. A POST with
-// Faults as JSON sets the faults.
+// ListenControl serves an HTTP interface on addr and returns the address that it is bound to. A request
+// with Faults as JSON in its body sets the faults.
 func (p *Proxy) ListenControl(addr string) (string, error) {
 	server := web.New(func(ctx *fasthttp.RequestCtx) {
 		var f Faults
@@ -192,7 +193,7 @@
 	}
 }
 
-// direction tells whether bytes come from the client or from the target.
+// direction is the direction in which bytes flow: from the client or from the target.
 type direction bool
 
 const (
@@ -200,8 +201,7 @@
 	answerBytes  direction = true
 )
 
-// cutLimit returns the number of bytes of a direction after which its connection is closed, or -1 for
-// no limit.
+// cutLimit returns after how many bytes in a direction the connection is closed, or -1 for no limit.
 func (f Faults) cutLimit(dir direction) int {
 	switch {
 	case dir == answerBytes && f.CutBeforeAnswer:
@@ -214,8 +214,8 @@
 	return -1
 }
 
-// copyBytes copies one direction of a connection and applies the faults. When the connection becomes
-// silent, it returns only once the proxy is closed, so that neither side sees an end.
+// copyBytes copies one direction of a connection and applies the faults. After the connection became
+// silent, it returns only once the proxy is closed: if it returned earlier, both sides would be closed.
 func (p *Proxy) copyBytes(dst, src net.Conn, closeBoth func(), silenced <-chan struct{}, dir direction) {
 	buf := make([]byte, 32<<10)
 	copied := 0
--- a/standin/faultproxy/proxy_test.go
+++ b/standin/faultproxy/proxy_test.go
@@ -30,19 +30,19 @@
 	return ln.Addr().String()
 }
 
-// readBack sends a byte and returns the error of reading it back within the given time.
-func readBack(t *testing.T, c net.Conn, wait time.Duration) error {
+// echoByte sends a byte and waits up to timeout for its echo. It returns the error of the read.
+func echoByte(t *testing.T, c net.Conn, timeout time.Duration) error {
 	t.Helper()
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetReadDeadline(time.Now().Add(wait))
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	_, err := io.ReadFull(c, make([]byte, 1))
 	return err
 }
 
-// Connections that are open when Silence is set must forward nothing more, not even their end, also
-// after the fault is over. Connections made afterwards must work until Silence is set again.
+// Connections that are open when Silence is set must neither forward bytes nor be closed, even after
+// the fault is removed. Connections made afterwards must work until Silence is set again.
 func TestSilenceAffectsOnlyOpenConnections(t *testing.T) {
 	p := New(startEcho(t))
 	addr, err := p.Listen("127.0.0.1:0")
@@ -57,11 +57,11 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		if err := readBack(t, c, 5*time.Second); err != nil {
+		if err := echoByte(t, c, 5*time.Second); err != nil {
 			t.Fatalf("echo on a new connection: %v", err)
 		}
 		for _, old := range silenced {
-			if err := readBack(t, old, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+			if err := echoByte(t, old, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatalf("echo on a silenced connection: %v, want a timeout", err)
 			}
 		}
@@ -69,7 +69,7 @@
 		silenced = append(silenced, c)
 	}
 	p.SetFaults(Faults{})
-	if err := readBack(t, silenced[0], 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := echoByte(t, silenced[0], 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("echo on a silenced connection after the fault was removed: %v, want a timeout", err)
 	}
 }
