--- a/standin/model/model.go
+++ b/standin/model/model.go
@@ -54,8 +54,9 @@
 	return Activation(hash(uint64(in), uint64(*kv), uint64(layer)+1<<32))
 }
 
-// RunLayers runs one position through the layers of a range, from its first one. The slice holds the
-// state of each layer to run.
+// RunLayers runs one position through consecutive layers, starting with r.From, and returns the
+// activation after the last one. kv holds the state of each layer to run; its length, not r.To,
+// determines how many are run.
 func RunLayers(r spanrill.LayerRange, kv []KV, in Activation) Activation {
 	for i := range kv {
 		in = RunLayer(r.From+i, &kv[i], in)
@@ -68,7 +69,8 @@
 	return Activation(xxhash.Sum64String(s.Name + "\x00" + s.Version + "\x00" + word))
 }
 
-// Sample returns the token with the given index, from the output of the last layer.
+// Sample returns the token at an index of the answer. It depends on the output of the last layer, the
+// seed and the index.
 func Sample(out Activation, seed uint64, index int) uint32 {
 	return uint32(hash(uint64(out), seed, uint64(index)) % Vocabulary)
 }
@@ -88,8 +90,8 @@
 	return strings.Fields(prompt)
 }
 
-// Answer computes a whole answer in one place, without a chain. Tests compare the answers of chains
-// with it.
+// Answer returns the tokens of a whole answer, at most maxTokens, computed without a chain. Tests
+// compare the answers of chains with it.
 func Answer(s Spec, prompt string, seed uint64, maxTokens int) []uint32 {
 	allLayers := spanrill.LayerRange{From: 0, To: s.Layers}
 	kv := make([]KV, s.Layers)
@@ -109,7 +111,7 @@
 	return tokens
 }
 
-// Text returns the text of tokens as a caller receives it.
+// Text returns the text of an answer as a caller receives it.
 func Text(tokens []uint32) string {
 	var b strings.Builder
 	for _, t := range tokens {
