--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -24,8 +24,8 @@
 	p.get(ctx, key)
 }
 
-// admit counts a call and answers it if it fails because of an outage or the rate limits. It reports
-// whether the call goes on.
+// admit counts a call and reports whether it may proceed. If an outage or the rate limits make it
+// fail, admit answers it and returns false.
 func (p *Platform) admit(ctx *fasthttp.RequestCtx, write bool) bool {
 	limiter := p.countCall(write, watchWait(ctx) > 0)
 	if p.injectOutage(ctx) {
@@ -106,14 +106,15 @@
 
 // checkWatch returns a channel that is closed at the object's next change, and whether the object has
 // a version that the caller does not know.
-func (p *Platform) checkWatch(key, known string) (<-chan struct{}, bool) {
+func (p *Platform) checkWatch(key, knownETag string) (<-chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	o := p.objectFor(key)
-	return o.changed, etag(o.version) != known && !p.faults.FreezeWatch
+	return o.changed, etag(o.version) != knownETag && !p.faults.FreezeWatch
 }
 
-// respond answers a read with the value, or with status 304 if the caller knows the version.
+// respond answers a read with the value, or with status 304 if the caller knows the version. With the
+// fault StaleReads it serves the previous version.
 func (p *Platform) respond(ctx *fasthttp.RequestCtx, key, knownETag string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,7 +166,7 @@
 }
 
 // preconditionHolds reports whether the version of an object meets the request's If-None-Match: * or
-// If-Match. A request without either meets no precondition.
+// If-Match. It is false for a request with neither header, so that no write is unconditional.
 func preconditionHolds(ctx *fasthttp.RequestCtx, version int64) bool {
 	if string(ctx.Request.Header.Peek("If-None-Match")) == "*" {
 		return version == 0
@@ -186,7 +187,7 @@
 // maxHistory is the number of values of an object that are kept for Restore and stale reads.
 const maxHistory = 32
 
-// store writes a value as a new version and ends the waits for it. The caller holds p.mu.
+// store writes a value as a new version of an object and wakes its watches. The caller holds p.mu.
 func (p *Platform) store(_ string, o *object, value []byte) {
 	o.value = value
 	o.version++
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -10,7 +10,7 @@
 //	GET  /calls           returns the numbers of calls so far
 //	POST /faults          sets the faults; the body is a Faults
 //	POST /boxes           replaces the box list
-//	POST /restore/{key}   writes an older value again, as restoring a backup does
+//	POST /restore/{key}   writes the value of ?back=n writes ago again, as restoring a backup does
 //
 // # Usage
 //
@@ -56,11 +56,12 @@
 	Limited int64 `json:"limited"` // refused by the rate limits
 }
 
+// object is the state of an object. Version 0 means that it does not exist yet.
 type object struct {
 	value   []byte
 	version int64
-	history [][]byte
-	changed chan struct{}
+	history [][]byte      // the last values, oldest first
+	changed chan struct{} // closed at the next change; then replaced
 }
 
 // Platform is a stand-in for the platform. Create it with New.
@@ -68,13 +69,13 @@
 	mu           sync.Mutex
 	objects      map[string]*object
 	boxes        []spanrill.Box
-	visibleBoxes []spanrill.Box
+	visibleBoxes []spanrill.Box // the box list that callers see
 
-	visibleVersion int64
+	visibleVersion int64 // version of visibleBoxes
 	faults         Faults
 	calls          Calls
-	callCount      int64
-	boxLag         time.Duration
+	callCount      int64         // calls for objects and the box list, to apply FailEvery
+	boxLag         time.Duration // time until the box list shows a change
 	writeLimiter   *rate.Limiter
 	readLimiter    *rate.Limiter
 	server         *web.Server
@@ -225,7 +226,7 @@
 }
 
 // injectOutage delays a call to the store or the box list as the faults require, and reports whether
-// it is to fail.
+// the call must fail.
 func (p *Platform) injectOutage(_ *fasthttp.RequestCtx) bool {
 	p.mu.Lock()
 	p.callCount++
