--- a/standin/web/web.go
+++ b/standin/web/web.go
@@ -92,7 +92,7 @@
 	server *Server
 }
 
-// Accept returns the next connection. If the server was killed, the connection is closed already.
+// Accept returns the next connection, which is already closed if the server was killed.
 func (t trackingListener) Accept() (net.Conn, error) {
 	c, err := t.Listener.Accept()
 	if err != nil {
@@ -108,13 +108,13 @@
 	return &trackedConn{Conn: c, server: t.server}, nil
 }
 
-// trackedConn removes itself from the server when it is closed.
+// trackedConn is a connection that the server counts until it is closed.
 type trackedConn struct {
 	net.Conn
 	server *Server
 }
 
-// Close closes the connection.
+// Close closes the connection and removes it from the server.
 func (c *trackedConn) Close() error {
 	c.server.mu.Lock()
 	delete(c.server.conns, c.Conn)
