--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -11,9 +11,9 @@
 
 // job is a step of a stage that waits for the accelerator.
 type job struct {
-	weight   float64 // decode positions that it costs
+	weight   float64 // cost in decode positions
 	priority int
-	done     chan struct{}
+	done     chan struct{} // closed when the job's batch has run
 }
 
 // batcher runs waiting jobs in batches and simulates the time that an accelerator takes for them.
@@ -74,13 +74,13 @@
 	sort.SliceStable(b.waiting, func(i, k int) bool {
 		return b.waiting[i].priority > b.waiting[k].priority
 	})
-	n := min(len(b.waiting), b.engine.speed.Slots)
+	n := min(len(b.waiting), b.engine.accelerator.Slots)
 	batch := append([]*job(nil), b.waiting[:n]...)
 	b.waiting = append(b.waiting[:0], b.waiting[n:]...)
 	return batch
 }
 
-// runBatch waits for the time of a batch and ends its jobs.
+// runBatch waits as long as a batch takes, and completes its jobs.
 func (b *batcher) runBatch(batch []*job) {
 	var weight float64
 	for _, j := range batch {
@@ -95,12 +95,12 @@
 	}
 }
 
-// batchTime returns how long a batch takes whose jobs cost weight decode positions in total.
+// batchTime returns how long a batch takes. weight is the total cost of its jobs, in decode positions.
 func (e *Engine) batchTime(weight float64) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	perLayer := float64(e.speed.PositionLayerTime) * weight
-	d := float64(e.speed.BaseTime) + perLayer*float64(e.layers.Len())
+	perLayer := float64(e.accelerator.PositionLayerTime) * weight
+	d := float64(e.accelerator.BaseTime) + perLayer*float64(e.layers.Len())
 	if e.faults.Slowdown > 0 {
 		d *= e.faults.Slowdown
 	}
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -22,8 +22,8 @@
 	Evicted bool   `json:"evicted"`
 }
 
-// droppedEventInterval is the interval at which one cache event is dropped, so that the sequence
-// numbers have gaps.
+// droppedEventInterval is the number of cache events of which the last is dropped, so that readers see
+// gaps in the sequence numbers.
 const droppedEventInterval = 7
 
 // maxCacheEvents is the number of cache events that are kept for readers.
@@ -31,23 +31,24 @@
 
 // prefixCache holds the KV caches of prompt prefixes. It evicts the least recently used block first.
 type prefixCache struct {
-	capacity  int
-	byRecency *list.List // of *cacheEntry, newest first
+	capacity  int        // maximum number of blocks
+	byRecency *list.List // of *cacheEntry, most recently used first
 	byKey     map[uint64]*list.Element
-	seq       uint64
+	seq       uint64 // sequence number of the last event, also if it was dropped
 	events    []CacheEvent
 }
 
+// cacheEntry is a prefix block in the cache. Its KV cache covers the prompt up to the end of the block.
 type cacheEntry struct {
 	key uint64
 	kv  []model.KV
 }
 
-func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{capacity: limit, byRecency: list.New(), byKey: map[uint64]*list.Element{}}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, byRecency: list.New(), byKey: map[uint64]*list.Element{}}
 }
 
-// get returns the KV cache of a prefix, or nil.
+// get returns the KV cache of a prefix, or nil if it is not cached.
 func (c *prefixCache) get(key uint64) []model.KV {
 	el := c.byKey[key]
 	if el == nil {
@@ -73,7 +74,7 @@
 	}
 }
 
-// addEvent numbers an event and keeps it, unless it is one that is dropped.
+// addEvent numbers an event and keeps it for readers, unless it is to be dropped.
 func (c *prefixCache) addEvent(e CacheEvent) {
 	c.seq++
 	e.Seq = c.seq
@@ -86,6 +87,7 @@
 	}
 }
 
+// clear removes all blocks without events of their eviction.
 func (c *prefixCache) clear() {
 	c.byRecency.Init()
 	c.byKey = map[uint64]*list.Element{}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -3,8 +3,8 @@
 // It simulates continuous batching at the speed of an accelerator and a prompt prefix cache of
 // limited size. It serves streams by priority, reports its load with a lag, publishes cache events
 // with gaps in their sequence numbers, cancels and continues streams, exports and imports their KV
-// caches, and follows orders unless their fencing token is outdated. Faults make it fail in
-// defined ways.
+// caches, and carries out orders unless their term, the fencing token of a lease, is outdated.
+// Faults make it fail in defined ways.
 //
 //	POST /v1/run           runs a chain whose first stage is this engine
 //	POST /v1/stage         opens, advances or closes a stream; called by the previous stage
@@ -35,25 +35,25 @@
 
 // Faults are the faults that an engine simulates. The zero value is a healthy engine.
 type Faults struct {
-	Slowdown       float64        `json:"slowdown"`         // factor of the time that batches take
+	Slowdown       float64        `json:"slowdown"`         // factor on the time that a batch takes, 0 for none
 	Leaving        bool           `json:"leaving"`          // report that the engine is leaving, and refuse new streams
-	IgnoreFences   bool           `json:"ignore_fences"`    // carry out orders with any fencing token
+	IgnoreFences   bool           `json:"ignore_fences"`    // also carry out orders with an outdated term
 	DoubleTokens   bool           `json:"double_tokens"`    // send each token twice
 	SwapTokens     bool           `json:"swap_tokens"`      // send the two tokens of each pair in reverse order
 	DropToken      int            `json:"drop_token"`       // don't send the token with this index
-	SkipLayer      bool           `json:"skip_layer"`       // don't run the last layer held
-	MisreportRange bool           `json:"misreport_range"`  // report one layer less than was run
+	SkipLayer      bool           `json:"skip_layer"`       // don't run the last of the engine's layers
+	MisreportRange bool           `json:"misreport_range"`  // report one layer fewer than was run
 	EndEarly       int            `json:"end_early"`        // close the stream at this token without an end event
-	LinkMicros     map[string]int `json:"link_micros"`      // delay of calls to the next stage, by its engine
+	LinkMicros     map[string]int `json:"link_micros"`      // delay of calls to the next stage, by the name of its engine
 	KillAtToken    int            `json:"die_at_token"`     // kill the engine at this token
 	StallAtToken   int            `json:"stall_at_token"`   // send nothing from this token on
 	FailOrders     int            `json:"fail_orders"`      // fail the next n orders
 	LoseOrderReply int            `json:"lose_order_reply"` // carry out the next n orders without an answer
 }
 
-// Accelerator describes an accelerator.
+// Accelerator describes the speed and the capacity of an accelerator.
 type Accelerator struct {
-	Kind              string        // name of the kind of accelerator
+	Kind              string        // kind of accelerator, as the status reports it
 	Slots             int           // maximum number of steps in a batch
 	BaseTime          time.Duration // base time of a batch
 	PositionLayerTime time.Duration // time added to a batch for each position and layer
@@ -62,22 +62,22 @@
 
 // Engine is a stand-in for one engine. Create it with New.
 type Engine struct {
-	name      string
-	speed     Accelerator
-	reportLag time.Duration
-	loadTime  time.Duration
+	name        string
+	accelerator Accelerator
+	reportLag   time.Duration
+	loadTime    time.Duration
 
 	mu         sync.Mutex
 	spec       model.Spec
 	layers     spanrill.LayerRange
-	generation uint64
+	generation uint64 // increases with each load of a model
 	loading    bool
-	terms      map[string]uint64
-	orders     []spanrill.Order
-	streams    map[string]*stream
+	terms      map[string]uint64  // highest term of the orders carried out, by lease
+	orders     []spanrill.Order   // carried out, oldest first
+	streams    map[string]*stream // open streams, by ID
 	faults     Faults
 	cache      *prefixCache
-	reported   spanrill.UpstreamStatus
+	reported   spanrill.UpstreamStatus // load at reportedAt
 	reportedAt time.Time
 
 	batcher  *batcher
@@ -96,8 +96,8 @@
 }
 
 // WithAccelerator sets the accelerator that the engine simulates.
-func WithAccelerator(s Accelerator) Option {
-	return func(e *Engine) { e.speed = s }
+func WithAccelerator(a Accelerator) Option {
+	return func(e *Engine) { e.accelerator = a }
 }
 
 // WithReportLag sets the interval between load reports, and so the maximum age of the load that the
@@ -121,14 +121,14 @@
 	return func(e *Engine) { e.generation = g }
 }
 
-// DefaultAccelerator describes the accelerator of engines for which no other is set.
+// DefaultAccelerator is the accelerator of an engine that is created without WithAccelerator.
 var DefaultAccelerator = Accelerator{
 	Kind: "m1", Slots: 16, BaseTime: 2 * time.Millisecond,
 	PositionLayerTime: 5 * time.Microsecond, MaxLayers: 16,
 }
 
 const (
-	defaultLag         = 300 * time.Millisecond
+	defaultReportLag   = 300 * time.Millisecond
 	defaultCacheBlocks = 512
 	defaultLoadTime    = 200 * time.Millisecond
 	streamIdleTimeout  = 30 * time.Second
@@ -137,7 +137,7 @@
 // New returns an engine. Without the option WithModel it holds no model.
 func New(name string, opts ...Option) *Engine {
 	e := &Engine{
-		name: name, speed: DefaultAccelerator, reportLag: defaultLag, loadTime: defaultLoadTime,
+		name: name, accelerator: DefaultAccelerator, reportLag: defaultReportLag, loadTime: defaultLoadTime,
 		generation: uint64(time.Now().UnixNano()),
 		terms:      map[string]uint64{}, streams: map[string]*stream{},
 		cache: newPrefixCache(defaultCacheBlocks), stopped: make(chan struct{}),
@@ -193,7 +193,7 @@
 	return e.faults
 }
 
-// reportLoop renews the load report after each report lag, and drops idle streams.
+// reportLoop renews the load report and drops idle streams, at intervals of the report lag.
 func (e *Engine) reportLoop() {
 	for {
 		load := e.currentLoad()
@@ -218,15 +218,15 @@
 	}
 }
 
-// currentLoad returns the load without any lag.
+// currentLoad returns the load at the time of the call.
 func (e *Engine) currentLoad() spanrill.UpstreamStatus {
-	waitingSteps := e.batcher.waitingJobs()
+	waitingJobs := e.batcher.waitingJobs()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return spanrill.UpstreamStatus{
-		Name: e.name, Running: len(e.streams), Waiting: waitingSteps, Slots: e.speed.Slots,
-		Kind: e.speed.Kind, StepMicros: int(e.speed.BaseTime / time.Microsecond),
-		TokenNanos: int(e.speed.PositionLayerTime), MaxLayers: e.speed.MaxLayers,
+		Name: e.name, Running: len(e.streams), Waiting: waitingJobs, Slots: e.accelerator.Slots,
+		Kind: e.accelerator.Kind, StepMicros: int(e.accelerator.BaseTime / time.Microsecond),
+		TokenNanos: int(e.accelerator.PositionLayerTime), MaxLayers: e.accelerator.MaxLayers,
 	}
 }
 
--- a/standin/engine/prompt.go
+++ b/standin/engine/prompt.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// promptText returns the prompt in the body of a request: that of a chat if the path is one of a
-// chat completion.
+// promptText returns the prompt in the body of a request. For a chat completion it is made of the
+// messages of the chat.
 func promptText(path string, body []byte) (string, error) {
 	if strings.HasSuffix(path, "/chat/completions") {
 		return chatPrompt(body)
@@ -26,24 +26,24 @@
 	}
 	var list []string
 	if err := json.Unmarshal(request.Prompt, &list); err != nil || len(list) != 1 {
-		return "", errors.New("prompt must be a string")
+		return "", errors.New("prompt must be a string or a list of one string")
 	}
 	return list[0], nil
 }
 
-// chatPrompt concatenates the roles and contents of the messages.
+// chatPrompt returns the roles and contents of a chat's messages as one prompt.
 func chatPrompt(body []byte) (string, error) {
-	var b struct {
+	var request struct {
 		Messages []struct {
 			Role    string          `json:"role"`
 			Content json.RawMessage `json:"content"`
 		} `json:"messages"`
 	}
-	if err := json.Unmarshal(body, &b); err != nil {
+	if err := json.Unmarshal(body, &request); err != nil {
 		return "", fmt.Errorf("decode body: %w", err)
 	}
 	var prompt strings.Builder
-	for _, m := range b.Messages {
+	for _, m := range request.Messages {
 		text, err := contentText(m.Content)
 		if err != nil {
 			return "", err
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -14,17 +14,17 @@
 // prefillChunk is the maximum number of positions in a prefill step.
 const prefillChunk = 64
 
-// chainRun is the generation of one answer by a chain whose first stage is this engine.
+// chainRun generates one answer on a chain whose first stage is this engine.
 type chainRun struct {
 	engine     *Engine
 	req        *spanrill.RunRequest
 	spec       model.Spec
-	words      []string // words of the prompt and of the tokens generated before
-	promptLen  int      // number of words in the prompt
-	cachedLen  int      // number of positions restored from the caches
-	pos        int
-	activation model.Activation
-	stageRuns  []spanrill.StageRun
+	words      []string            // words of the prompt, then of the tokens that an earlier run generated
+	promptLen  int                 // number of words in the prompt
+	cachedLen  int                 // number of positions restored from the caches
+	pos        int                 // number of positions that the chain has run or restored
+	activation model.Activation    // output of the last position
+	stageRuns  []spanrill.StageRun // runs of the last step, in chain order
 }
 
 func (e *Engine) serveRun(ctx *fasthttp.RequestCtx) {
@@ -42,7 +42,7 @@
 	ctx.SetBodyStreamWriter(r.writeEvents)
 }
 
-// writeConflict answers that a request was refused before anything was done.
+// writeConflict answers with status 409 and an error: the request was refused and had no effect.
 func (e *Engine) writeConflict(ctx *fasthttp.RequestCtx, runErr *spanrill.RunError) {
 	ctx.SetStatusCode(fasthttp.StatusConflict)
 	web.WriteJSON(ctx, spanrill.RunEvent{Error: runErr})
@@ -138,31 +138,31 @@
 // prefill runs the words whose positions are not cached.
 func (r *chainRun) prefill() *spanrill.RunError {
 	r.pos = r.cachedLen
-	restore := r.cachedLen / blockLen
+	restoreBlocks := r.cachedLen / blockLen
 	for r.pos < len(r.words) {
 		end := min(r.pos+prefillChunk, len(r.words))
-		if runErr := r.runWords(r.words[r.pos:end], restore, true); runErr != nil {
+		if runErr := r.runWords(r.words[r.pos:end], restoreBlocks, true); runErr != nil {
 			return runErr
 		}
-		restore = 0
+		restoreBlocks = 0
 	}
 	return nil
 }
 
-// decodeWord runs the step of one generated word.
+// decodeWord runs one generated word through all stages.
 func (r *chainRun) decodeWord(word string) *spanrill.RunError {
 	return r.runWords([]string{word}, 0, false)
 }
 
-// runWords runs one step through all stages. A restore above 0 is the number of cached blocks that
-// the stages restore first.
-func (r *chainRun) runWords(words []string, restore int, prefill bool) *spanrill.RunError {
+// runWords runs one step through all stages. restoreBlocks is the number of cached blocks that the
+// stages restore first, 0 for none.
+func (r *chainRun) runWords(words []string, restoreBlocks int, prefill bool) *spanrill.RunError {
 	activations := make([]model.Activation, len(words))
 	for i, w := range words {
 		activations[i] = model.Embed(r.spec, w)
 	}
 	reply := r.engine.handleStage(&stageRequest{
-		Op: opStep, ID: r.req.ID, Pos: r.pos, RestoreBlocks: restore, Prefill: prefill, Activations: activations,
+		Op: opStep, ID: r.req.ID, Pos: r.pos, RestoreBlocks: restoreBlocks, Prefill: prefill, Activations: activations,
 	})
 	if reply.Error != nil {
 		return reply.Error
@@ -176,7 +176,7 @@
 type eventWriter struct {
 	w       *bufio.Writer
 	faults  Faults
-	delayed *spanrill.RunEvent
+	delayed *spanrill.RunEvent // first token of a pair, to be written after the second
 }
 
 // write writes one event and reports whether the client is still connected.
@@ -189,7 +189,7 @@
 	return ew.w.Flush() == nil
 }
 
-// writeEnd writes the last event, after a delayed token.
+// writeEnd writes the last event, preceded by the delayed token if there is one.
 func (ew *eventWriter) writeEnd(ev spanrill.RunEvent) {
 	if ew.delayed != nil {
 		ew.write(*ew.delayed)
@@ -197,7 +197,8 @@
 	ew.write(ev)
 }
 
-// writeToken writes a token, or what the faults make of it. It reports whether the stream goes on.
+// writeToken writes a token. Depending on the faults, it writes it twice, out of order or not at all,
+// or ends the stream. It reports whether the stream goes on.
 func (ew *eventWriter) writeToken(ev spanrill.RunEvent, e *Engine) bool {
 	if f := ew.faults; f.KillAtToken > 0 && ev.Index == f.KillAtToken {
 		go e.Kill()
@@ -222,7 +223,8 @@
 	return ew.write(ev)
 }
 
-// writeSwapped delays the first token of each pair until the second is written.
+// writeSwapped delays the first token of each pair until the second is written. It reports whether the
+// client is still connected.
 func (ew *eventWriter) writeSwapped(ev spanrill.RunEvent) bool {
 	if ew.delayed == nil {
 		ew.delayed = &ev
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -41,9 +41,9 @@
 }
 
 func (e *Engine) serveStage(ctx *fasthttp.RequestCtx) {
-	op := &stageRequest{}
-	if web.ReadJSON(ctx, op) {
-		web.WriteJSON(ctx, e.handleStage(op))
+	request := &stageRequest{}
+	if web.ReadJSON(ctx, request) {
+		web.WriteJSON(ctx, e.handleStage(request))
 	}
 }
 
@@ -60,7 +60,7 @@
 	web.WriteJSON(ctx, newer)
 }
 
-// kvState is the form in which the KV cache of a stream is exported and imported.
+// kvState is the KV cache of a stream on this stage, as it is exported and imported.
 type kvState struct {
 	Layers spanrill.LayerRange `json:"layers"`
 	Pos    int                 `json:"pos"`
@@ -110,8 +110,8 @@
 	}
 }
 
-// applyOrder carries out an order, unless an order with a higher term was given under the same lease
-// before. It also reports whether the reply is to be lost.
+// applyOrder carries out an order, unless an earlier order under the same lease had a higher term. It
+// also reports whether a fault requires that the reply is lost.
 func (e *Engine) applyOrder(o spanrill.Order) (loseReply bool, runErr *spanrill.RunError) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -122,8 +122,8 @@
 	if o.Term < e.terms[o.LeaseName] && !e.faults.IgnoreFences {
 		return false, e.newRunError(spanrill.CodeFenced, "term %d is lower than term %d of an earlier order", o.Term, e.terms[o.LeaseName])
 	}
-	if o.Layers.Len() > e.speed.MaxLayers {
-		return false, e.newRunError(spanrill.CodeBadRequest, "%d layers do not fit in memory, which holds %d", o.Layers.Len(), e.speed.MaxLayers)
+	if o.Layers.Len() > e.accelerator.MaxLayers {
+		return false, e.newRunError(spanrill.CodeBadRequest, "%d layers do not fit in memory, which holds %d", o.Layers.Len(), e.accelerator.MaxLayers)
 	}
 	e.terms[o.LeaseName] = max(e.terms[o.LeaseName], o.Term)
 	e.orders = append(e.orders, o)
@@ -135,7 +135,8 @@
 	return false, nil
 }
 
-// startLoading begins to load what the order names, unless it is loaded. The caller holds e.mu.
+// startLoading begins to load the model and layers of an order, unless the engine holds or loads them
+// already. The caller holds e.mu.
 func (e *Engine) startLoading(o spanrill.Order) {
 	spec := model.Spec{Name: o.Model, Version: o.Version, Layers: o.LayerNum}
 	if spec == e.spec && o.Layers == e.layers {
--- a/standin/engine/stage.go
+++ b/standin/engine/stage.go
@@ -12,7 +12,8 @@
 	"spanrill/standin/model"
 )
 
-// stageRequest is a request to a stage: from the previous one or, at the first stage, its chainRun.
+// stageRequest is a request to a stage. It comes from the previous stage or, at the first stage, from
+// the chainRun on the same engine.
 type stageRequest struct {
 	Op            string              `json:"op"` // open, step or close
 	ID            string              `json:"id"`
@@ -22,13 +23,13 @@
 	BlockKeys     []uint64            `json:"keys,omitempty"`  // open: keys of the prompt's prefix blocks
 	Pos           int                 `json:"pos"`             // step: its first position
 	RestoreBlocks int                 `json:"restore"`         // step: number of cached blocks to start from, 0 for none
-	Prefill       bool                `json:"prefill"`
+	Prefill       bool                `json:"prefill"`         // step: whether its positions are prefilled, which costs less than decoding
 	Activations   []model.Activation  `json:"acts,omitempty"`
 }
 
 // stageReply is the answer to a stageRequest. It covers the stage and all behind it: the activation
-// is that of the last stage, the runs are in chain order, and the blocks are those that every
-// stage has cached.
+// is that of the last stage, the runs are in chain order, and the cached blocks are a bit mask of
+// those that every stage has cached.
 type stageReply struct {
 	Activation   model.Activation    `json:"act"`
 	StageRuns    []spanrill.StageRun `json:"ran,omitempty"`
@@ -36,7 +37,7 @@
 	Error        *spanrill.RunError  `json:"error,omitempty"`
 }
 
-// stream is this engine's state of one generation.
+// stream is the state of one answer on this stage.
 type stream struct {
 	id         string
 	layers     spanrill.LayerRange
@@ -44,7 +45,7 @@
 	nextStages []spanrill.StageRef
 	blockKeys  []uint64
 	kv         []model.KV
-	pos        int
+	pos        int // number of positions that kv covers
 	lastUsed   time.Time
 }
 
@@ -54,122 +55,123 @@
 	opClose = "close"
 )
 
-// newRunError returns an error of this stage.
+// newRunError returns an error that names this engine.
 func (e *Engine) newRunError(code, format string, args ...any) *spanrill.RunError {
 	return &spanrill.RunError{Code: code, Engine: e.name, Detail: fmt.Sprintf(format, args...)}
 }
 
 // handleStage performs an operation on this stage and all stages behind it.
-func (e *Engine) handleStage(op *stageRequest) *stageReply {
-	switch op.Op {
+func (e *Engine) handleStage(request *stageRequest) *stageReply {
+	switch request.Op {
 	case opOpen:
-		return e.openStream(op)
+		return e.openStream(request)
 	case opStep:
-		return e.runStep(op)
+		return e.runStep(request)
 	case opClose:
-		return e.closeStream(op)
+		return e.closeStream(request)
 	}
-	return &stageReply{Error: e.newRunError(spanrill.CodeBadRequest, "unknown operation %q", op.Op)}
+	return &stageReply{Error: e.newRunError(spanrill.CodeBadRequest, "unknown operation %q", request.Op)}
 }
 
-// openStream opens a stream and returns which of its blocks are cached on every stage.
-func (e *Engine) openStream(op *stageRequest) *stageReply {
-	cached, runErr := e.admit(op)
+// openStream opens a stream on this stage and all stages behind it, and returns which of its blocks
+// are cached on every stage.
+func (e *Engine) openStream(request *stageRequest) *stageReply {
+	cached, runErr := e.admit(request)
 	if runErr != nil {
 		return &stageReply{Error: runErr}
 	}
-	if len(op.Chain) == 1 {
+	if len(request.Chain) == 1 {
 		return &stageReply{CachedBlocks: cached}
 	}
-	next := *op
-	next.Chain = op.Chain[1:]
-	reply := e.callStage(op.Chain[1], &next)
+	nextRequest := *request
+	nextRequest.Chain = request.Chain[1:]
+	reply := e.callStage(request.Chain[1], &nextRequest)
 	reply.CachedBlocks &= cached
 	return reply
 }
 
 // admit opens a stream on this stage if the request matches the model, layers and generation that
 // the engine holds. It returns a bit mask of the stream's blocks that the prefix cache holds.
-func (e *Engine) admit(op *stageRequest) (uint64, *spanrill.RunError) {
+func (e *Engine) admit(request *stageRequest) (uint64, *spanrill.RunError) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(op.Chain) == 0 {
+	if len(request.Chain) == 0 {
 		return 0, e.newRunError(spanrill.CodeBadRequest, "the chain is empty")
 	}
-	ref := op.Chain[0]
+	ref := request.Chain[0]
 	switch {
 	case e.faults.Leaving:
 		return 0, e.newRunError(spanrill.CodeLeaving, "the engine is leaving")
 	case e.loading:
 		return 0, e.newRunError(spanrill.CodeMismatch, "the engine is loading a model")
-	case op.Spec != e.spec:
-		return 0, e.newRunError(spanrill.CodeMismatch, "the engine holds model %v, the request is for %v", e.spec, op.Spec)
+	case request.Spec != e.spec:
+		return 0, e.newRunError(spanrill.CodeMismatch, "the engine holds model %v, the request is for %v", e.spec, request.Spec)
 	case ref.Layers != e.layers:
 		return 0, e.newRunError(spanrill.CodeMismatch, "the engine holds layers %v, the request is for %v", e.layers, ref.Layers)
 	case ref.Generation != e.generation:
 		return 0, e.newRunError(spanrill.CodeMismatch, "the engine is at generation %d, the request is for %d", e.generation, ref.Generation)
 	}
-	e.streams[op.ID] = &stream{
-		id: op.ID, layers: e.layers, priority: op.Priority, nextStages: op.Chain[1:],
-		blockKeys: op.BlockKeys, kv: make([]model.KV, e.layers.Len()), lastUsed: time.Now(),
+	e.streams[request.ID] = &stream{
+		id: request.ID, layers: e.layers, priority: request.Priority, nextStages: request.Chain[1:],
+		blockKeys: request.BlockKeys, kv: make([]model.KV, e.layers.Len()), lastUsed: time.Now(),
 	}
-	return e.cache.cachedBlocks(op.BlockKeys), nil
+	return e.cache.cachedBlocks(request.BlockKeys), nil
 }
 
-// runStep runs some positions of a stream through this stage and all stages behind it.
-func (e *Engine) runStep(op *stageRequest) *stageReply {
-	s, runErr := e.beginStep(op)
+// runStep runs the positions of a step through this stage and all stages behind it.
+func (e *Engine) runStep(request *stageRequest) *stageReply {
+	s, runErr := e.beginStep(request)
 	if runErr != nil {
 		return &stageReply{Error: runErr}
 	}
 	started := time.Now()
-	e.batcher.execute(stepWeight(op), s.priority)
-	activations := e.runLayers(s, op)
+	e.batcher.execute(stepWeight(request), s.priority)
+	activations := e.runLayers(s, request)
 	stageRun := spanrill.StageRun{Engine: e.name, Layers: e.reportedRange(s), Micros: time.Since(started).Microseconds()}
 	reply := &stageReply{Activation: activations[len(activations)-1]}
 	if len(s.nextStages) > 0 {
-		next := *op
-		next.Activations = activations
-		reply = e.callStage(s.nextStages[0], &next)
+		nextRequest := *request
+		nextRequest.Activations = activations
+		reply = e.callStage(s.nextStages[0], &nextRequest)
 	}
 	reply.StageRuns = append([]spanrill.StageRun{stageRun}, reply.StageRuns...)
 	return reply
 }
 
 // stepWeight returns the cost of a step, in decode positions.
-func stepWeight(op *stageRequest) float64 {
-	if op.Prefill {
-		return prefillCost * float64(len(op.Activations))
+func stepWeight(request *stageRequest) float64 {
+	if request.Prefill {
+		return prefillCost * float64(len(request.Activations))
 	}
-	return float64(len(op.Activations))
+	return float64(len(request.Activations))
 }
 
 // beginStep returns the stream of a step. It restores the KV cache of the prefix if the step asks
 // for it, and checks that the KV cache covers exactly the positions before the step.
-func (e *Engine) beginStep(op *stageRequest) (*stream, *spanrill.RunError) {
+func (e *Engine) beginStep(request *stageRequest) (*stream, *spanrill.RunError) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.streams[op.ID]
+	s := e.streams[request.ID]
 	if s == nil {
-		return nil, e.newRunError(spanrill.CodeStageLost, "stream %s is not open", op.ID)
+		return nil, e.newRunError(spanrill.CodeStageLost, "stream %s is not open", request.ID)
 	}
 	s.lastUsed = time.Now()
-	if op.RestoreBlocks > 0 && s.pos == 0 {
-		kv := e.cache.get(s.blockKeys[op.RestoreBlocks-1])
+	if request.RestoreBlocks > 0 && s.pos == 0 {
+		kv := e.cache.get(s.blockKeys[request.RestoreBlocks-1])
 		if kv == nil {
 			return nil, e.newRunError(spanrill.CodeBusy, "the cached prefix was evicted")
 		}
 		copy(s.kv, kv)
-		s.pos = op.RestoreBlocks * blockLen
+		s.pos = request.RestoreBlocks * blockLen
 	}
-	if op.Pos != s.pos {
-		return nil, e.newRunError(spanrill.CodeBadRequest, "the stream is at position %d, the request is for position %d", s.pos, op.Pos)
+	if request.Pos != s.pos {
+		return nil, e.newRunError(spanrill.CodeBadRequest, "the stream is at position %d, the request is for position %d", s.pos, request.Pos)
 	}
 	return s, nil
 }
 
 // runLayers runs the positions of a step through the layers, and caches each complete prefix block.
-func (e *Engine) runLayers(s *stream, op *stageRequest) []model.Activation {
+func (e *Engine) runLayers(s *stream, request *stageRequest) []model.Activation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	layers := s.layers
@@ -178,8 +180,8 @@
 		layers.To--
 		kv = kv[:layers.Len()]
 	}
-	out := make([]model.Activation, len(op.Activations))
-	for i, in := range op.Activations {
+	out := make([]model.Activation, len(request.Activations))
+	for i, in := range request.Activations {
 		out[i] = model.RunLayers(layers, kv, in)
 		s.pos++
 		if block := s.pos/blockLen - 1; s.pos%blockLen == 0 && block < len(s.blockKeys) {
@@ -199,27 +201,27 @@
 }
 
 // closeStream closes a stream on this stage and all stages behind it.
-func (e *Engine) closeStream(op *stageRequest) *stageReply {
+func (e *Engine) closeStream(request *stageRequest) *stageReply {
 	e.mu.Lock()
-	s := e.streams[op.ID]
-	delete(e.streams, op.ID)
+	s := e.streams[request.ID]
+	delete(e.streams, request.ID)
 	e.mu.Unlock()
 	if s == nil || len(s.nextStages) == 0 {
 		return &stageReply{}
 	}
-	return e.callStage(s.nextStages[0], op)
+	return e.callStage(s.nextStages[0], request)
 }
 
 // stageTimeout bounds a call to the next stage, which includes its calls to the stages behind it.
 const stageTimeout = 20 * time.Second
 
 // callStage calls the next stage, after the delay of the link to it.
-func (e *Engine) callStage(next spanrill.StageRef, op *stageRequest) *stageReply {
+func (e *Engine) callStage(next spanrill.StageRef, request *stageRequest) *stageReply {
 	started := time.Now()
 	if us := e.currentFaults().LinkMicros[next.Engine]; us > 0 {
 		<-time.After(time.Duration(us) * time.Microsecond)
 	}
-	reply, err := e.postStage(next.Addr, op)
+	reply, err := e.postStage(next.Addr, request)
 	if err != nil {
 		runErr := &spanrill.RunError{Code: spanrill.CodeStageLost, Engine: next.Engine, Detail: err.Error()}
 		return &stageReply{Error: runErr}
@@ -228,8 +230,8 @@
 	return reply
 }
 
-// setLinkTime sets the link time of the first of runs, the stage that was called: the total time of
-// the call without the times that the stages report.
+// setLinkTime sets the link time of the stage that was called, runs[0]: the total time of the call
+// minus the times that the stages report.
 func setLinkTime(runs []spanrill.StageRun, total time.Duration) {
 	if len(runs) == 0 {
 		return
@@ -241,11 +243,11 @@
 	runs[0].LinkMicros = max(0, link)
 }
 
-func (e *Engine) postStage(addr string, op *stageRequest) (*stageReply, error) {
+func (e *Engine) postStage(addr string, request *stageRequest) (*stageReply, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	body, err := json.Marshal(op)
+	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, fmt.Errorf("encode stage call: %w", err)
 	}
