--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -28,16 +28,16 @@
 	LoseAnswers int  `json:"lose_answers"` // run the next n requests without an answer
 	DelayMillis int  `json:"delay_millis"` // delay of each request
 	Leaving     bool `json:"leaving"`      // report that the service is leaving
-	FailStatus  int  `json:"fail_status"`  // status of each answer, 0 for 200
+	FailStatus  int  `json:"fail_status"`  // error status of each answer, 0 for success
 }
 
 // Service is a stand-in for one instance of a plain service. Create it with New.
 type Service struct {
 	name    string
 	mu      sync.Mutex
-	runs    map[string]int
+	runs    map[string]int // how often each request ran, by id
 	faults  Faults
-	running int
+	running int // requests that run now
 	server  *web.Server
 }
 
@@ -124,7 +124,8 @@
 	web.WriteJSON(ctx, map[string]string{"id": body.ID, "path": string(ctx.Path()), "served_by": s.name})
 }
 
-// begin counts a request. It returns the faults, and whether the answer is to be lost.
+// begin counts a request as run and as running. It returns the faults, and whether they require that
+// the answer is lost.
 func (s *Service) begin(id string) (loseAnswer bool, f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
