--- a/scene/scene.go
+++ b/scene/scene.go
@@ -50,7 +50,7 @@
 	Name              string
 	Priority          int
 	Weight            int
-	RequestsPerSecond int // requests per second, 0 for no limit
+	RequestsPerSecond int // 0 for no limit
 	MaxInFlight       int // maximum of concurrent requests, 0 for no limit
 }
 
@@ -65,7 +65,7 @@
 	ServiceUpstreams int // upstreams of the service "readings", distributed over the zones
 	Daemons          int
 	Accounts         []AccountSpec
-	RoutingPolicy    string // routing policy, "" for the default
+	RoutingPolicy    string // "" for the default
 	Seed             uint64
 	ReportLag        time.Duration // interval between the load reports of an engine
 	BoxLag           time.Duration // time until the platform's box list shows a change
@@ -91,7 +91,7 @@
 	tasks    task.Group
 }
 
-// Daemon is a daemon of a scene.
+// Daemon is a daemon of a scene, with the settings that it was started with.
 type Daemon struct {
 	*daemon.Daemon
 	settings settings.Settings
@@ -201,7 +201,7 @@
 	return v
 }
 
-// addDaemonBox adds a daemon to the box list. It need not run yet.
+// addDaemonBox adds daemon i to the box list. The daemon need not run yet.
 func (s *Scene) addDaemonBox(i int) {
 	v := s.daemonSettings(i)
 	s.boxes = append(s.boxes, spanrill.Box{
@@ -250,7 +250,7 @@
 	return err
 }
 
-// addAccount adds the documents of an account and of a template that only it uses.
+// addAccount adds an account to docs, and a template that only this account uses.
 func (s *Scene) addAccount(docs map[config.Name]any, a AccountSpec) {
 	hash := config.HashKey(KeyPrefix + a.Name)
 	docs[config.Name{Kind: config.KindTemplate, Name: a.Name}] = config.Template{
@@ -270,10 +270,11 @@
 	}
 }
 
-// readyTimeout bounds how long Start waits for all daemons together.
+// readyTimeout is the maximum time that Start waits for all daemons together.
 const readyTimeout = 20 * time.Second
 
-// awaitReady waits until isReady holds for every daemon.
+// awaitReady waits until isReady is true for every daemon. It fails when readyTimeout is over or ctx
+// ends.
 func (s *Scene) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, d := range s.daemons {
@@ -306,7 +307,8 @@
 	return st.Ready && len(st.Peers) == len(s.daemons) && loaded >= expected
 }
 
-// LinkDelays returns the delays of the links from an engine to each engine, in microseconds.
+// LinkDelays returns the delay of the link from the named engine to each engine, in microseconds, by
+// engine name. It is empty if Spec.LinkDelay is not set.
 func (s *Scene) LinkDelays(name string) map[string]int {
 	links := map[string]int{}
 	if s.spec.LinkDelay == nil {
@@ -354,10 +356,10 @@
 // PlatformAddr returns the address of the platform.
 func (s *Scene) PlatformAddr() string { return s.platformAddr() }
 
-// Spec returns the description from which the scene was started.
+// Spec returns the spec that the scene was started with.
 func (s *Scene) Spec() Spec { return s.spec }
 
-// StopDaemon begins an orderly stop of daemon i, in which it drains its requests.
+// StopDaemon starts a graceful shutdown of daemon i, which drains its requests.
 func (s *Scene) StopDaemon(i int) { s.daemons[i].stop() }
 
 // Close stops the daemons, waits until they have ended, and stops the stand-ins.
@@ -369,8 +371,8 @@
 	for _, e := range s.engines {
 		e.Kill()
 	}
-	for _, v := range s.services {
-		v.Close()
+	for _, svc := range s.services {
+		svc.Close()
 	}
 	s.platform.Close()
 }
--- a/scene/scenes.go
+++ b/scene/scenes.go
@@ -43,10 +43,10 @@
 		Accounts:  []AccountSpec{{Name: "rucher", Priority: 5, Weight: 1}},
 		ReportLag: 200 * time.Millisecond, LinkDelay: linkDelay, Seed: 1,
 	}
-	speeds := []engine.Accelerator{largeAccelerator, mediumAccelerator, largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator, largeAccelerator}
-	for i, speed := range speeds {
+	accelerators := []engine.Accelerator{largeAccelerator, mediumAccelerator, largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator, largeAccelerator}
+	for i, accelerator := range accelerators {
 		s.Engines = append(s.Engines, EngineSpec{
-			Name: fmt.Sprintf("engine-%d", i+1), Zone: s.Zones[i%3], Layers: layerThirds[i%3], Accelerator: speed,
+			Name: fmt.Sprintf("engine-%d", i+1), Zone: s.Zones[i%3], Layers: layerThirds[i%3], Accelerator: accelerator,
 		})
 	}
 	return s
@@ -63,10 +63,10 @@
 	for i := range 10 {
 		s.Accounts = append(s.Accounts, AccountSpec{Name: fmt.Sprintf("account-%d", i+1), Priority: 5, Weight: 1})
 	}
-	kinds := []engine.Accelerator{largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator}
+	accelerators := []engine.Accelerator{largeAccelerator, mediumAccelerator, smallAccelerator, mediumAccelerator}
 	for i := range 42 {
 		s.Engines = append(s.Engines, EngineSpec{
-			Name: fmt.Sprintf("engine-%02d", i+1), Zone: s.Zones[i/3%3], Layers: layerThirds[i%3], Accelerator: kinds[i/3%4],
+			Name: fmt.Sprintf("engine-%02d", i+1), Zone: s.Zones[i/3%3], Layers: layerThirds[i%3], Accelerator: accelerators[i/3%4],
 		})
 	}
 	return s
@@ -84,12 +84,12 @@
 		s.Accounts[i].RequestsPerSecond = accountRequestRate
 	}
 	s.Model.Name = "label-reading"
-	rename := map[string]string{"hall-un": "hann", "hall-deux": "plateau", "hall-trois": "fann"}
+	newNames := map[string]string{"hall-un": "hann", "hall-deux": "plateau", "hall-trois": "fann"}
 	for i, z := range s.Zones {
-		s.Zones[i] = rename[z]
+		s.Zones[i] = newNames[z]
 	}
 	for i := range s.Engines {
-		s.Engines[i].Zone = rename[s.Engines[i].Zone]
+		s.Engines[i].Zone = newNames[s.Engines[i].Zone]
 	}
 	return s
 }
