--- a/soak/environment.go
+++ b/soak/environment.go
@@ -128,7 +128,7 @@
 
 // restore restores the store from an older copy and then writes the current configuration and
 // upstream entries again.
-func (env *environment) restore(storeCopy platformtest.Copy) {
+func (env *environment) restore(storeCopy platformtest.Backup) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.store.Restore(storeCopy, "config", "servers")
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -152,7 +152,7 @@
 // key is replaced.
 func (r *run) restoreStore(ctx context.Context, s Step) error {
 	env := r.env
-	storeCopy := env.store.Copy()
+	storeCopy := env.store.Backup()
 	for range lostRevisions {
 		wait(ctx, s.Duration/lostRevisions)
 		env.toggleTimeout()
