--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -128,7 +128,7 @@
 	m := o.scene.Spec().Model
 	run := spanrill.RunRequest{
 		ID: fmt.Sprintf("direct-%d", i), Path: "/v1/chat/completions", Body: o.chatBody(i),
-		Model: m.Name, Version: m.Version, LayerNum: m.Layers, Seed: 1, MaxTokens: 1, Chain: o.chain(),
+		Model: m.Name, Version: m.Version, LayerCount: m.Layers, Seed: 1, MaxTokens: 1, Chain: o.chain(),
 	}
 	body, err := json.Marshal(run)
 	if err != nil {
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -170,7 +170,7 @@
 		order := func(term uint64, to int) error {
 			return engines.Order(context.Background(), addr, spanrill.Order{
 				Kind: spanrill.OrderLoad, LeaseName: "placement/quebec", Term: term,
-				Model: "advice", Version: "1", Layers: spanrill.LayerRange{To: to}, LayerNum: 24,
+				Model: "advice", Version: "1", Layers: spanrill.LayerRange{To: to}, LayerCount: 24,
 			})
 		}
 		if err := order(2, 8); err != nil {
--- a/coordination/pipeline/generation.go
+++ b/coordination/pipeline/generation.go
@@ -129,7 +129,7 @@
 	}
 	return &spanrill.RunRequest{
 		ID: g.req.ID + "/" + strconv.Itoa(g.result.attempts), Path: g.req.Path, Body: g.req.Body,
-		Model: g.req.Key.Model, Version: g.req.Key.Version, LayerNum: g.req.Layers,
+		Model: g.req.Key.Model, Version: g.req.Key.Version, LayerCount: g.req.Layers,
 		Seed: g.req.Seed, Priority: g.req.Priority, MaxTokens: g.req.MaxTokens,
 		Generated: g.generated, Chain: stages,
 	}
@@ -137,7 +137,7 @@
 
 // readStream delivers the tokens of a stream until the answer is complete.
 func (g *generation) readStream(stream spanrill.RunStream, run *spanrill.RunRequest, chain []*load.Upstream) *failure {
-	v := &verifier{layers: run.LayerNum, chain: run.Chain, next: len(g.generated)}
+	v := &verifier{layers: run.LayerCount, chain: run.Chain, next: len(g.generated)}
 	timeout := g.runner.firstTokenTimeout
 	lastToken := g.runner.clock.Now()
 	for {
--- a/coordination/placement/placer.go
+++ b/coordination/placement/placer.go
@@ -156,7 +156,7 @@
 	defer cancel()
 	err := p.engines.Order(ctx, u.Addr(), spanrill.Order{
 		Kind: spanrill.OrderLoad, LeaseName: p.lease.Duty(), Term: term,
-		Model: m.Model.Name, Version: m.Model.Version, Layers: m.Layers, LayerNum: m.Model.Layers,
+		Model: m.Model.Name, Version: m.Model.Version, Layers: m.Layers, LayerCount: m.Model.Layers,
 	})
 	p.recordResult(m, fields, err)
 }
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -56,7 +56,7 @@
 	}
 	r := &chainRun{
 		engine: e, req: req, words: model.SplitWords(prompt),
-		spec: model.Spec{Name: req.Model, Version: req.Version, Layers: req.LayerNum},
+		spec: model.Spec{Name: req.Model, Version: req.Version, Layers: req.LayerCount},
 	}
 	r.promptLen = len(r.words)
 	for _, t := range req.Generated {
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -138,7 +138,7 @@
 // startLoading begins to load the model and layers of an order, unless the engine holds or loads them
 // already. The caller holds e.mu.
 func (e *Engine) startLoading(o spanrill.Order) {
-	spec := model.Spec{Name: o.Model, Version: o.Version, Layers: o.LayerNum}
+	spec := model.Spec{Name: o.Model, Version: o.Version, Layers: o.LayerCount}
 	if spec == e.spec && o.Layers == e.layers {
 		return
 	}
--- a/upstream.go
+++ b/upstream.go
@@ -106,7 +106,7 @@
 	Body      []byte     `json:"body"` // the caller's body, unmodified
 	Model     string     `json:"model"`
 	Version   string     `json:"version"`
-	LayerNum  int        `json:"layers"`   // number of layers of the whole model
+	LayerCount  int        `json:"layers"`   // number of layers of the whole model
 	Seed      uint64     `json:"seed"`     // the same for each attempt
 	Priority  int        `json:"priority"` // 0 is lowest
 	MaxTokens int        `json:"max_tokens"`
@@ -206,7 +206,7 @@
 	Model     string     `json:"model"`
 	Version   string     `json:"version"`
 	Layers    LayerRange `json:"layers"`
-	LayerNum  int        `json:"layer_num"` // number of layers of the whole model
+	LayerCount  int        `json:"layer_num"` // number of layers of the whole model
 }
 
 // CallError is the error of one call to an upstream.
