--- a/upstream.go
+++ b/upstream.go
@@ -101,17 +101,17 @@
 
 // RunRequest asks a chain to generate tokens.
 type RunRequest struct {
-	ID        string     `json:"id"`   // differs for each attempt
-	Path      string     `json:"path"` // the caller's path, which determines the format of Body
-	Body      []byte     `json:"body"` // the caller's body, unmodified
-	Model     string     `json:"model"`
-	Version   string     `json:"version"`
-	LayerCount  int        `json:"layers"`   // number of layers of the whole model
-	Seed      uint64     `json:"seed"`     // the same for each attempt
-	Priority  int        `json:"priority"` // 0 is lowest
-	MaxTokens int        `json:"max_tokens"`
-	Generated []uint32   `json:"generated"` // verified tokens after which the chain continues
-	Chain     []StageRef `json:"chain"`
+	ID         string     `json:"id"`   // differs for each attempt
+	Path       string     `json:"path"` // the caller's path, which determines the format of Body
+	Body       []byte     `json:"body"` // the caller's body, unmodified
+	Model      string     `json:"model"`
+	Version    string     `json:"version"`
+	LayerCount int        `json:"layers"`   // number of layers of the whole model
+	Seed       uint64     `json:"seed"`     // the same for each attempt
+	Priority   int        `json:"priority"` // 0 is lowest
+	MaxTokens  int        `json:"max_tokens"`
+	Generated  []uint32   `json:"generated"` // verified tokens after which the chain continues
+	Chain      []StageRef `json:"chain"`
 }
 
 // StageRun is a stage's record of having run its layers for one token.
@@ -200,13 +200,13 @@
 
 // Order tells an engine which state to reach. It is idempotent.
 type Order struct {
-	Kind      OrderKind  `json:"kind"`
-	LeaseName string     `json:"duty"` // the lease that authorizes the order
-	Term      uint64     `json:"term"` // fencing token: an engine refuses an order with a lower one than it has seen
-	Model     string     `json:"model"`
-	Version   string     `json:"version"`
-	Layers    LayerRange `json:"layers"`
-	LayerCount  int        `json:"layer_num"` // number of layers of the whole model
+	Kind       OrderKind  `json:"kind"`
+	LeaseName  string     `json:"duty"` // the lease that authorizes the order
+	Term       uint64     `json:"term"` // fencing token: an engine refuses an order with a lower one than it has seen
+	Model      string     `json:"model"`
+	Version    string     `json:"version"`
+	Layers     LayerRange `json:"layers"`
+	LayerCount int        `json:"layer_num"` // number of layers of the whole model
 }
 
 // CallError is the error of one call to an upstream.
