--- a/cli/spanrillcmd/demo.go
+++ b/cli/spanrillcmd/demo.go
@@ -143,7 +143,7 @@
 // describeChain returns the chain and the number of attempts that the daemon recorded for a
 // finished stream.
 func (d *demo) describeChain(daemon int, resp *http.Response) string {
-	for _, r := range d.scene.Daemons()[daemon].Recent() {
+	for _, r := range d.scene.Daemons()[daemon].RecentGenerations() {
 		if r.ID == resp.Header.Get("X-Request-Id") {
 			return fmt.Sprintf("%s, %d attempt(s)", r.Chain, r.Attempts)
 		}
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -36,7 +36,7 @@
 	table := load.NewTable(c)
 	table.SetSites(func(string) string { return "s" })
 	table.SetBoxes([]spanrill.Box{{Name: "e", Role: spanrill.RoleEngine, Zone: "z", Addr: "127.0.0.1:1"}})
-	table.Report("e", spanrill.UpstreamStatus{
+	table.RecordReport("e", spanrill.UpstreamStatus{
 		Model: "advice", Version: "1", Layers: spanrill.LayerRange{To: 4}, Slots: 1, StepMicros: 1000,
 	}, 0)
 	return New(c, table, append([]Option{WithRequestsPerSlot(1)}, opts...)...)
--- a/coordination/chainrouting/path.go
+++ b/coordination/chainrouting/path.go
@@ -93,8 +93,8 @@
 	p.pipes.add(p.parts, -1)
 }
 
-// HasDead reports whether an engine of the path did not answer its last probe.
-func (p *Path) HasDead() bool {
+// HasDeadEngine reports whether an engine of the path did not answer its last probe.
+func (p *Path) HasDeadEngine() bool {
 	for _, part := range p.parts {
 		if part.Upstream.Dead() {
 			return true
@@ -126,13 +126,13 @@
 	return false
 }
 
-// Wire returns the path in the form that is sent to engines.
-func (p *Path) Wire() []spanrill.PathStage {
-	wire := make([]spanrill.PathStage, len(p.parts))
+// Stages returns the path in the form that is sent to engines.
+func (p *Path) Stages() []spanrill.PathStage {
+	stages := make([]spanrill.PathStage, len(p.parts))
 	for i, part := range p.parts {
-		wire[i] = spanrill.PathStage{ID: part.Upstream.ID(), Addr: part.Upstream.Addr(), Layers: part.Layers}
+		stages[i] = spanrill.PathStage{ID: part.Upstream.ID(), Addr: part.Upstream.Addr(), Layers: part.Layers}
 	}
-	return wire
+	return stages
 }
 
 // Covers reports whether the path runs each of that many layers once and in order, and uses no
--- a/coordination/chainrouting/router_test.go
+++ b/coordination/chainrouting/router_test.go
@@ -59,7 +59,7 @@
 		}
 		items = append(items, spanrill.Item{Name: id, Value: value})
 	}
-	f.table.Listed(items, f.revision, f.clock.Now())
+	f.table.HandleList(items, f.revision, f.clock.Now())
 }
 
 func engine(id, zone string, from, to int) spanrill.EngineEntry {
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -39,8 +39,8 @@
 
 // Messenger sends messages to peers.
 type Messenger interface {
-	// Ask sends a request and decodes its reply.
-	Ask(ctx context.Context, addr string, kind uint8, req, reply any) error
+	// Request sends a request and decodes its reply.
+	Request(ctx context.Context, addr string, kind uint8, req, reply any) error
 	// Send sends a message without a reply.
 	Send(addr string, kind uint8, msg any) error
 }
@@ -64,8 +64,8 @@
 }
 
 const (
-	askTimeout   = 1500 * spanrill.Millis(1) // for the answer of the slot's owner
-	claimTimeout = 3 * spanrill.Second       // for the whole claim
+	requestTimeout = 1500 * spanrill.Millis(1) // for the answer of the slot's owner
+	claimTimeout   = 3 * spanrill.Second       // for the whole claim
 	// maxGrantAge is the maximum age of a grant when the call is sent to an upstream. It is far
 	// below record.Lifetime, so that a daemon that was frozen does not use an expired grant.
 	maxGrantAge        = 10 * spanrill.Second
@@ -133,7 +133,7 @@
 }
 
 func (c *Claims) claimAtOwner(ctx context.Context, addr string, slot int, r record.Record) (bool, record.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout.Duration())
 	defer cancel()
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -141,7 +141,7 @@
 	}
 	var reply peermsg.ClaimReply
 	msg := &peermsg.Claim{Slot: slot, Record: value}
-	if err := c.messenger.Ask(ctx, addr, uint8(peermsg.KindClaim), msg, &reply); err != nil {
+	if err := c.messenger.Request(ctx, addr, uint8(peermsg.KindClaim), msg, &reply); err != nil {
 		return false, record.Record{}, fmt.Errorf("ask owner of slot: %w", err)
 	}
 	if reply.Failure != "" {
@@ -219,7 +219,7 @@
 	if err := json.Unmarshal(m.Record, &r); err != nil {
 		return &peermsg.ClaimReply{Failure: err.Error()}
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout.Duration())
 	defer cancel()
 	granted, first, err := c.keeper.Claim(ctx, m.Slot, r)
 	if err != nil {
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -24,7 +24,7 @@
 
 func (noPeers) Owner(int) string { return "" }
 
-func (noPeers) Ask(context.Context, string, uint8, any, any) error { return errors.New("no peers") }
+func (noPeers) Request(context.Context, string, uint8, any, any) error { return errors.New("no peers") }
 
 func (noPeers) Send(string, uint8, any) error { return errors.New("no peers") }
 
--- a/coordination/exchange/exchange.go
+++ b/coordination/exchange/exchange.go
@@ -46,8 +46,8 @@
 	// Ranked returns all live daemons, with this one, in the order in which they ask the
 	// platform's store.
 	Ranked() []peermsg.Member
-	// Ask sends a request to a peer and decodes its reply.
-	Ask(ctx context.Context, addr string, kind uint8, req, reply any) error
+	// Request sends a request to a peer and decodes its reply.
+	Request(ctx context.Context, addr string, kind uint8, req, reply any) error
 }
 
 // State is the local state that an exchange reads, reports to peers and updates from them.
@@ -78,8 +78,8 @@
 	// figures of a peer that is asked in every round. A daemon starts two requests in that time.
 	RoundInterval spanrill.Millis = 250
 	roundInterval                 = RoundInterval
-	// askTimeout bounds one request to a peer: many times a round trip of 1 ms.
-	askTimeout spanrill.Millis = 400
+	// requestTimeout bounds one request to a peer: many times a round trip of 1 ms.
+	requestTimeout spanrill.Millis = 400
 	// fanout is the number of peers up to which a daemon asks all of them in each round, and the
 	// number of children of a daemon in the trees of a larger fleet.
 	fanout = 8
@@ -109,7 +109,7 @@
 	pending      map[string]bool            // peers with a request in flight
 	askedAt      map[string]spanrill.Millis // when each peer was last asked, by name
 	unresponsive map[string]bool            // peers that did not answer the last request
-	askTasks     task.Group
+	requestTasks task.Group
 
 	placement    placement              // as the lease holder last reported it
 	ownPlacement placement              // what this daemon reports as the lease holder
@@ -154,7 +154,7 @@
 		case <-e.clock.After(e.NextPause()):
 		}
 	}
-	_ = e.askTasks.Wait() // failed requests were repeated in later rounds
+	_ = e.requestTasks.Wait() // failed requests were repeated in later rounds
 	return ctx.Err()
 }
 
@@ -164,14 +164,14 @@
 func (e *Exchange) Round(ctx context.Context) {
 	var waiting sync.WaitGroup
 	for _, to := range e.recipients() {
-		if !e.beginAsk(to.member.Name) {
+		if !e.beginRequest(to.member.Name) {
 			continue
 		}
 		waiting.Add(1)
-		e.askTasks.Start(ctx, "ask for news", func(ctx context.Context) error {
+		e.requestTasks.Start(ctx, "ask for news", func(ctx context.Context) error {
 			defer waiting.Done()
-			defer e.endAsk(to.member.Name)
-			return e.askNews(ctx, to)
+			defer e.endRequest(to.member.Name)
+			return e.requestNews(ctx, to)
 		})
 	}
 	answered := make(chan struct{})
@@ -189,8 +189,8 @@
 // answerTimeout is how long a round waits for answers: many times a round trip.
 const answerTimeout spanrill.Millis = 60
 
-// beginAsk marks a request to a peer as in flight. It returns false if one already is.
-func (e *Exchange) beginAsk(name string) bool {
+// beginRequest marks a request to a peer as in flight. It returns false if one already is.
+func (e *Exchange) beginRequest(name string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.pending[name] {
@@ -201,48 +201,48 @@
 	return true
 }
 
-func (e *Exchange) endAsk(name string) {
+func (e *Exchange) endRequest(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.pending, name)
 }
 
-func (e *Exchange) askNews(ctx context.Context, to recipient) error {
+func (e *Exchange) requestNews(ctx context.Context, to recipient) error {
 	member := to.member
-	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout.Duration())
 	defer cancel()
-	sent := e.clock.Now()
+	sentAt := e.clock.Now()
 	var news peermsg.News
-	err := e.peers.Ask(ctx, member.PeerAddr, uint8(peermsg.KindNews), e.newsRequest(to), &news)
+	err := e.peers.Request(ctx, member.PeerAddr, uint8(peermsg.KindNews), e.newsRequest(to), &news)
 	e.setUnresponsive(member.Name, err != nil)
 	if err != nil {
 		return err
 	}
-	e.mergeFleetSums(news.Fleet, sent)
-	e.mergeStoreAvailability(&news, sent)
+	e.mergeFleetSums(news.Fleet, sentAt)
+	e.mergeStoreAvailability(&news, sentAt)
 	e.MergeSuspects(news.Suspects)
-	ratelimit.MergeLimits(e.state.Fleet, news.Limits, sent)
+	ratelimit.MergeLimits(e.state.Fleet, news.Limits, sentAt)
 	e.mu.Lock()
-	e.newsByPeer[cmp.Or(news.Name, member.Name)] = peerNews{news: news, askedAt: sent}
+	e.newsByPeer[cmp.Or(news.Name, member.Name)] = peerNews{news: news, askedAt: sentAt}
 	e.mu.Unlock()
 	e.recordPeerOrders(member.Name, news.Placement)
 	if news.Placement == nil {
-		e.clearPlacement(member.Name, sent)
+		e.clearPlacement(member.Name, sentAt)
 	}
-	e.mergePlacement(news.Placement, sent)
+	e.mergePlacement(news.Placement, sentAt)
 	if err := e.syncConfig(ctx, member, news.Revision); err != nil {
 		return err
 	}
-	e.state.Config.ConfirmUnchanged(news.Revision, sent-news.ConfigAge)
-	return e.syncEntries(ctx, member, &news, sent)
+	e.state.Config.ConfirmUnchanged(news.Revision, sentAt-news.ConfigAge)
+	return e.syncEntries(ctx, member, &news, sentAt)
 }
 
 // mergeStoreAvailability records the time span in which the platform's store answered the peer,
 // or other daemons according to the peer. A delayed answer can only shorten the recorded span.
-// sent is when the request for the news was sent.
-func (e *Exchange) mergeStoreAvailability(news *peermsg.News, sent spanrill.Millis) {
+// sentAt is when the request for the news was sent.
+func (e *Exchange) mergeStoreAvailability(news *peermsg.News, sentAt spanrill.Millis) {
 	if news.UpstreamsRevision != 0 {
-		e.state.Fleet.RecordStoreAvailable(e.clock.Now()-news.StoreAvailableFor, sent-news.UpstreamsAge)
+		e.state.Fleet.RecordStoreAvailable(e.clock.Now()-news.StoreAvailableFor, sentAt-news.UpstreamsAge)
 	}
 }
 
@@ -273,8 +273,9 @@
 	return false
 }
 
-// News answers a peer's request for news, and merges the sums and placement orders in the request.
-func (e *Exchange) News(req *peermsg.NewsRequest) *peermsg.News {
+// HandleNewsRequest answers a peer's request for news, and merges the sums and placement orders in
+// the request.
+func (e *Exchange) HandleNewsRequest(req *peermsg.NewsRequest) *peermsg.News {
 	reply := &peermsg.News{
 		Name: e.state.Name, Revision: e.state.Config.Revision(), ConfigAge: e.state.Config.Age(),
 		Placement: e.placementNews(knownOrders{req.Holder, req.Sequence}), Leaving: e.state.Leaving(), StoreSilent: e.state.StoreSilent(),
--- a/coordination/exchange/exchange_test.go
+++ b/coordination/exchange/exchange_test.go
@@ -36,7 +36,7 @@
 
 func (p *peer) Ranked() []peermsg.Member { return append(p.Others(), peermsg.Member{Name: "here"}) }
 
-func (p *peer) Ask(_ context.Context, _ string, kind uint8, req, reply any) error {
+func (p *peer) Request(_ context.Context, _ string, kind uint8, req, reply any) error {
 	if p.silent {
 		return errSilent
 	}
@@ -46,11 +46,11 @@
 		if p.newsRequest == nil {
 			p.newsRequest = &peermsg.NewsRequest{}
 		}
-		answer = p.exchange.News(p.newsRequest)
+		answer = p.exchange.HandleNewsRequest(p.newsRequest)
 	case uint8(peermsg.KindRouteConfig):
-		answer = p.exchange.RouteConfig()
+		answer = p.exchange.HandleRouteConfigRequest()
 	case uint8(peermsg.KindEntries):
-		answer = p.exchange.Entries(req.(*peermsg.EntriesRequest))
+		answer = p.exchange.HandleEntriesRequest(req.(*peermsg.EntriesRequest))
 	}
 	p.clock.Advance(p.latency)
 	data, err := peermsg.Encode(answer)
@@ -153,7 +153,7 @@
 	if err != nil {
 		panic(err)
 	}
-	d.table.Listed([]spanrill.Item{{Name: "e", Value: value}}, revision, c.Now())
+	d.table.HandleList([]spanrill.Item{{Name: "e", Value: value}}, revision, c.Now())
 }
 
 // Entries of upstreams are fetched from a peer, and what its requests hold there counts until
@@ -262,12 +262,12 @@
 	return []peermsg.Member{{Name: "stuck", PeerAddr: "stuck"}, {Name: "peer", PeerAddr: "peer"}}
 }
 
-func (s stuckPeers) Ask(ctx context.Context, addr string, kind uint8, req, reply any) error {
+func (s stuckPeers) Request(ctx context.Context, addr string, kind uint8, req, reply any) error {
 	if addr == "stuck" {
 		<-s.release
 		return errSilent
 	}
-	return s.peer.Ask(ctx, addr, kind, req, reply)
+	return s.peer.Request(ctx, addr, kind, req, reply)
 }
 
 // An unreachable peer does not delay the news of the others.
--- a/coordination/exchange/fetch.go
+++ b/coordination/exchange/fetch.go
@@ -31,10 +31,10 @@
 }
 
 // syncEntries fetches a peer's entries of upstreams if they are newer, also one fetch at a time.
-// sent is when the request for the news was sent.
-func (e *Exchange) syncEntries(ctx context.Context, member peermsg.Member, news *peermsg.News, sent spanrill.Millis) error {
+// sentAt is when the request for the news was sent.
+func (e *Exchange) syncEntries(ctx context.Context, member peermsg.Member, news *peermsg.News, sentAt spanrill.Millis) error {
 	upToDate := func() bool {
-		return news.UpstreamsRevision == 0 || e.state.Fleet.ConfirmUnchanged(news.UpstreamsRevision, news.UpstreamsLastChange, sent-news.UpstreamsAge)
+		return news.UpstreamsRevision == 0 || e.state.Fleet.ConfirmUnchanged(news.UpstreamsRevision, news.UpstreamsLastChange, sentAt-news.UpstreamsAge)
 	}
 	if upToDate() {
 		return nil
@@ -64,10 +64,10 @@
 // fetchEntries fetches from a peer the entries of upstreams that have changed since those known
 // here, or all of them.
 func (e *Exchange) fetchEntries(ctx context.Context, member peermsg.Member) error {
-	sent := e.clock.Now()
+	sentAt := e.clock.Now()
 	var reply peermsg.Entries
 	req := &peermsg.EntriesRequest{Since: e.state.Fleet.Revision()}
-	if err := e.peers.Ask(ctx, member.PeerAddr, uint8(peermsg.KindEntries), req, &reply); err != nil {
+	if err := e.peers.Request(ctx, member.PeerAddr, uint8(peermsg.KindEntries), req, &reply); err != nil {
 		return err
 	}
 	value, err := unpack(reply.Packed)
@@ -80,14 +80,14 @@
 	}
 	e.state.Fleet.Merge(fleet.Update{
 		Entries: list.Entries, Revision: reply.Revision, LastChange: reply.LastChange, Unreadable: list.Unreadable, Since: reply.Since, Removed: list.Removed,
-	}, sent-reply.Age)
+	}, sentAt-reply.Age)
 	return nil
 }
 
 // fetchConfig fetches a newer configuration from a peer.
 func (e *Exchange) fetchConfig(ctx context.Context, member peermsg.Member) error {
 	var reply peermsg.RouteConfig
-	if err := e.peers.Ask(ctx, member.PeerAddr, uint8(peermsg.KindRouteConfig), nil, &reply); err != nil {
+	if err := e.peers.Request(ctx, member.PeerAddr, uint8(peermsg.KindRouteConfig), nil, &reply); err != nil {
 		return err
 	}
 	value, err := unpack(reply.Value)
--- a/coordination/exchange/loans.go
+++ b/coordination/exchange/loans.go
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithTimeout(ctx, loanTimeout.Duration())
 	defer cancel()
 	var loan peermsg.Loan
-	if err := e.peers.Ask(ctx, m.PeerAddr, uint8(peermsg.KindLoan), &peermsg.LoanRequest{Service: service, Want: want}, &loan); err != nil {
+	if err := e.peers.Request(ctx, m.PeerAddr, uint8(peermsg.KindLoan), &peermsg.LoanRequest{Service: service, Want: want}, &loan); err != nil {
 		return 0 // the next daemon is asked; retries lent in a late answer expire unused
 	}
 	if math.IsNaN(loan.Retries) || loan.Retries < 0 || loan.Retries > want {
@@ -72,7 +72,7 @@
 	return others[:min(maxLenders, len(others))]
 }
 
-// Lend answers a peer's request for a loan.
-func (e *Exchange) Lend(req *peermsg.LoanRequest) *peermsg.Loan {
+// HandleLoanRequest answers a peer's request for a loan.
+func (e *Exchange) HandleLoanRequest(req *peermsg.LoanRequest) *peermsg.Loan {
 	return &peermsg.Loan{Retries: e.state.Budgets.Lend(req.Service, req.Want)}
 }
--- a/coordination/exchange/loans_test.go
+++ b/coordination/exchange/loans_test.go
@@ -18,7 +18,7 @@
 	asked []peermsg.LoanRequest
 }
 
-func (l *lender) Ask(_ context.Context, _ string, kind uint8, req, reply any) error {
+func (l *lender) Request(_ context.Context, _ string, kind uint8, req, reply any) error {
 	if kind != uint8(peermsg.KindLoan) || l.fails {
 		return errSilent
 	}
@@ -69,14 +69,14 @@
 	there.budgets.StartRound(nil, retry.Fleet{Known: 2, Daemons: 2, Rounds: 1, Complete: true})
 	before := there.budgets.Of("s").Remaining()
 	for _, want := range []float64{-5, 0, math.NaN(), math.Inf(-1)} {
-		if got := there.exchange.Lend(&peermsg.LoanRequest{Service: "s", Want: want}).Retries; got != 0 {
+		if got := there.exchange.HandleLoanRequest(&peermsg.LoanRequest{Service: "s", Want: want}).Retries; got != 0 {
 			t.Fatalf("lent %v for a request of %v, want 0", got, want)
 		}
 	}
-	if got := there.exchange.Lend(&peermsg.LoanRequest{Service: "unknown", Want: 1}).Retries; got != 0 {
+	if got := there.exchange.HandleLoanRequest(&peermsg.LoanRequest{Service: "unknown", Want: 1}).Retries; got != 0 {
 		t.Fatalf("lent %v of an unknown service, want 0", got)
 	}
-	got := there.exchange.Lend(&peermsg.LoanRequest{Service: "s", Want: math.Inf(1)}).Retries
+	got := there.exchange.HandleLoanRequest(&peermsg.LoanRequest{Service: "s", Want: math.Inf(1)}).Retries
 	if left := there.budgets.Of("s").Remaining(); got <= 0 || got > 2 || left != before-got {
 		t.Fatalf("lent %v of %v retries, %v left; want more than 0 and up to 2 lent, and the rest left", got, before, left)
 	}
--- a/coordination/exchange/orders_test.go
+++ b/coordination/exchange/orders_test.go
@@ -76,7 +76,7 @@
 	}
 	size := func() int {
 		known := here.exchange.knownOrdersFor(recipient{})
-		data, err := peermsg.Encode(there.exchange.News(&peermsg.NewsRequest{Holder: known.holder, Sequence: known.sequence}))
+		data, err := peermsg.Encode(there.exchange.HandleNewsRequest(&peermsg.NewsRequest{Holder: known.holder, Sequence: known.sequence}))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/coordination/exchange/packed.go
+++ b/coordination/exchange/packed.go
@@ -60,9 +60,9 @@
 // platform's store, and three times the entries of 3,600 engines.
 const maxUnpacked = 2 << 20
 
-// RouteConfig answers a peer's request for the configuration. A configuration of 250 routes takes
-// 52 KB, which is 21 ms on the slowest links; compressed it takes a tenth of that.
-func (e *Exchange) RouteConfig() *peermsg.RouteConfig {
+// HandleRouteConfigRequest answers a peer's request for the configuration. A configuration of 250
+// routes takes 52 KB, which is 21 ms on the slowest links; compressed it takes a tenth of that.
+func (e *Exchange) HandleRouteConfigRequest() *peermsg.RouteConfig {
 	revision := e.state.Config.Revision()
 	v, err := e.packedConfig.get(revision, 0, func() ([]byte, uint64, error) { return e.state.Config.Raw(), 0, nil })
 	if err != nil {
@@ -72,11 +72,12 @@
 	return &peermsg.RouteConfig{Revision: revision, Value: v.value}
 }
 
-// Entries answers a peer's request for the entries of upstreams with those that have changed, or
-// with all if the peer has none or lags too far. They are cached in compressed form, because in a
-// starting fleet all daemons ask a seed within half a second: encoding 1,001 entries takes 1 ms of
-// a core and 158 KB for each request, and compressed they take 22 KB (BenchmarkEntries).
-func (e *Exchange) Entries(req *peermsg.EntriesRequest) *peermsg.Entries {
+// HandleEntriesRequest answers a peer's request for the entries of upstreams with those that have
+// changed, or with all if the peer has none or lags too far. They are cached in compressed form,
+// because in a starting fleet all daemons ask a seed within half a second: encoding 1,001 entries
+// takes 1 ms of a core and 158 KB for each request, and compressed they take 22 KB
+// (BenchmarkEntries).
+func (e *Exchange) HandleEntriesRequest(req *peermsg.EntriesRequest) *peermsg.Entries {
 	revision, lastChange, age := e.state.Fleet.Freshness()
 	v, err := e.packedEntries.get(lastChange, req.Since, func() ([]byte, uint64, error) {
 		update := e.state.Fleet.UpdateSince(req.Since)
--- a/coordination/exchange/packed_test.go
+++ b/coordination/exchange/packed_test.go
@@ -26,7 +26,7 @@
 	_, here, there, _ := pair(1)
 	there.table.Merge(manyEntries(40), 0)
 	req := &peermsg.EntriesRequest{}
-	first, again := there.exchange.Entries(req), there.exchange.Entries(req)
+	first, again := there.exchange.HandleEntriesRequest(req), there.exchange.HandleEntriesRequest(req)
 	if &first.Packed[0] != &again.Packed[0] {
 		t.Error("entries were encoded twice")
 	}
@@ -46,7 +46,7 @@
 	update.Revision, update.LastChange = 5000, 5000
 	there.table.Merge(update, c.Now())
 	ask := func() *peermsg.Entries {
-		return there.exchange.Entries(&peermsg.EntriesRequest{Since: here.table.Revision()})
+		return there.exchange.HandleEntriesRequest(&peermsg.EntriesRequest{Since: here.table.Revision()})
 	}
 	allSize := len(ask().Packed)
 	if err := here.exchange.fetchEntries(t.Context(), peermsg.Member{}); err != nil {
@@ -80,7 +80,7 @@
 	})
 	b.Run("packed", func(b *testing.B) {
 		for b.Loop() {
-			b.ReportMetric(float64(len(there.exchange.Entries(&peermsg.EntriesRequest{}).Packed)), "bytes")
+			b.ReportMetric(float64(len(there.exchange.HandleEntriesRequest(&peermsg.EntriesRequest{}).Packed)), "bytes")
 		}
 	})
 }
--- a/coordination/exchange/placement.go
+++ b/coordination/exchange/placement.go
@@ -42,15 +42,15 @@
 }
 
 // mergePlacement merges a report of the lease holder, received from the holder itself or from
-// another daemon. From a new holder it accepts only a full report that is newer. sent is when the
+// another daemon. From a new holder it accepts only a full report that is newer. sentAt is when the
 // report was requested, or when it arrived with a request.
-func (e *Exchange) mergePlacement(report *peermsg.Placement, sent spanrill.Millis) {
+func (e *Exchange) mergePlacement(report *peermsg.Placement, sentAt spanrill.Millis) {
 	if report == nil || report.Holder == e.state.Name {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p, reportedAt := &e.placement, sent-report.Age
+	p, reportedAt := &e.placement, sentAt-report.Age
 	switch {
 	case report.Holder == p.holder:
 		p.orders.applyChanges(report)
@@ -70,12 +70,12 @@
 }
 
 // clearPlacement clears the known lease holder if it is the named peer, which no longer reports that
-// it holds the lease. sent is when that peer was asked.
-func (e *Exchange) clearPlacement(name string, sent spanrill.Millis) {
+// it holds the lease. sentAt is when that peer was asked.
+func (e *Exchange) clearPlacement(name string, sentAt spanrill.Millis) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.placement.holder == name {
-		e.placement = placement{reportedAt: sent}
+		e.placement = placement{reportedAt: sentAt}
 	}
 }
 
--- a/coordination/exchange/sums.go
+++ b/coordination/exchange/sums.go
@@ -92,7 +92,7 @@
 			s.uses[u.Key()] = use{tokens: tokens, calls: calls}
 		}
 	})
-	for service, c := range e.state.Budgets.Own() {
+	for service, c := range e.state.Budgets.OwnCounts() {
 		s.retries[service] = c
 	}
 	return &s
@@ -180,16 +180,16 @@
 }
 
 // mergeFleetSums stores the sums over all daemons that a parent sent, by tree, unless newer ones are
-// known. sent is when the parent was asked.
-func (e *Exchange) mergeFleetSums(sums map[int]*peermsg.FleetSum, sent spanrill.Millis) {
+// known. sentAt is when the parent was asked.
+func (e *Exchange) mergeFleetSums(sums map[int]*peermsg.FleetSum, sentAt spanrill.Millis) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for tree, m := range sums {
-		if tree < 0 || tree >= treeCount || m == nil || sent-m.Age < e.sums.totals[tree].addedUpAt {
+		if tree < 0 || tree >= treeCount || m == nil || sentAt-m.Age < e.sums.totals[tree].addedUpAt {
 			continue
 		}
 		total := &e.sums.totals[tree]
-		total.sum, total.addedUpAt, total.unnamed = sumFromMessage(&m.Sum), sent-m.Age, unnamedFromMessage(m)
+		total.sum, total.addedUpAt, total.unnamed = sumFromMessage(&m.Sum), sentAt-m.Age, unnamedFromMessage(m)
 	}
 }
 
--- a/coordination/exchange/tree_test.go
+++ b/coordination/exchange/tree_test.go
@@ -39,7 +39,7 @@
 	return others
 }
 
-func (e endpoint) Ask(ctx context.Context, addr string, kind uint8, req, reply any) error {
+func (e endpoint) Request(ctx context.Context, addr string, kind uint8, req, reply any) error {
 	if e.unreachable[addr] || e.unreachable[e.name] {
 		return errSilent
 	}
@@ -56,7 +56,7 @@
 			return err
 		}
 	}
-	return (&peer{clock: e.clock, exchange: e.daemons[addr].exchange, newsRequest: &asked}).Ask(ctx, addr, kind, req, reply)
+	return (&peer{clock: e.clock, exchange: e.daemons[addr].exchange, newsRequest: &asked}).Request(ctx, addr, kind, req, reply)
 }
 
 // newNetwork returns a fleet of n daemons that all know one engine. Daemon i holds tokensOf(i) tokens
@@ -175,7 +175,7 @@
 	}
 	behind := n.daemons[n.members[0].Name]
 	behind.exchange.Round(context.Background())
-	_ = behind.exchange.askTasks.Wait() // errors of silent peers do not matter
+	_ = behind.exchange.requestTasks.Wait() // errors of silent peers do not matter
 	if got := n.fetches.Load(); got != 1 || behind.config.Revision() != 50 {
 		t.Fatalf("%d fetches and revision %d, want 1 and 50", got, behind.config.Revision())
 	}
--- a/coordination/exchange/zones_test.go
+++ b/coordination/exchange/zones_test.go
@@ -62,7 +62,7 @@
 	for _, m := range n.members {
 		d := n.daemons[m.Name]
 		root := n.members[d.exchange.fullestTree(n.clock.Now())] // of the tree in use
-		news := n.daemons[root.Name].exchange.News(d.exchange.newsRequest(recipient{member: root, trees: []int{0, 1}}))
+		news := n.daemons[root.Name].exchange.HandleNewsRequest(d.exchange.newsRequest(recipient{member: root, trees: []int{0, 1}}))
 		named := 0
 		for _, s := range news.Fleet {
 			if len(s.Sum.Uses) > 0 {
--- a/coordination/layoutrun/executor.go
+++ b/coordination/layoutrun/executor.go
@@ -160,7 +160,7 @@
 		return 0, 0, err
 	}
 	defer x.placer.calls.release()
-	term, ok := x.placer.mayAct()
+	term, ok := x.placer.mayPlace()
 	if !ok {
 		return 0, 0, errLeaseLost
 	}
--- a/coordination/layoutrun/lastplan_test.go
+++ b/coordination/layoutrun/lastplan_test.go
@@ -11,15 +11,15 @@
 // each 150 ms took 18 % of the CPU time of 60 daemons starting with 2,922 engines.
 func TestOnlyDaemonThatMayOrderChecksEngines(t *testing.T) {
 	now := clock.NewManual()
-	mayAct := false
-	p, table := newTestPlacer(t, 8, spanrill.LayerRange{From: 0, To: 6}, newFakeEngines(), func() (uint64, bool) { return 1, mayAct }, now)
+	mayPlace := false
+	p, table := newTestPlacer(t, 8, spanrill.LayerRange{From: 0, To: 6}, newFakeEngines(), func() (uint64, bool) { return 1, mayPlace }, now)
 	table.View().ByID("e3").SetDead(true) // so that a check of the engines would verify it
 	p.Round(t.Context())
 	if len(p.verifications) != 0 || len(p.lastPlans) != 0 {
 		t.Fatalf("%d verifications and %d plans by a daemon that may not send orders, want none", len(p.verifications), len(p.lastPlans))
 	}
 	now.Advance(quietTimeBeforeLayout)
-	mayAct = true
+	mayPlace = true
 	p.Round(t.Context())
 	_ = p.tasks.Wait()
 	if len(p.verifications) != 1 || len(p.lastPlans) != 1 {
--- a/coordination/layoutrun/pace.go
+++ b/coordination/layoutrun/pace.go
@@ -48,7 +48,7 @@
 // in rounds with their peers.
 func (p *Placer) queryPaces(ctx context.Context) {
 	var engines []*fleet.Upstream
-	for _, s := range p.models() {
+	for _, s := range p.services() {
 		if s.Model == nil {
 			continue
 		}
--- a/coordination/layoutrun/placer.go
+++ b/coordination/layoutrun/placer.go
@@ -17,7 +17,7 @@
 //
 // # Usage
 //
-//	p := layoutrun.New(mayAct, engines, table, models, clock, log)
+//	p := layoutrun.New(mayPlace, engines, table, services, clock, log)
 //	err := p.Run(ctx)
 package layoutrun
 
@@ -34,12 +34,12 @@
 	"spanrill/task"
 )
 
-// Models returns the services whose engines hold parts of a model.
-type Models func() []spanrill.ServiceInfo
+// Services is a function that returns the services whose engines hold parts of a model.
+type Services func() []spanrill.ServiceInfo
 
-// MayAct returns the fencing token under which orders may be sent now, or false if
-// none may be sent. A token of 0 means that no token was available.
-type MayAct func() (term uint64, ok bool)
+// MayPlace is a function that returns the fencing token under which orders may be sent now, or
+// false if none may be sent. A token of 0 means that no token was available.
+type MayPlace func() (term uint64, ok bool)
 
 const (
 	// roundInterval is the pause between two rounds. A hole is detected in the next
@@ -55,14 +55,14 @@
 	maxWaitForLayout spanrill.Millis = 5000
 )
 
-// Placer plans the layouts of all services and orders the moves while it may act.
+// Placer plans the layouts of all services and orders the moves while it may place layers.
 type Placer struct {
-	mayAct  MayAct
-	engines spanrill.LayerEngines
-	table   *fleet.Table
-	models  Models
-	clock   spanrill.Clock
-	log     logrus.FieldLogger
+	mayPlace MayPlace
+	engines  spanrill.LayerEngines
+	table    *fleet.Table
+	services Services
+	clock    spanrill.Clock
+	log      logrus.FieldLogger
 
 	mu            sync.Mutex
 	orders        map[string]*order          // by upstream id
@@ -92,10 +92,10 @@
 	return func(p *Placer) { p.propagation = propagation }
 }
 
-// New returns a Placer that plans the services of models from the engines in table.
-func New(mayAct MayAct, engines spanrill.LayerEngines, table *fleet.Table, models Models, clock spanrill.Clock, log logrus.FieldLogger, opts ...Option) *Placer {
+// New returns a Placer that plans the layouts of services from the engines in table.
+func New(mayPlace MayPlace, engines spanrill.LayerEngines, table *fleet.Table, services Services, clock spanrill.Clock, log logrus.FieldLogger, opts ...Option) *Placer {
 	p := &Placer{
-		mayAct: mayAct, engines: engines, table: table, models: models, clock: clock, log: log,
+		mayPlace: mayPlace, engines: engines, table: table, services: services, clock: clock, log: log,
 		orders: map[string]*order{}, engineCounts: map[string]int{},
 		lastAddedAt: map[string]spanrill.Millis{}, firstSeenAt: map[string]spanrill.Millis{},
 		propagation: func() spanrill.Millis { return defaultPropagation }, verifications: map[string]*verification{}, lastPlans: map[string]lastPlan{},
@@ -122,7 +122,7 @@
 
 // nextInterval returns the pause before the next round.
 func (p *Placer) nextInterval() spanrill.Millis {
-	if _, mayAct := p.mayAct(); mayAct {
+	if _, mayPlace := p.mayPlace(); mayPlace {
 		return roundInterval
 	}
 	return idleRoundInterval
@@ -132,16 +132,16 @@
 // only counts their engines.
 func (p *Placer) Round(ctx context.Context) {
 	p.forgetFinished()
-	_, mayAct := p.mayAct()
-	if mayAct {
+	_, mayPlace := p.mayPlace()
+	if mayPlace {
 		p.queryPaces(ctx)
 	}
-	for _, s := range p.models() {
+	for _, s := range p.services() {
 		if s.Model == nil {
 			continue
 		}
 		allAppeared := p.allAppeared(s.Name, len(p.table.View().ByService(s.Name)))
-		if mayAct {
+		if mayPlace {
 			p.planAndOrder(ctx, s, allAppeared)
 		}
 	}
--- a/coordination/layoutrun/placer_test.go
+++ b/coordination/layoutrun/placer_test.go
@@ -70,15 +70,15 @@
 
 // newStablePlacer returns a placer of n empty engines that appeared long enough ago for a first
 // layout, and its table.
-func newStablePlacer(t *testing.T, n int, engines spanrill.LayerEngines, mayAct MayAct) (*Placer, *fleet.Table) {
+func newStablePlacer(t *testing.T, n int, engines spanrill.LayerEngines, mayPlace MayPlace) (*Placer, *fleet.Table) {
 	t.Helper()
-	p, table := newTestPlacer(t, n, spanrill.LayerRange{}, engines, mayAct, clock.NewSystem())
+	p, table := newTestPlacer(t, n, spanrill.LayerRange{}, engines, mayPlace, clock.NewSystem())
 	p.engineCounts["s"], p.lastAddedAt["s"] = n, -maxWaitForLayout // all engines appeared long ago
 	return p, table
 }
 
 // newTestPlacer returns a placer of n engines that hold the same layers, and its table.
-func newTestPlacer(t *testing.T, n int, held spanrill.LayerRange, engines spanrill.LayerEngines, mayAct MayAct, now spanrill.Clock) (*Placer, *fleet.Table) {
+func newTestPlacer(t *testing.T, n int, held spanrill.LayerRange, engines spanrill.LayerEngines, mayPlace MayPlace, now spanrill.Clock) (*Placer, *fleet.Table) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -95,9 +95,9 @@
 		}
 		items = append(items, spanrill.Item{Name: id, Value: value})
 	}
-	table.Listed(items, 1, 0)
-	models := func() []spanrill.ServiceInfo { return []spanrill.ServiceInfo{{Name: "s", Model: model}} }
-	return New(mayAct, engines, table, models, now, log), table
+	table.HandleList(items, 1, 0)
+	services := func() []spanrill.ServiceInfo { return []spanrill.ServiceInfo{{Name: "s", Model: model}} }
+	return New(mayPlace, engines, table, services, now, log), table
 }
 
 func newFakeEngines() *fakeEngines {
@@ -210,7 +210,7 @@
 	p, table := newTestPlacer(t, 2, spanrill.LayerRange{}, newFakeEngines(), mayAlwaysAct, now)
 	justJoined := func() map[string]bool {
 		joined := map[string]bool{}
-		engines, _ := p.planInput(t.Context(), &p.models()[0])
+		engines, _ := p.planInput(t.Context(), &p.services()[0])
 		for _, e := range engines {
 			joined[e.ID] = joined[e.ID] || e.JustJoined // a departed engine is in the input for a while
 		}
--- a/coordination/layoutrun/verify_test.go
+++ b/coordination/layoutrun/verify_test.go
@@ -58,7 +58,7 @@
 			table := fleet.New(manual, func(spanrill.Item) (spanrill.EngineEntry, error) {
 				return spanrill.EngineEntry{ID: "e", Service: "s", Addr: "e"}, nil
 			}, fleet.WithLogger(log))
-			table.Listed([]spanrill.Item{{Name: "e"}}, 1, 0)
+			table.HandleList([]spanrill.Item{{Name: "e"}}, 1, 0)
 			u, engine := table.View().ByID("e"), &reportingEngine{}
 			p := New(mayAlwaysAct, engine, table, nil, manual, log)
 			var crashed, leaving bool
@@ -102,8 +102,8 @@
 			table := fleet.New(manual, func(item spanrill.Item) (spanrill.EngineEntry, error) {
 				return spanrill.EngineEntry{ID: item.Name, Service: "s", Addr: item.Name, Layers: spanrill.LayerRange{From: 0, To: 4}}, nil
 			}, fleet.WithLogger(log))
-			table.Listed([]spanrill.Item{{Name: "stays"}, {Name: "goes"}}, 1, manual.Now())
-			table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: "goes"}, Deleted: true}}, 2, manual.Now())
+			table.HandleList([]spanrill.Item{{Name: "stays"}, {Name: "goes"}}, 1, manual.Now())
+			table.HandleChanges([]spanrill.Change{{Item: spanrill.Item{Name: "goes"}, Deleted: true}}, 2, manual.Now())
 			p := New(mayAlwaysAct, &reportingEngine{silent: c.silent}, table, nil, manual, log)
 			var leaving int
 			for range 2 { // the second call sees the result of the first
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,4 +1,4 @@
-// Package lease assigns a duty to at most one daemon at a time. A lease is an object in the
+// Package lease gives a named lease to at most one daemon at a time. A lease is an object in the
 // platform's store, so that no separate lock service is needed.
 //
 // The object contains the holder and a term that only increases. A daemon acquires or renews
@@ -47,7 +47,7 @@
 	store       spanrill.ObjectStore
 	clock       spanrill.Clock
 	log         logrus.FieldLogger
-	duty        string
+	name        string
 	holder      string
 	duration    spanrill.Millis
 	isCandidate func() bool
@@ -110,9 +110,9 @@
 )
 
 // New returns a lease that is not held.
-func New(store spanrill.ObjectStore, clock spanrill.Clock, duty, holder string, opts ...Option) *Lease {
+func New(store spanrill.ObjectStore, clock spanrill.Clock, name, holder string, opts ...Option) *Lease {
 	l := &Lease{
-		store: store, clock: clock, log: logrus.StandardLogger(), duty: duty, holder: holder,
+		store: store, clock: clock, log: logrus.StandardLogger(), name: name, holder: holder,
 		duration: defaultDuration, isCandidate: func() bool { return true },
 		shouldYield: func() bool { return false }, era: func() uint64 { return 0 },
 	}
@@ -122,10 +122,10 @@
 	return l
 }
 
-// Duty returns the name of the duty that the lease assigns.
-func (l *Lease) Duty() string { return l.duty }
+// Name returns the name of the lease, which orders and log events call its duty.
+func (l *Lease) Name() string { return l.name }
 
-func (l *Lease) key() string { return "leases/" + l.duty }
+func (l *Lease) key() string { return "leases/" + l.name }
 
 // Held returns the term if this daemon holds the lease now. Callers must check it before each
 // action.
@@ -263,7 +263,7 @@
 }
 
 func (l *Lease) write(ctx context.Context, r record, v spanrill.Version) {
-	sent := l.clock.Now()
+	sentAt := l.clock.Now()
 	next := l.nextRecord(r)
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -276,7 +276,7 @@
 	if err != nil {
 		return
 	}
-	l.recordWrite(next, version, sent)
+	l.recordWrite(next, version, sentAt)
 }
 
 // nextRecord returns the record for a renewal, or for a new term.
@@ -310,16 +310,16 @@
 }
 
 // recordWrite records a write that took effect. The lease is valid from when the write was sent.
-func (l *Lease) recordWrite(r record, v spanrill.Version, sent spanrill.Millis) {
+func (l *Lease) recordWrite(r record, v spanrill.Version, sentAt spanrill.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.term != r.Term {
 		l.acquiredAt = l.clock.Now()
-		events.LeaseAcquired.Log(l.log, logrus.Fields{"duty": l.duty, "term": r.Term})
+		events.LeaseAcquired.Log(l.log, logrus.Fields{"duty": l.name, "term": r.Term})
 	}
-	l.term, l.expiresAt = r.Term, sent+r.Duration
+	l.term, l.expiresAt = r.Term, sentAt+r.Duration
 	l.restore.highestTerm = max(l.restore.highestTerm, r.Term)
-	l.seenVersion, l.seenAt, l.current = v, sent, r
+	l.seenVersion, l.seenAt, l.current = v, sentAt, r
 }
 
 // dropIfExpired clears the term and logs the loss if the held lease has expired.
@@ -327,7 +327,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.term != 0 && l.clock.Now() >= l.expiresAt {
-		events.LeaseLost.Log(l.log, logrus.Fields{"duty": l.duty, "term": l.term})
+		events.LeaseLost.Log(l.log, logrus.Fields{"duty": l.name, "term": l.term})
 		l.term = 0
 	}
 }
@@ -357,6 +357,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), handBackTimeout.Duration())
 	defer cancel()
 	if _, err := l.store.Put(ctx, l.key(), value, v); err == nil {
-		events.LeaseHandedBack.Log(l.log, logrus.Fields{"duty": l.duty, "term": term})
+		events.LeaseHandedBack.Log(l.log, logrus.Fields{"duty": l.name, "term": term})
 	}
 }
--- a/coordination/membership/owners.go
+++ b/coordination/membership/owners.go
@@ -32,15 +32,15 @@
 	cached := l.rankings[key]
 	if cached.roster != live {
 		cached = ranking{roster: live, ranked: rankMembers(key, live.members)}
-		slices.SortStableFunc(cached.ranked, func(a, b peermsg.Member) int { return cmp.Compare(PowerClass(b), PowerClass(a)) })
+		slices.SortStableFunc(cached.ranked, func(a, b peermsg.Member) int { return cmp.Compare(CPUClass(b), CPUClass(a)) })
 		l.rankings[key] = cached
 	}
 	return cached.ranked
 }
 
-// PowerClass returns the processor class of a member. Each class begins at twice the processor
+// CPUClass returns the processor class of a member. Each class begins at twice the processor
 // power of the class below. Members that report no power are of class 0.
-func PowerClass(m peermsg.Member) int { return bits.Len(uint(max(0, m.MilliCores))) }
+func CPUClass(m peermsg.Member) int { return bits.Len(uint(max(0, m.MilliCores))) }
 
 // ranking is the cached result of Ranked for the members of a roster.
 type ranking struct {
--- a/coordination/observe/observe.go
+++ b/coordination/observe/observe.go
@@ -204,7 +204,7 @@
 	for i, s := range statuses {
 		reports[i] = load.Report{Name: s.Name, Status: s, Age: s.AgeMillis}
 	}
-	o.table.ReportAll(reports)
+	o.table.RecordReports(reports)
 }
 
 // RecheckZone makes the observer poll all upstreams of an availability zone at once. It is called
--- a/coordination/placement/placer.go
+++ b/coordination/placement/placer.go
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
 	err := p.engines.Order(ctx, u.Addr(), spanrill.Order{
-		Kind: spanrill.OrderLoad, LeaseName: p.lease.Duty(), Term: term,
+		Kind: spanrill.OrderLoad, LeaseName: p.lease.Name(), Term: term,
 		Model: m.Model.Name, Version: m.Model.Version, Layers: m.Layers, LayerCount: m.Model.Layers,
 	})
 	p.recordResult(m, fields, err)
--- a/coordination/probe/probe_test.go
+++ b/coordination/probe/probe_test.go
@@ -73,7 +73,7 @@
 	table := fleet.New(clk, func(spanrill.Item) (spanrill.EngineEntry, error) {
 		return spanrill.EngineEntry{ID: "e", Service: "s", Addr: "1:1"}, nil
 	}, fleet.WithLogger(log))
-	table.Listed([]spanrill.Item{{Name: "e"}}, 1, 0)
+	table.HandleList([]spanrill.Item{{Name: "e"}}, 1, 0)
 	p := New(engine, clk, log, WithLastHeard(func() spanrill.Millis { return lastHeard(clk.Now()) }))
 	u := table.View().ByID("e")
 	p.Check(context.Background(), []*fleet.Upstream{u})
--- a/coordination/ratelimit/limiter.go
+++ b/coordination/ratelimit/limiter.go
@@ -34,8 +34,8 @@
 	Granters(upstream uint32) []peermsg.Member
 	// Unresponsive reports whether a daemon did not answer when this daemon last asked it for news.
 	Unresponsive(daemon string) bool
-	// AskPermit asks a daemon for a permit.
-	AskPermit(ctx context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error)
+	// RequestPermit asks a daemon for a permit.
+	RequestPermit(ctx context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error)
 }
 
 // Limiter obtains permits for requests of this daemon, and grants permits to other daemons.
@@ -54,9 +54,9 @@
 }
 
 const (
-	// askTimeout is the timeout for asking a daemon for a permit: many times the round trip
+	// requestTimeout is the timeout for asking a daemon for a permit: many times the round trip
 	// between availability zones.
-	askTimeout spanrill.Millis = 50
+	requestTimeout spanrill.Millis = 50
 	// noAnswerRetryAfter is how long requests to an upstream are deferred if no daemon answers.
 	noAnswerRetryAfter spanrill.Millis = 100
 )
@@ -67,7 +67,7 @@
 	if !u.Limit().Set {
 		return nil
 	}
-	permit := l.ask(ctx, u)
+	permit := l.requestPermit(ctx, u)
 	if permit.Granted {
 		l.granted.Add(1)
 		return nil
@@ -83,38 +83,38 @@
 // Denied returns the number of permits denied to requests of this daemon.
 func (l *Limiter) Denied() uint64 { return l.denied.Load() }
 
-// ask asks the granting daemons in order until one answers.
-func (l *Limiter) ask(ctx context.Context, u *fleet.Upstream) *peermsg.Permit {
+// requestPermit asks the granting daemons in order until one answers.
+func (l *Limiter) requestPermit(ctx context.Context, u *fleet.Upstream) *peermsg.Permit {
 	req := &peermsg.PermitRequest{Limit: limitMessage(l.table.LimitOf(u), l.clock.Now())}
 	for i, m := range l.peers.Granters(u.Key()) {
 		req.Standby = i > 0
 		if m.PeerAddr == "" {
-			return l.HandleAskPermit(req)
+			return l.HandlePermitRequest(req)
 		}
-		if permit, err := l.askPeer(ctx, m.PeerAddr, req); err == nil {
+		if permit, err := l.requestFrom(ctx, m.PeerAddr, req); err == nil {
 			return permit
 		}
 	}
 	return &peermsg.Permit{RetryAfter: noAnswerRetryAfter}
 }
 
-func (l *Limiter) askPeer(ctx context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
+func (l *Limiter) requestFrom(ctx context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout.Duration())
 	defer cancel()
-	sent := l.clock.Now()
-	permit, err := l.peers.AskPermit(ctx, addr, req)
+	sentAt := l.clock.Now()
+	permit, err := l.peers.RequestPermit(ctx, addr, req)
 	if err != nil {
 		return nil, err
 	}
 	if permit.Limit.Upstream == req.Limit.Upstream {
-		MergeLimits(l.table, []peermsg.UpstreamLimit{permit.Limit}, sent)
+		MergeLimits(l.table, []peermsg.UpstreamLimit{permit.Limit}, sentAt)
 	}
 	permit.RetryAfter = min(max(1, permit.RetryAfter), maxRetryAfter)
 	return permit, nil
 }
 
-// HandleAskPermit grants or denies a permit to a daemon.
-func (l *Limiter) HandleAskPermit(req *peermsg.PermitRequest) *peermsg.Permit {
+// HandlePermitRequest grants or denies a permit to a daemon.
+func (l *Limiter) HandlePermitRequest(req *peermsg.PermitRequest) *peermsg.Permit {
 	MergeLimits(l.table, []peermsg.UpstreamLimit{req.Limit}, l.clock.Now())
 	known := req.Limit
 	if u := l.table.View().ByKey(req.Limit.Upstream); u != nil {
--- a/coordination/ratelimit/limiter_test.go
+++ b/coordination/ratelimit/limiter_test.go
@@ -89,12 +89,12 @@
 
 var errNoAnswer = errors.New("no answer")
 
-func (m *member) AskPermit(_ context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error) {
+func (m *member) RequestPermit(_ context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error) {
 	var i int
 	if _, err := fmt.Sscan(addr, &i); err != nil || m.network.daemons[i].down || m.network.random.Float64() < m.network.daemons[i].unanswered {
 		return nil, errNoAnswer
 	}
-	return m.network.daemons[i].limiter.HandleAskPermit(req), nil
+	return m.network.daemons[i].limiter.HandlePermitRequest(req), nil
 }
 
 // simulate generates requests at a mean rate for each daemon, and returns the times at which
--- a/coordination/relay/callers_test.go
+++ b/coordination/relay/callers_test.go
@@ -91,7 +91,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	now := clock.NewManual()
-	deps := Dependencies{Clock: now, Meters: meter.New(), Log: log, Config: routes.NewCurrent(now), Fleet: fleet.New(now, nil), StoreUnresponsive: func() bool { return false }, Suspects: suspect.New(now), OnSuspected: func(suspect.Content) {}}
+	deps := Dependencies{Clock: now, Meters: meter.New(), Log: log, Config: routes.NewCurrent(now), Fleet: fleet.New(now, nil), StoreSilentAtStart: func() bool { return false }, Suspects: suspect.New(now), OnSuspected: func(suspect.Content) {}}
 	deps.Prober = probe.New(nil, now, log, probe.WithDial(func(context.Context, string) error { return nil }))
 	return &request{relay: New(deps, Options{}), ctx: ctx, guard: deps.Suspects.Begin(0), http: &fasthttp.RequestCtx{}, service: &spanrill.ServiceInfo{}}
 }
--- a/coordination/relay/chained.go
+++ b/coordination/relay/chained.go
@@ -259,7 +259,7 @@
 
 // requestFor builds the request for an attempt on a path.
 func (g *generation) requestFor(path *chainrouting.Path) *fasthttp.Request {
-	return g.upstreamRequest(spanrill.UpstreamRequest{EngineID: path.First().Name(), Path: path.Wire(), LastEventID: g.lastEventID, Priority: g.enginePriority()})
+	return g.upstreamRequest(spanrill.UpstreamRequest{EngineID: path.First().Name(), Path: path.Stages(), LastEventID: g.lastEventID, Priority: g.enginePriority()})
 }
 
 // silenceHandler is called while no bytes of an answer arrive; see httpcall.DoWatched.
--- a/coordination/relay/continuation.go
+++ b/coordination/relay/continuation.go
@@ -209,7 +209,7 @@
 		c.g.relay.Prober.Check(c.ctx, c.path.Upstreams())
 	}
 	switch {
-	case c.path.HasDead():
+	case c.path.HasDeadEngine():
 		return errStageDead
 	case silent >= maxOpeningTime:
 		return errNotOpened
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -80,9 +80,9 @@
 	Log     logrus.FieldLogger
 	Meters  *meter.Meters
 	Random  *rng.Source
-	// StoreUnresponsive reports whether the store does not answer. A daemon that lacks the
-	// configuration or the upstreams then will not get them soon.
-	StoreUnresponsive func() bool
+	// StoreSilentAtStart reports whether the store does not answer a starting daemon. A daemon that
+	// lacks the configuration or the upstreams then will not get them soon.
+	StoreSilentAtStart func() bool
 }
 
 // Options are the settings of a relay.
@@ -119,7 +119,7 @@
 func New(deps Dependencies, options Options) *Relay {
 	return &Relay{
 		Dependencies: deps, options: options, callers: newCallerConns(deps.Clock, deps.Meters), generations: newRunningGenerations(), brokenAttempts: &brokenAttempts{}, roomRetries: &roomRetryTimes{}, limitRetries: &limitRetryTimes{}, eventTokens: newEventTokenEstimator(),
-		startup:    newStartupHold(deps.Clock, deps.StoreUnresponsive, deps.Config.Ready(), deps.Fleet.Ready()),
+		startup:    newStartupHold(deps.Clock, deps.StoreSilentAtStart, deps.Config.Ready(), deps.Fleet.Ready()),
 		routineLog: events.NewLimiter(deps.Clock, routineLinesPerSecond), failureLog: events.NewLimiter(deps.Clock, failureLinesPerSecond),
 	}
 }
--- a/coordination/relay/start.go
+++ b/coordination/relay/start.go
@@ -15,10 +15,10 @@
 // configuration and the upstreams are known a few milliseconds later. Without a delay, 970 of 1,200
 // such requests were refused in the first 0.8 s after a restart of 73 daemons.
 type startupHold struct {
-	clock             spanrill.Clock
-	ready             []<-chan struct{} // one is closed when the configuration is known, one when the upstreams are
-	storeUnresponsive func() bool       // reports whether the store does not answer, so that nothing will be known soon
-	firstHeldAt       atomic.Int64      // when the first request was delayed, or noneHeld
+	clock       spanrill.Clock
+	ready       []<-chan struct{} // one is closed when the configuration is known, one when the upstreams are
+	storeSilent func() bool       // reports whether the store does not answer, so that nothing will be known soon
+	firstHeldAt atomic.Int64      // when the first request was delayed, or noneHeld
 }
 
 const (
@@ -29,16 +29,16 @@
 	noneHeld = -1
 )
 
-func newStartupHold(clock spanrill.Clock, storeUnresponsive func() bool, ready ...<-chan struct{}) *startupHold {
-	s := &startupHold{clock: clock, ready: ready, storeUnresponsive: storeUnresponsive}
+func newStartupHold(clock spanrill.Clock, storeSilent func() bool, ready ...<-chan struct{}) *startupHold {
+	s := &startupHold{clock: clock, ready: ready, storeSilent: storeSilent}
 	s.firstHeldAt.Store(noneHeld)
 	return s
 }
 
 // await delays a request until the daemon is ready, but at most for maxHold, and reports whether it
-// did. It does not wait if the store is unresponsive.
+// did. It does not wait if the store is silent.
 func (s *startupHold) await(log logrus.FieldLogger) (held bool) {
-	if s.isReady() || s.storeUnresponsive() {
+	if s.isReady() || s.storeSilent() {
 		return false
 	}
 	if s.firstHeldAt.CompareAndSwap(noneHeld, int64(s.clock.Now())) {
@@ -66,9 +66,9 @@
 	return true
 }
 
-// FirstHeldAt returns when a request was first delayed because this daemon did not know a
+// CallersWaitingSince returns when a request was first delayed because this daemon did not know a
 // configuration and upstreams yet, and whether any was.
-func (r *Relay) FirstHeldAt() (spanrill.Millis, bool) {
+func (r *Relay) CallersWaitingSince() (spanrill.Millis, bool) {
 	heldAt := r.startup.firstHeldAt.Load()
 	return spanrill.Millis(heldAt), heldAt != noneHeld
 }
--- a/coordination/relay/streams.go
+++ b/coordination/relay/streams.go
@@ -33,7 +33,7 @@
 }
 
 // checkDeadPaths makes each generation with a dead engine on its path check that path now.
-func (rg *runningGenerations) checkDeadPaths() { rg.checkPaths((*chainrouting.Path).HasDead) }
+func (rg *runningGenerations) checkDeadPaths() { rg.checkPaths((*chainrouting.Path).HasDeadEngine) }
 
 // RecheckDeadPaths makes each request with a dead engine on its path check that path now.
 func (r *Relay) RecheckDeadPaths() { r.generations.checkDeadPaths() }
--- a/coordination/relay/watch.go
+++ b/coordination/relay/watch.go
@@ -264,7 +264,7 @@
 	}
 }
 
-func (g *generation) hasDeadEngine() bool { return g.path.HasDead() }
+func (g *generation) hasDeadEngine() bool { return g.path.HasDeadEngine() }
 
 // move orders the first engine to continue the running request on another path, which starts at the
 // same engine and on which dead engines are replaced. It reports whether that succeeded. The
@@ -285,7 +285,7 @@
 	g.moves++
 	ctx, cancel := context.WithTimeout(g.ctx, moveTimeout.Duration())
 	defer cancel()
-	if err := r.Engines.Reroute(ctx, g.firstEngine.Addr(), g.head.ID, next.Wire()); err != nil {
+	if err := r.Engines.Reroute(ctx, g.firstEngine.Addr(), g.head.ID, next.Stages()); err != nil {
 		g.failedMoves++
 		g.logMove(events.RequestMoveFailed, next, err)
 		next.Release()
--- a/coordination/relay/watch_test.go
+++ b/coordination/relay/watch_test.go
@@ -25,7 +25,7 @@
 			table := fleet.New(clock.NewManual(), func(spanrill.Item) (spanrill.EngineEntry, error) {
 				return spanrill.EngineEntry{ID: "e"}, nil
 			})
-			table.Listed([]spanrill.Item{{Name: "e"}}, 1, 0)
+			table.HandleList([]spanrill.Item{{Name: "e"}}, 1, 0)
 			g := &generation{firstEngine: table.View().ByID("e")}
 			for _, p := range c.pauses {
 				g.firstEngine.RecordEventGap(p)
--- a/coordination/retry/fleet_test.go
+++ b/coordination/retry/fleet_test.go
@@ -169,7 +169,7 @@
 	now := s.clock.Now()
 	if now%testRoundInterval == 0 {
 		for _, d := range s.daemons {
-			d.ownCounts = append(d.ownCounts, d.shared.Own())
+			d.ownCounts = append(d.ownCounts, d.shared.OwnCount())
 		}
 	}
 	for _, d := range s.daemons {
@@ -194,7 +194,7 @@
 		switch {
 		case d == receiver:
 		case s.rounds == 1:
-			own := d.shared.Own()
+			own := d.shared.OwnCount()
 			c.Requests += own.Requests
 			c.Retries += own.Retries
 		case index >= 0:
--- a/coordination/retry/shared.go
+++ b/coordination/retry/shared.go
@@ -140,8 +140,8 @@
 	s.remaining = max(0, share-unreportedAmount)
 }
 
-// Own returns the counts of this daemon in the window.
-func (s *SharedBudget) Own() Count {
+// OwnCount returns the counts of this daemon in the window.
+func (s *SharedBudget) OwnCount() Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.own.count(s.clock.Now())
@@ -298,13 +298,13 @@
 	return float64(recent) / (recentBuckets * float64(s.own.width) / float64(spanrill.Second))
 }
 
-// Own returns the counts of this daemon, by service.
-func (b *Budgets) Own() map[string]Count {
+// OwnCounts returns the counts of this daemon, by service.
+func (b *Budgets) OwnCounts() map[string]Count {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := make(map[string]Count, len(b.services))
 	for name, s := range b.services {
-		own[name] = s.Own()
+		own[name] = s.OwnCount()
 	}
 	return own
 }
--- a/coordination/retry/shared_test.go
+++ b/coordination/retry/shared_test.go
@@ -53,7 +53,7 @@
 		}
 		counts := make([]Count, daemons)
 		for i, s := range all {
-			counts[i] = s.Own()
+			counts[i] = s.OwnCount()
 		}
 		c.Advance(250)
 		for i, s := range all {
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -41,7 +41,7 @@
 			Slots: slots, StepMicros: 8000, Generation: 1,
 		}})
 	}
-	t.ReportAll(reports)
+	t.RecordReports(reports)
 	return t, c
 }
 
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -68,7 +68,7 @@
 	case path == "/status":
 		serveJSON(ctx, d.Status())
 	case path == "/requests":
-		serveJSON(ctx, d.Recent())
+		serveJSON(ctx, d.RecentGenerations())
 	case path == "/explain":
 		d.serveExplain(ctx)
 	case path == "/drain" && ctx.IsPost():
@@ -115,8 +115,8 @@
 	return stages
 }
 
-// Recent returns the most recently finished generations, newest first.
-func (d *Daemon) Recent() []callerapi.Finished { return d.api.Recent() }
+// RecentGenerations returns the most recently finished generations, newest first.
+func (d *Daemon) RecentGenerations() []callerapi.FinishedGeneration { return d.api.RecentGenerations() }
 
 // serveExplain explains how a request of the client account and for the model in the query arguments
 // would be routed.
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -52,18 +52,19 @@
 	random   *rng.Source
 	meters   *meter.Meters
 
-	http     *httpcall.Client
-	platform *objectapi.Client
-	follower *config.Follower
-	table    *load.Table
-	router   *routing.Router
-	observer *observe.Observer
-	gate     *admission.Gate
-	keeper   *claim.Keeper
-	api      *callerapi.Server
-	peers    *peers
-	engines  spanrill.Engines
-	lease    atomic.Pointer[lease.Lease] // placement lease of this daemon's site, nil until runPlacement sets it
+	http        *httpcall.Client
+	platform    *objectapi.Client
+	follower    *config.Follower
+	table       *load.Table
+	router      *routing.Router
+	observer    *observe.Observer
+	gate        *admission.Gate
+	claimKeeper *claim.Keeper
+	api         *callerapi.Server
+	peers       *peers
+	engines     spanrill.Engines
+	// lease is the placement lease of this daemon's site, nil until runPlacement sets it.
+	lease atomic.Pointer[lease.Lease]
 
 	callerListener net.Listener
 	adminListener  net.Listener
@@ -131,7 +132,7 @@
 		return fmt.Errorf("build peers: %w", err)
 	}
 	d.follower = config.NewFollower(d.platform, config.WithClock(d.clock), config.WithLogger(d.log),
-		config.WithJitter(d.jitter), config.WithOnChange(d.configChanged), config.WithWatchesHead(d.peers.shouldWatchHead))
+		config.WithJitter(d.jitter), config.WithOnChange(d.applyConfig), config.WithWatchesHead(d.peers.shouldWatchHead))
 	engines, services := engineapi.New(d.http), serviceapi.New(d.http)
 	d.engines = engines
 	d.observer = observe.New(d.platform, engines, services, d.table, d.clock, observe.WithLogger(d.log),
@@ -140,8 +141,8 @@
 	d.gate = admission.New(d.clock, d.table, admission.WithMeters(d.meters),
 		admission.WithQueue(d.settings.Limits.Queue, d.settings.Limits.QueueWait),
 		admission.WithRequestsPerSlot(d.settings.Limits.PerSlot))
-	d.keeper = claim.NewKeeper(d.work, d.platform, d.clock)
-	d.peers.claims = claim.New(d.keeper, d.peers, d.peers, d.clock, d.random, claim.WithLogger(d.log))
+	d.claimKeeper = claim.NewKeeper(d.work, d.platform, d.clock)
+	d.peers.claims = claim.New(d.claimKeeper, d.peers, d.peers, d.clock, d.random, claim.WithLogger(d.log))
 	d.api = d.newAPI(engines, services)
 	return nil
 }
@@ -168,8 +169,8 @@
 	return pause/2 + spanrill.Millis(d.random.Float64()*float64(pause))
 }
 
-// configChanged applies the sites of a new configuration, and gossips its revision at once.
-func (d *Daemon) configChanged(s *config.Snapshot) {
+// applyConfig applies the sites of a new configuration, and gossips its revision at once.
+func (d *Daemon) applyConfig(s *config.Snapshot) {
 	d.table.SetSites(func(zone string) string {
 		if site := s.SiteOf(zone); site != nil {
 			return site.Name
@@ -230,7 +231,7 @@
 	d.cancel()
 	d.close()
 	stopped := tasks.Wait()
-	_ = d.keeper.Wait()
+	_ = d.claimKeeper.Wait()
 	if err == nil {
 		err = stopped
 	}
--- a/daemon/peerhandler.go
+++ b/daemon/peerhandler.go
@@ -106,7 +106,7 @@
 	for i, r := range m.Reports {
 		reports[i] = load.Report{Name: r.Name, Status: r.Status(), Age: r.Age}
 	}
-	p.daemon.table.ReportAll(reports)
+	p.daemon.table.RecordReports(reports)
 }
 
 // applyDemand records the demand of each client account at a peer.
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -116,9 +116,9 @@
 	return p.net.Send(addr, peernet.Kind(kind), payload)
 }
 
-// Ask sends a request and decodes its reply.
-func (p *peers) Ask(ctx context.Context, addr string, kind uint8, req, reply any) error {
-	return peermsg.Ask(ctx, p.net, addr, peernet.Kind(kind), req, reply)
+// Request sends a request and decodes its reply.
+func (p *peers) Request(ctx context.Context, addr string, kind uint8, req, reply any) error {
+	return peermsg.Request(ctx, p.net, addr, peernet.Kind(kind), req, reply)
 }
 
 // Owner returns the peer address of the daemon that writes a slot's claims, or "" for this one.
@@ -212,7 +212,7 @@
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
 	var reply peermsg.Head
-	if err := p.Ask(ctx, m.PeerAddr, uint8(peermsg.KindHead), &peermsg.Head{}, &reply); err != nil {
+	if err := p.Request(ctx, m.PeerAddr, uint8(peermsg.KindHead), &peermsg.Head{}, &reply); err != nil {
 		return fmt.Errorf("fetch head of %s: %w", m.Name, err)
 	}
 	var head config.Head
@@ -236,7 +236,7 @@
 // it.
 func (s peerConfigSource) Part(ctx context.Context, hash string) ([]byte, error) {
 	var reply peermsg.Part
-	err := s.peers.Ask(ctx, s.addr, uint8(peermsg.KindPart), &peermsg.Part{Hash: hash}, &reply)
+	err := s.peers.Request(ctx, s.addr, uint8(peermsg.KindPart), &peermsg.Part{Hash: hash}, &reply)
 	if err == nil && reply.Value == nil {
 		err = spanrill.ErrNotFound
 	}
@@ -269,7 +269,7 @@
 func (p *peers) Boxes(ctx context.Context) ([]spanrill.Box, error) {
 	for _, m := range p.list.Others() {
 		var reply peermsg.Boxes
-		err := p.Ask(ctx, m.PeerAddr, uint8(peermsg.KindBoxes), &peermsg.Boxes{}, &reply)
+		err := p.Request(ctx, m.PeerAddr, uint8(peermsg.KindBoxes), &peermsg.Boxes{}, &reply)
 		var boxes []spanrill.Box
 		if err == nil && json.Unmarshal(reply.Value, &boxes) == nil {
 			return boxes, nil
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -11,9 +11,9 @@
 // configSink applies changes of the collection that holds the configuration.
 type configSink struct{ g *Gateway }
 
-// Listed applies the configuration if it is among the items. sentAt is when the listing was
+// HandleList applies the configuration if it is among the items. sentAt is when the listing was
 // requested.
-func (s configSink) Listed(items []spanrill.Item, _ uint64, sentAt spanrill.Millis) {
+func (s configSink) HandleList(items []spanrill.Item, _ uint64, sentAt spanrill.Millis) {
 	for _, item := range items {
 		if known := s.g.config.Revision(); item.Name == s.g.adapter.ConfigName && item.Revision < known {
 			events.ListOutdated.Log(s.g.log, logrus.Fields{"collection": "configuration", "revision": item.Revision, "known": known})
@@ -22,10 +22,10 @@
 	}
 }
 
-// Changed applies a new configuration, and confirms that the current one was the newest at sentAt,
-// when the changes were requested. A configuration of another era than revision is not confirmed,
-// because a restored store may lack it.
-func (s configSink) Changed(changes []spanrill.Change, revision uint64, sentAt spanrill.Millis) {
+// HandleChanges applies a new configuration, and confirms that the current one was the newest at
+// sentAt, when the changes were requested. A configuration of another era than revision is not
+// confirmed, because a restored store may lack it.
+func (s configSink) HandleChanges(changes []spanrill.Change, revision uint64, sentAt spanrill.Millis) {
 	for _, c := range changes {
 		if !c.Deleted {
 			s.apply(c.Item, sentAt)
--- a/gateway/drainfleet_test.go
+++ b/gateway/drainfleet_test.go
@@ -149,7 +149,7 @@
 	return e, err
 }
 
-func (d *drainDaemon) Ask(_ context.Context, addr string, kind uint8, req, reply any) error {
+func (d *drainDaemon) Request(_ context.Context, addr string, kind uint8, req, reply any) error {
 	other, now := d.fleet.byName[addr], spanrill.Millis(d.fleet.now.Load())
 	d.fleet.requests.Add(1)
 	sc := d.fleet.scenario
@@ -166,11 +166,11 @@
 	var answer any
 	switch kind {
 	case uint8(peermsg.KindNews):
-		answer = e.News(req.(*peermsg.NewsRequest))
+		answer = e.HandleNewsRequest(req.(*peermsg.NewsRequest))
 	case uint8(peermsg.KindEntries):
-		answer = e.Entries(req.(*peermsg.EntriesRequest))
+		answer = e.HandleEntriesRequest(req.(*peermsg.EntriesRequest))
 	case uint8(peermsg.KindRouteConfig):
-		answer = e.RouteConfig()
+		answer = e.HandleRouteConfigRequest()
 	default:
 		return 0, errNoAnswer
 	}
@@ -216,12 +216,12 @@
 	g.fleet = fleet.New(d, simDecode, fleet.WithLogger(log), fleet.WithDrain(f.scenario.drain))
 	g.exchange = exchange.New(d, exchange.State{
 		Name: m.Name, Config: g.config, Fleet: g.fleet, Budgets: retry.NewBudgets(d, retry.Limits{}, assumedDaemons),
-		HoldsPlacement: func() bool { return false }, Leaving: func() bool { return false }, StoreSilent: g.storeSilent, LateRounds: g.entriesLate,
+		HoldsPlacement: func() bool { return false }, Leaving: func() bool { return false }, StoreSilent: g.storeSilent, LateRounds: g.lateRounds,
 		Targets: func() map[string]fleet.Target { return nil }, Lease: lease.New(nil, d, "placement", m.Name),
 		Suspects: suspect.New(d),
 	}, d, log, rng.New(seed+1000))
-	g.configs = follow.New(d, d, g.fleet)
-	g.upstreams = follow.New(d, d, g.fleet, follow.WithPollDelay(func() spanrill.Millis { return 0 }), follow.WithKnownRevision(g.fleet.Revision),
+	g.configFollower = follow.New(d, d, g.fleet)
+	g.upstreamFollower = follow.New(d, d, g.fleet, follow.WithPollDelay(func() spanrill.Millis { return 0 }), follow.WithKnownRevision(g.fleet.Revision),
 		follow.WithJitter(g.random.Float64), follow.WithMaxRetryDelay(g.maxRetryPause), follow.WithLogger(log, "upstreams"))
 	d.Gateway = g
 	return d
@@ -314,7 +314,7 @@
 	}
 	d.recordStoreCall("GET", d.callErr)
 	d.clockLag.Store(int64(now - d.sentAt))
-	pause := d.upstreams.Step(context.Background())
+	pause := d.upstreamFollower.Step(context.Background())
 	d.clockLag.Store(0)
 	d.callEnd, d.nextCheck = 0, now+pause
 }
--- a/gateway/due.go
+++ b/gateway/due.go
@@ -80,7 +80,7 @@
 		return false // the first in rank did not take the free lease, or ranks are not reliable yet
 	}
 	first := g.peers.list.Ranked("placement")[0]
-	return membership.PowerClass(first) > membership.PowerClass(peermsg.Member{MilliCores: g.settings.MilliCores()})
+	return membership.CPUClass(first) > membership.CPUClass(peermsg.Member{MilliCores: g.settings.MilliCores()})
 }
 
 // unrankedContendDelay is how long the lease is free before daemons without a rank try to take
@@ -126,14 +126,14 @@
 	minCallerWait spanrill.Millis = 50
 	// startPoll is how often a starting daemon checks whether it has to ask the store.
 	startPoll spanrill.Millis = 20
-	// unresponsiveAfter is how long store calls have failed or hung when a starting daemon
+	// silentAtStartAfter is how long store calls have failed or hung when a starting daemon
 	// begins to refuse new callers at once: 25 times the usual answer time of 4 ms.
-	unresponsiveAfter spanrill.Millis = 100
+	silentAtStartAfter spanrill.Millis = 100
 )
 
-// storeUnresponsive reports whether the store has not answered this daemon for unresponsiveAfter.
-func (g *Gateway) storeUnresponsive() bool {
-	return max(g.configs.UnresponsiveFor(), g.upstreams.UnresponsiveFor()) > unresponsiveAfter
+// storeSilentAtStart reports whether the store has not answered this daemon for silentAtStartAfter.
+func (g *Gateway) storeSilentAtStart() bool {
+	return max(g.configFollower.StoreSilentFor(), g.upstreamFollower.StoreSilentFor()) > silentAtStartAfter
 }
 
 // firstAskDelay returns how long after its start a daemon lists the store, unless a peer has
@@ -184,9 +184,9 @@
 	return g.settings.Bounds.Drain / entriesRefreshDivisor
 }
 
-// entriesLate returns how many exchange rounds ago newer entries, read by the first in rank, should
+// lateRounds returns how many exchange rounds ago newer entries, read by the first in rank, should
 // have arrived.
-func (g *Gateway) entriesLate() int {
+func (g *Gateway) lateRounds() int {
 	_, _, age := g.fleet.Freshness()
 	due := g.entriesRefreshAge() + g.exchange.BroadcastTime()
 	return int(max(0, age-due) / newsRound)
@@ -335,7 +335,7 @@
 // storeSilent reports whether store calls of this daemon have failed or hung for more than
 // storeSilentAfter.
 func (g *Gateway) storeSilent() bool {
-	return max(g.configs.UnresponsiveFor(), g.upstreams.UnresponsiveFor()) > storeSilentAfter
+	return max(g.configFollower.StoreSilentFor(), g.upstreamFollower.StoreSilentFor()) > storeSilentAfter
 }
 
 // storeSilentAfter is how long store calls fail or hang before this daemon reports to others that the
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -81,24 +81,24 @@
 	meters   *meter.Meters
 	adapter  Adapter
 
-	http      *httpcall.Client
-	config    *routes.Current
-	fleet     *fleet.Table
-	relay     *relay.Relay
-	router    *chainrouting.Router
-	prober    *probe.Prober
-	resolver  *probe.AddressResolver
-	budgets   *retry.Budgets
-	suspects  *suspect.Ledger
-	keeper    *suspect.Keeper
-	limiter   *ratelimit.Limiter
-	exchange  *exchange.Exchange
-	lease     *lease.Lease
-	placer    *layoutrun.Placer
-	peers     *peers
-	callers   *callerhttp.Server
-	upstreams *follow.Follower
-	configs   *follow.Follower
+	http             *httpcall.Client
+	config           *routes.Current
+	fleet            *fleet.Table
+	relay            *relay.Relay
+	router           *chainrouting.Router
+	prober           *probe.Prober
+	resolver         *probe.AddressResolver
+	budgets          *retry.Budgets
+	suspects         *suspect.Ledger
+	suspectKeeper    *suspect.Keeper
+	limiter          *ratelimit.Limiter
+	exchange         *exchange.Exchange
+	lease            *lease.Lease
+	placer           *layoutrun.Placer
+	peers            *peers
+	callers          *callerhttp.Server
+	upstreamFollower *follow.Follower
+	configFollower   *follow.Follower
 
 	listener        *callerhttp.Acceptor
 	readyListener   net.Listener
@@ -203,8 +203,8 @@
 	g.config = routes.NewCurrent(g.clock)
 	g.adapter = connect(g.settings.Platform, g.http, g.recordStoreCall)
 	g.fleet = fleet.New(g.clock, g.adapter.DecodeEntry, fleet.WithLogger(g.log), fleet.WithDrain(g.settings.Bounds.Drain),
-		fleet.WithOnRestart(g.upstreamRestarted))
-	engines := g.fleet.Observe(g.adapter.Engines)
+		fleet.WithOnRestart(g.handleRestart))
+	engines := g.fleet.WrapEngines(g.adapter.Engines)
 	g.prober = probe.New(engines, g.clock, g.log, probe.WithLastHeard(g.fleet.LastHeard))
 	g.resolver = probe.NewAddressResolver(g.adapter.Identifier, g.clock, g.log, g.healthPath)
 	b := g.settings.Bounds
@@ -220,11 +220,11 @@
 	g.limiter = ratelimit.New(g.fleet, g.clock, g.peers)
 	g.lease = lease.New(g.adapter.Store, g.clock, "placement", g.peers.name, lease.WithDuration(leaseTime),
 		lease.WithLogger(g.log), lease.WithCandidate(g.isLeaseCandidate), lease.WithYield(g.shouldYieldLease), lease.WithEra(g.adapter.Era))
-	g.keeper = suspect.NewKeeper(g.suspects, g.adapter.Store, g.clock, g.log, func() bool { _, ok := g.lease.Held(); return ok },
+	g.suspectKeeper = suspect.NewKeeper(g.suspects, g.adapter.Store, g.clock, g.log, func() bool { _, ok := g.lease.Held(); return ok },
 		suspect.WithEra(g.adapter.Era))
 	g.exchange = exchange.New(g.peers, exchange.State{
 		Name: g.peers.name, Zone: g.settings.Zone, Seeds: g.seeds(), Config: g.config, Fleet: g.fleet, Decode: g.adapter.DecodeConfig,
-		HoldsPlacement: g.holdsPlacement, Leaving: g.draining.Load, StoreSilent: g.storeSilent, LateRounds: g.entriesLate, Targets: g.targets, Budgets: g.budgets, Lease: g.lease,
+		HoldsPlacement: g.holdsPlacement, Leaving: g.draining.Load, StoreSilent: g.storeSilent, LateRounds: g.lateRounds, Targets: g.targets, Budgets: g.budgets, Lease: g.lease,
 		Suspects: g.suspects,
 	}, g.clock, g.log, g.random)
 	g.placer = layoutrun.New(g.mayPlace, engines, g.fleet, g.services, g.clock, g.log, layoutrun.WithPropagationTime(g.exchange.BroadcastTime))
@@ -233,9 +233,9 @@
 		Config: g.config, Fleet: g.fleet, Router: g.router, Prober: g.prober,
 		Engines: engines, Codec: g.adapter.Codec, HTTP: g.http, Budgets: g.budgets, Suspects: g.suspects, OnSuspected: g.peers.broadcastSuspect,
 		Permit: g.limiter.Permit, Daemons: func() int { return int(g.liveDaemons.Load()) },
-		Clock: g.clock, Log: g.log, Meters: g.meters, Random: g.random, StoreUnresponsive: g.storeUnresponsive,
+		Clock: g.clock, Log: g.log, Meters: g.meters, Random: g.random, StoreSilentAtStart: g.storeSilentAtStart,
 	}, relay.Options{Zone: g.settings.Zone, MaxConfigAge: g.maxConfigAge()})
-	g.callersWaitingSince = g.relay.FirstHeldAt
+	g.callersWaitingSince = g.relay.CallersWaitingSince
 	g.meters.Gauge("spanrill_log_lines_dropped", func() float64 { return float64(g.droppedLines()) })
 	g.meters.Gauge("spanrill_upstream_restarts", func() float64 { return float64(g.fleet.Restarts()) })
 	g.meters.Gauge("spanrill_upstream_rests", func() float64 { return float64(g.fleet.NoticeCounts().Rests) })
@@ -263,10 +263,10 @@
 	g.askStoreAt = g.startedAt + firstAskDelay(g.isSeed(), g.random.Float64())
 	g.maxCallerWait = randomCallerWait(g.random.Float64())
 	listDelay := follow.WithListDelay(g.listDelay)
-	g.configs = follow.New(config, g.clock, configSink{g}, follow.WithPollDelay(g.configPollDelay), follow.WithKnownRevision(g.config.Revision), listDelay, jitter, maxRetryDelay,
+	g.configFollower = follow.New(config, g.clock, configSink{g}, follow.WithPollDelay(g.configPollDelay), follow.WithKnownRevision(g.config.Revision), listDelay, jitter, maxRetryDelay,
 		follow.WithLogger(g.log, "configuration"))
-	g.upstreams = follow.New(upstreams, g.clock, g.fleet, follow.WithPollDelay(g.upstreamsPollDelay), follow.WithKnownRevision(g.fleet.Revision), listDelay, jitter, maxRetryDelay,
-		follow.WithFirstCallTimeout(g.upstreamsCallTimeout), follow.WithPrimary(g.configs), follow.WithLogger(g.log, "upstreams"))
+	g.upstreamFollower = follow.New(upstreams, g.clock, g.fleet, follow.WithPollDelay(g.upstreamsPollDelay), follow.WithKnownRevision(g.fleet.Revision), listDelay, jitter, maxRetryDelay,
+		follow.WithFirstCallTimeout(g.upstreamsCallTimeout), follow.WithPrimary(g.configFollower), follow.WithLogger(g.log, "upstreams"))
 }
 
 // assumedDaemons is the fleet size that is assumed until peers are known. It is larger than a usual
@@ -299,9 +299,9 @@
 	return ""
 }
 
-// upstreamRestarted closes the idle connections to an upstream that has restarted, and rechecks
+// handleRestart closes the idle connections to an upstream that has restarted, and rechecks
 // the paths of the requests that ran there.
-func (g *Gateway) upstreamRestarted(addr string) {
+func (g *Gateway) handleRestart(addr string) {
 	g.http.CloseIdleTo(addr)
 	g.relay.RecheckDeadPaths()
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -94,9 +94,9 @@
 	return ahead
 }
 
-// Ask sends a request to a peer and decodes its reply.
-func (p *peers) Ask(ctx context.Context, addr string, kind uint8, req, reply any) error {
-	return peermsg.Ask(ctx, p.net, addr, peernet.Kind(kind), req, reply)
+// Request sends a request to a peer and decodes its reply.
+func (p *peers) Request(ctx context.Context, addr string, kind uint8, req, reply any) error {
+	return peermsg.Request(ctx, p.net, addr, peernet.Kind(kind), req, reply)
 }
 
 // handle processes a message of a peer and returns the reply, or nil. A message that cannot be
@@ -132,15 +132,15 @@
 		if err = peermsg.Decode(payload, &m); err != nil {
 			return nil, err
 		}
-		return p.gateway.exchange.News(&m), nil
+		return p.gateway.exchange.HandleNewsRequest(&m), nil
 	case peermsg.KindRouteConfig:
-		return p.gateway.exchange.RouteConfig(), nil
+		return p.gateway.exchange.HandleRouteConfigRequest(), nil
 	case peermsg.KindLoan:
 		var m peermsg.LoanRequest
 		if err = peermsg.Decode(payload, &m); err != nil {
 			return nil, err
 		}
-		return p.gateway.exchange.Lend(&m), nil
+		return p.gateway.exchange.HandleLoanRequest(&m), nil
 	case peermsg.KindSuspects:
 		var m peermsg.SuspectNotice
 		if err = peermsg.Decode(payload, &m); err == nil {
@@ -152,13 +152,13 @@
 		if err = peermsg.Decode(payload, &m); err != nil {
 			return nil, err
 		}
-		return p.gateway.limiter.HandleAskPermit(&m), nil
+		return p.gateway.limiter.HandlePermitRequest(&m), nil
 	case peermsg.KindEntries:
 		var m peermsg.EntriesRequest
 		if err = peermsg.Decode(payload, &m); err != nil {
 			return nil, err
 		}
-		return p.gateway.exchange.Entries(&m), nil
+		return p.gateway.exchange.HandleEntriesRequest(&m), nil
 	}
 	return nil, fmt.Errorf("unknown kind %d", kind)
 }
@@ -203,10 +203,10 @@
 // Unresponsive reports whether a daemon left this daemon's last request for news unanswered.
 func (p *peers) Unresponsive(daemon string) bool { return p.gateway.exchange.Unresponsive(daemon) }
 
-// AskPermit asks a daemon for a permit.
-func (p *peers) AskPermit(ctx context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error) {
+// RequestPermit asks a daemon for a permit.
+func (p *peers) RequestPermit(ctx context.Context, addr string, req *peermsg.PermitRequest) (*peermsg.Permit, error) {
 	var permit peermsg.Permit
-	if err := p.Ask(ctx, addr, uint8(peermsg.KindPermit), req, &permit); err != nil {
+	if err := p.Request(ctx, addr, uint8(peermsg.KindPermit), req, &permit); err != nil {
 		return nil, fmt.Errorf("ask for permit: %w", err)
 	}
 	return &permit, nil
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -60,12 +60,12 @@
 // components returns the long-running components by name.
 func (g *Gateway) components() map[string]func(context.Context) error {
 	return map[string]func(context.Context) error{
-		"configuration": g.configs.Run,
-		"upstreams":     g.upstreams.Run,
+		"configuration": g.configFollower.Run,
+		"upstreams":     g.upstreamFollower.Run,
 		"peers":         g.peers.run,
 		"exchange":      g.exchange.Run,
 		"placement":     g.placer.Run,
-		"suspects":      g.keeper.Run,
+		"suspects":      g.suspectKeeper.Run,
 		"relay":         g.relay.Run,
 		"upkeep":        g.upkeep,
 		"readiness":     g.serveReady,
--- a/gateway/startfleet_test.go
+++ b/gateway/startfleet_test.go
@@ -72,7 +72,7 @@
 
 func (d *startDaemon) isRunning() bool { return d.Now() >= d.startAt }
 
-func (d *startDaemon) Ask(_ context.Context, addr string, kind uint8, req, reply any) error {
+func (d *startDaemon) Request(_ context.Context, addr string, kind uint8, req, reply any) error {
 	other := d.fleet.byName[addr]
 	if !other.isRunning() {
 		return errNoAnswer
@@ -182,7 +182,7 @@
 	g.exchange = exchange.New(d, exchange.State{
 		Name: self.Name, Zone: g.settings.Zone, Seeds: g.seeds(), Config: g.config, Fleet: g.fleet, Decode: startDecode,
 		Budgets:        retry.NewBudgets(d, retry.Limits{}, assumedDaemons),
-		HoldsPlacement: func() bool { return f.holder == d }, Leaving: func() bool { return false }, StoreSilent: g.storeSilent, LateRounds: g.entriesLate,
+		HoldsPlacement: func() bool { return f.holder == d }, Leaving: func() bool { return false }, StoreSilent: g.storeSilent, LateRounds: g.lateRounds,
 		Targets: d.targets, Lease: g.lease,
 		Suspects: suspect.New(d),
 	}, d, log, g.random)
@@ -260,8 +260,8 @@
 		d.exchange.Round(context.Background())
 		return d.exchange.NextPause()
 	})
-	d.every("configuration", func() spanrill.Millis { return d.configs.Step(context.Background()) })
-	d.every("upstreams", func() spanrill.Millis { return d.upstreams.Step(context.Background()) })
+	d.every("configuration", func() spanrill.Millis { return d.configFollower.Step(context.Background()) })
+	d.every("upstreams", func() spanrill.Millis { return d.upstreamFollower.Step(context.Background()) })
 	d.every("lease", func() spanrill.Millis { return d.takeLease() })
 	if d.fleet.engines != nil {
 		d.every("placement", func() spanrill.Millis {
--- a/protocol/callerapi/recent.go
+++ b/protocol/callerapi/recent.go
@@ -5,8 +5,8 @@
 	"spanrill/coordination/pipeline"
 )
 
-// Finished describes a generation that has ended, successfully or not, for operators.
-type Finished struct {
+// FinishedGeneration describes a generation that has ended, successfully or not, for operators.
+type FinishedGeneration struct {
 	ID       string `json:"id"`
 	Account  string `json:"account"`
 	Model    string `json:"model"`
@@ -17,15 +17,15 @@
 	Reason   string `json:"reason,omitempty"` // code of the refusal, if it failed
 }
 
-// maxRecent is how many finished generations Recent returns at most.
+// maxRecent is how many finished generations RecentGenerations returns at most.
 const maxRecent = 256
 
-// Recent returns the generations that ended last, newest first.
-func (s *Server) Recent() []Finished { return s.recent.Values() }
+// RecentGenerations returns the generations that ended last, newest first.
+func (s *Server) RecentGenerations() []FinishedGeneration { return s.recent.Values() }
 
 // recordFinished adds a generation that has ended to the recent ones.
 func (in *inference) recordFinished(result *pipeline.Result, refusal *spanrill.Refusal) {
-	f := Finished{ID: in.id, Account: in.grant.Account(), Model: in.model.Model().Name, Outcome: spanrill.OutcomeRan.String()}
+	f := FinishedGeneration{ID: in.id, Account: in.grant.Account(), Model: in.model.Model().Name, Outcome: spanrill.OutcomeRan.String()}
 	if result != nil {
 		f.Chain, f.Attempts, f.Tokens = formatChain(result.Chain()), result.Attempts(), result.Tokens()
 	}
--- a/protocol/callerapi/server.go
+++ b/protocol/callerapi/server.go
@@ -95,12 +95,12 @@
 	draining atomic.Bool
 	inFlight atomic.Int64
 	streams  task.Group
-	recent   *ring.Ring[Finished]
+	recent   *ring.Ring[FinishedGeneration]
 }
 
 // New returns a Server that accepts no connections until Serve is called.
 func New(deps Dependencies, limits Limits) *Server {
-	s := &Server{Dependencies: deps, limits: limits, ctx: context.Background(), recent: ring.New[Finished](maxRecent)}
+	s := &Server{Dependencies: deps, limits: limits, ctx: context.Background(), recent: ring.New[FinishedGeneration](maxRecent)}
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
 		ErrorHandler:          s.handleReadError,
--- a/protocol/peermsg/ask.go
+++ b/protocol/peermsg/request.go
@@ -7,9 +7,9 @@
 	"spanrill/transport/peernet"
 )
 
-// Ask sends a request of the given kind to the peer at addr and decodes the peer's answer into
+// Request sends a request of the given kind to the peer at addr and decodes the peer's answer into
 // reply, which must be a pointer. req may be nil if the peer ignores the payload.
-func Ask(ctx context.Context, n *peernet.Net, addr string, kind peernet.Kind, req, reply any) error {
+func Request(ctx context.Context, n *peernet.Net, addr string, kind peernet.Kind, req, reply any) error {
 	payload, err := Encode(req)
 	if err != nil {
 		return err
--- a/state/fleet/active_test.go
+++ b/state/fleet/active_test.go
@@ -95,7 +95,7 @@
 	table.RefreshView()
 	entry := *before.ByID("eaab").Entry()
 	entry.Layers, entry.Revision = spanrill.LayerRange{From: 0, To: 4}, 2
-	table.Changed(nil, 2, manual.Now())
+	table.HandleChanges(nil, 2, manual.Now())
 	after := table.View()
 	if after.Version() == before.Version() || &after.ByService("s")[0] != &before.ByService("s")[0] {
 		t.Fatalf("versions %d and %d, want different ones; shared lists: %t, want true", before.Version(), after.Version(), &after.ByService("s")[0] == &before.ByService("s")[0])
--- a/state/fleet/available.go
+++ b/state/fleet/available.go
@@ -46,11 +46,12 @@
 	return t.clock.Now() - t.storeAvailable.from
 }
 
-// confirm records that a read of the store has confirmed the entries. sent is when the read was sent.
+// confirm records that a read of the store has confirmed the entries. sentAt is when the read was
+// sent.
 // The caller holds the lock.
-func (t *Table) confirm(sent spanrill.Millis) {
-	t.confirmedAt = max(t.confirmedAt, sent)
-	t.storeAvailable.merge(availableSpan{from: sent, to: sent}, t.unavailableTime)
+func (t *Table) confirm(sentAt spanrill.Millis) {
+	t.confirmedAt = max(t.confirmedAt, sentAt)
+	t.storeAvailable.merge(availableSpan{from: sentAt, to: sentAt}, t.unavailableTime)
 }
 
 // Stale returns the time since the entries were last confirmed, and whether they are too old for
--- a/state/fleet/conflict_test.go
+++ b/state/fleet/conflict_test.go
@@ -14,7 +14,9 @@
 		return func(_ *testing.T, table *Table, _ spanrill.Millis) { table.ResolveAddress("1:1", name) }
 	}
 	changes := func(c func(*testing.T) spanrill.Change) step {
-		return func(t *testing.T, table *Table, now spanrill.Millis) { table.Changed([]spanrill.Change{c(t)}, 4, now) }
+		return func(t *testing.T, table *Table, now spanrill.Millis) {
+			table.HandleChanges([]spanrill.Change{c(t)}, 4, now)
+		}
 	}
 	for _, c := range []struct {
 		name       string
@@ -37,7 +39,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, manual := newTable(t)
-			table.Changed([]spanrill.Change{change(item(t, "c", "1:1", 3, false))}, 3, manual.Now())
+			table.HandleChanges([]spanrill.Change{change(item(t, "c", "1:1", 3, false))}, 3, manual.Now())
 			for _, run := range c.steps {
 				run(t, table, manual.Now())
 			}
@@ -58,9 +60,9 @@
 // ended behind a network partition, reaches the store late.
 func TestLateEntryOfEndedUpstream(t *testing.T) {
 	table, manual := newTable(t)
-	table.Changed([]spanrill.Change{removal("a")}, 3, manual.Now())
-	table.Changed([]spanrill.Change{change(item(t, "c", "1:1", 4, false))}, 4, manual.Now())
-	table.Changed([]spanrill.Change{change(item(t, "a", "1:1", 5, false))}, 5, manual.Now())
+	table.HandleChanges([]spanrill.Change{removal("a")}, 3, manual.Now())
+	table.HandleChanges([]spanrill.Change{change(item(t, "c", "1:1", 4, false))}, 4, manual.Now())
+	table.HandleChanges([]spanrill.Change{change(item(t, "a", "1:1", 5, false))}, 5, manual.Now())
 	u := table.View().ByAddr("1:1")
 	if u == nil || u.Name() != "c" || table.View().ByID("a") != nil {
 		t.Fatalf("upstream %v at the address, want c", u)
@@ -76,7 +78,7 @@
 func TestEntryChangesToAddressInUse(t *testing.T) {
 	table, manual := newTable(t)
 	b := table.View().ByID("b")
-	table.Changed([]spanrill.Change{change(item(t, "a", "1:2", 3, false))}, 3, manual.Now())
+	table.HandleChanges([]spanrill.Change{change(item(t, "a", "1:2", 3, false))}, 3, manual.Now())
 	if table.View().ByID("a") != nil || table.View().ByAddr("1:2") != b || !b.AcceptsRequests() {
 		t.Fatal("the entry was applied before the address answered")
 	}
@@ -90,7 +92,7 @@
 // the process at the address for its name.
 func TestConflictsReachPeers(t *testing.T) {
 	peer, manual := newTable(t)
-	peer.Changed([]spanrill.Change{change(item(t, "c", "1:1", 3, false))}, 3, manual.Now())
+	peer.HandleChanges([]spanrill.Change{change(item(t, "c", "1:1", 3, false))}, 3, manual.Now())
 	table, _ := newTable(t)
 	table.Merge(peer.FullUpdate(), manual.Now())
 	if unresolved := table.AddressConflicts(); len(unresolved) != 1 || unresolved[0] != (AddressConflict{Addr: "1:1", Service: "s", Name: "c"}) {
@@ -107,14 +109,14 @@
 		learn func(t *testing.T, table *Table, now spanrill.Millis)
 	}{
 		{"in a change", func(_ *testing.T, table *Table, now spanrill.Millis) {
-			table.Changed([]spanrill.Change{change(bad)}, 3, now)
+			table.HandleChanges([]spanrill.Change{change(bad)}, 3, now)
 		}},
 		{"in a list", func(t *testing.T, table *Table, now spanrill.Millis) {
-			table.Listed([]spanrill.Item{bad, item(t, "b", "1:2", 2, false)}, 3, now)
+			table.HandleList([]spanrill.Item{bad, item(t, "b", "1:2", 2, false)}, 3, now)
 		}},
 		{"from a peer", func(t *testing.T, table *Table, now spanrill.Millis) {
 			peer, _ := newTable(t)
-			peer.Changed([]spanrill.Change{change(bad)}, 3, now)
+			peer.HandleChanges([]spanrill.Change{change(bad)}, 3, now)
 			table.Merge(peer.FullUpdate(), now)
 		}},
 	} {
@@ -132,7 +134,7 @@
 			if current, _ := table.Unreadable(); current != 1 {
 				t.Errorf("%d unreadable entries, want 1", current)
 			}
-			table.Changed([]spanrill.Change{change(item(t, "a", "1:1", 9, false))}, 9, manual.Now())
+			table.HandleChanges([]spanrill.Change{change(item(t, "a", "1:1", 9, false))}, 9, manual.Now())
 			if current, _ := table.Unreadable(); current != 0 || table.View().ByID("a") == nil {
 				t.Error("the entry is not used after it became readable again")
 			}
@@ -144,9 +146,9 @@
 func TestUnreadableEntryIsLoggedOnce(t *testing.T) {
 	table, manual := newTable(t)
 	for range 3 {
-		table.Listed([]spanrill.Item{{Name: "a", Revision: 3, Value: []byte("no entry")}}, 3, manual.Now())
+		table.HandleList([]spanrill.Item{{Name: "a", Revision: 3, Value: []byte("no entry")}}, 3, manual.Now())
 	}
-	table.Listed([]spanrill.Item{{Name: "a", Revision: 4, Value: []byte("no entry")}}, 4, manual.Now())
+	table.HandleList([]spanrill.Item{{Name: "a", Revision: 4, Value: []byte("no entry")}}, 4, manual.Now())
 	if _, total := table.Unreadable(); total != 2 {
 		t.Fatalf("%d log lines, want 2", total)
 	}
--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -230,7 +230,7 @@
 		return
 	}
 	t.remove(other.Name(), "another upstream has its address")
-	other.end()
+	other.markReplaced()
 	delete(t.recentlyRemoved, other.ID())
 	t.restartedAddrs = append(t.restartedAddrs, u.Addr())
 }
--- a/state/fleet/fleet_test.go
+++ b/state/fleet/fleet_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	c := clock.NewManual()
 	table := New(c, decode)
-	table.Listed([]spanrill.Item{item(t, "a", "1:1", 1, false), item(t, "b", "1:2", 2, false)}, 2, 0)
+	table.HandleList([]spanrill.Item{item(t, "a", "1:1", 1, false), item(t, "b", "1:2", 2, false)}, 2, 0)
 	return table, c
 }
 
@@ -66,7 +66,7 @@
 				table.RecordStoreFailure()
 				manual.Advance(c.outage)
 			}
-			table.Changed([]spanrill.Change{removal("a")}, 3, manual.Now())
+			table.HandleChanges([]spanrill.Change{removal("a")}, 3, manual.Now())
 			manual.Advance(c.after)
 			table.Maintain()
 			u := table.View().ByID("a")
@@ -81,9 +81,9 @@
 // leaving.
 func TestLeavingEntryIsNotHeld(t *testing.T) {
 	table, manual := newTable(t)
-	table.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 3, true)}}, 3, manual.Now())
+	table.HandleChanges([]spanrill.Change{{Item: item(t, "a", "1:1", 3, true)}}, 3, manual.Now())
 	table.RecordStoreFailure()
-	table.Changed([]spanrill.Change{removal("a")}, 4, manual.Now())
+	table.HandleChanges([]spanrill.Change{removal("a")}, 4, manual.Now())
 	if table.View().ByID("a") != nil {
 		t.Fatal("the leaving upstream is still in the view")
 	}
@@ -93,7 +93,7 @@
 // that an upstream is leaving, and against older updates that replace newer ones.
 func TestMergeFromPeers(t *testing.T) {
 	peer, _ := newTable(t)
-	peer.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 7, true)}}, 7, 0)
+	peer.HandleChanges([]spanrill.Change{{Item: item(t, "a", "1:1", 7, true)}}, 7, 0)
 	table, manual := newTable(t)
 	manual.Advance(1000)
 	if table.ConfirmUnchanged(7, 7, manual.Now()) {
@@ -109,7 +109,7 @@
 	if table.Merge(old.FullUpdate(), manual.Now()) || table.View().ByID("a").AcceptsRequests() {
 		t.Fatal("an older update replaced a newer one")
 	}
-	table.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 2, false)}}, 3, manual.Now())
+	table.HandleChanges([]spanrill.Change{{Item: item(t, "a", "1:1", 2, false)}}, 3, manual.Now())
 	if table.View().ByID("a").AcceptsRequests() {
 		t.Fatal("an older answer of the store replaced a newer update")
 	}
@@ -187,7 +187,7 @@
 func TestHeldEntriesAreNotSentToPeers(t *testing.T) {
 	peer, manual := newTable(t)
 	peer.RecordStoreFailure()
-	peer.Changed([]spanrill.Change{removal("a")}, 3, manual.Now())
+	peer.HandleChanges([]spanrill.Change{removal("a")}, 3, manual.Now())
 	if u := peer.View().ByID("a"); u == nil || !u.AcceptsRequests() {
 		t.Fatal("the entry was not held")
 	}
@@ -222,7 +222,7 @@
 	table.RecordStoreFailure()
 	manual.Advance(1000)
 	table.Merge(Update{Entries: []spanrill.EngineEntry{{ID: "b", Addr: "1:2"}}, Revision: 8, LastChange: 7}, 900)
-	table.Changed([]spanrill.Change{{Item: item(t, "a", "1:1", 5, false)}, removal("a")}, 9, 950)
+	table.HandleChanges([]spanrill.Change{{Item: item(t, "a", "1:1", 5, false)}, removal("a")}, 9, 950)
 	manual.Advance(holdTime - 1000)
 	table.Maintain()
 	if table.View().ByID("a") != nil {
@@ -248,7 +248,7 @@
 			table, manual := newTable(t)
 			manual.Advance(unconfirmed)
 			table.RecordStoreFailure()
-			table.Changed([]spanrill.Change{removal("a")}, 3, manual.Now())
+			table.HandleChanges([]spanrill.Change{removal("a")}, 3, manual.Now())
 			table.RecordStoreAvailable(c.from, c.to)
 			table.Maintain()
 			if got := table.View().ByID("a") != nil; got != c.want {
@@ -263,7 +263,7 @@
 func TestEntryRewrittenInSameRead(t *testing.T) {
 	table, manual := newTable(t)
 	before := table.View().ByID("a")
-	table.Changed([]spanrill.Change{removal("a"), {Item: item(t, "a", "1:1", 5, false)}}, 5, manual.Now())
+	table.HandleChanges([]spanrill.Change{removal("a"), {Item: item(t, "a", "1:1", 5, false)}}, 5, manual.Now())
 	if u := table.View().ByID("a"); u != before || !u.AcceptsRequests() {
 		t.Fatal("the upstream was replaced, or accepts no requests")
 	}
--- a/state/fleet/incarnation.go
+++ b/state/fleet/incarnation.go
@@ -103,7 +103,7 @@
 	}
 	for id, r := range t.recentlyRemoved {
 		if old := r.upstream.Entry(); old.ID == entry.ID && isRestart(old, &entry) {
-			r.upstream.end()
+			r.upstream.markReplaced()
 			delete(t.recentlyRemoved, id)
 			t.restartedAddrs = append(t.restartedAddrs, old.Addr)
 		}
@@ -116,7 +116,7 @@
 	p := t.pastStartsOf(entry.ID)
 	p.addEnded(old.StartedAt)
 	p.restarts++
-	u.end()
+	u.markReplaced()
 	next := t.newUpstream(entry, p.restarts)
 	next.addrSince, next.notices = u.addrSince, u.notices.afterRestart()
 	t.rememberNotices(next)
@@ -148,15 +148,15 @@
 // Restarts returns the number of detected restarts of upstreams under the same name.
 func (t *Table) Restarts() uint64 { return t.restarts.Load() }
 
-// HandleReport replaces the upstream at an address by its next incarnation if a report shows that it
-// has restarted. A report may show that before the entry in the store does. sent is when the report
-// was requested.
-func (t *Table) HandleReport(addr string, r *spanrill.EngineReport, sent spanrill.Millis) {
+// HandleReport replaces the upstream at an address by its next incarnation if a report shows that
+// it has restarted. A report may show that before the entry in the store does. sentAt is when the
+// report was requested.
+func (t *Table) HandleReport(addr string, r *spanrill.EngineReport, sentAt spanrill.Millis) {
 	u := t.View().ByAddr(addr)
 	if u == nil {
 		return
 	}
-	reason := u.restartReason(r, sent, t.clock.Now())
+	reason := u.restartReason(r, sentAt, t.clock.Now())
 	if reason == "" {
 		return
 	}
@@ -173,7 +173,7 @@
 }
 
 // restartReason returns why a report belongs to another incarnation, or "" if it doesn't.
-func (u *Upstream) restartReason(r *spanrill.EngineReport, sent, now spanrill.Millis) string {
+func (u *Upstream) restartReason(r *spanrill.EngineReport, sentAt, now spanrill.Millis) string {
 	if startedAt := u.Entry().StartedAt; startedAt > 0 && r.StartedAt > 0 {
 		if startedAt != r.StartedAt {
 			return "its report has another start time"
@@ -182,7 +182,7 @@
 	}
 	u.orders.mu.Lock()
 	defer u.orders.mu.Unlock()
-	if r.Sequence < u.orders.count && sent > u.orders.receivedAt {
+	if r.Sequence < u.orders.count && sentAt > u.orders.receivedAt {
 		return "its report counts fewer orders"
 	}
 	if r.Sequence >= u.orders.count {
--- a/state/fleet/incarnation_test.go
+++ b/state/fleet/incarnation_test.go
@@ -27,7 +27,7 @@
 	c := clock.NewManual()
 	c.Advance(100 * spanrill.Second)
 	table := New(c, decode)
-	table.Listed([]spanrill.Item{startItem(t, "a", 10, startedAt, writeCount, 8)}, 10, c.Now())
+	table.HandleList([]spanrill.Item{startItem(t, "a", 10, startedAt, writeCount, 8)}, 10, c.Now())
 	u := table.View().ByAddr("1:1")
 	u.SetTarget(&Target{Layers: spanrill.LayerRange{To: 8}, Done: true})
 	u.Reserve(900)
@@ -81,15 +81,15 @@
 	}
 	switch o.source {
 	case "change":
-		table.Changed([]spanrill.Change{change(entry)}, entry.Revision, now)
+		table.HandleChanges([]spanrill.Change{change(entry)}, entry.Revision, now)
 	case "list":
-		table.Listed([]spanrill.Item{entry}, entry.Revision, now)
+		table.HandleList([]spanrill.Item{entry}, entry.Revision, now)
 	case "peer":
 		peer := New(table.clock, decode)
-		peer.Listed([]spanrill.Item{entry}, entry.Revision, now)
+		peer.HandleList([]spanrill.Item{entry}, entry.Revision, now)
 		table.Merge(peer.FullUpdate(), now)
 	case "gone":
-		table.Changed([]spanrill.Change{removal("a")}, entry.Revision, now)
+		table.HandleChanges([]spanrill.Change{removal("a")}, entry.Revision, now)
 	case "outage":
 		table.RecordStoreFailure()
 	case "report":
@@ -153,7 +153,7 @@
 		table.onRestart = func(string) {
 			ids = append(ids, table.View().ByAddr("1:1").ID()+" "+string(rune('0'+table.Restarts())))
 		}
-		table.Changed([]spanrill.Change{change(startItem(t, "a", 11, 2000, 1, 0))}, 11, c.Now())
+		table.HandleChanges([]spanrill.Change{change(startItem(t, "a", 11, 2000, 1, 0))}, 11, c.Now())
 	}
 	if len(ids) != 2 || ids[0] != ids[1] || ids[0] != "a/1jk 1" {
 		t.Fatalf("ids and restart counts %v, want twice \"a/1jk 1\"", ids)
--- a/state/fleet/notice_test.go
+++ b/state/fleet/notice_test.go
@@ -81,7 +81,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			table, clock := noticedTable(t)
 			for i, change := range c.changes {
-				table.Changed([]spanrill.Change{change}, uint64(6+i), clock.Now())
+				table.HandleChanges([]spanrill.Change{change}, uint64(6+i), clock.Now())
 			}
 			u := table.View().ByID(c.id)
 			if u == nil {
@@ -152,7 +152,7 @@
 	table, c := newTable(t)
 	callStart := c.Now()
 	c.Advance(50)
-	table.Changed([]spanrill.Change{removal("a"), {Item: item(t, "c", "1:1", 6, false)}}, 6, c.Now())
+	table.HandleChanges([]spanrill.Change{removal("a"), {Item: item(t, "c", "1:1", 6, false)}}, 6, c.Now())
 	table.HandleNotice("1:1", spanrill.Notice{Rest: 3000, Leaving: true}, callStart)
 	if u := table.View().ByID("c"); u == nil || u.CheckSend(c.Now()) != nil {
 		t.Errorf("the notice of the previous upstream applies to the current one: %v", u)
@@ -170,10 +170,10 @@
 	for i := range maxRememberedNames + 10 {
 		revision++
 		id := string(rune('A'+i%26)) + string(rune('0'+i/26%10)) + string(rune(0x100+i))
-		table.Changed([]spanrill.Change{{Item: item(t, id, "2:1", revision, false)}}, revision, c.Now())
+		table.HandleChanges([]spanrill.Change{{Item: item(t, id, "2:1", revision, false)}}, revision, c.Now())
 		table.HandleNotice("2:1", spanrill.Notice{Leaving: true}, c.Now())
 		revision++
-		table.Changed([]spanrill.Change{removal(id)}, revision, c.Now())
+		table.HandleChanges([]spanrill.Change{removal(id)}, revision, c.Now())
 	}
 	if n := len(table.noticesByName); n > maxRememberedNames {
 		t.Errorf("notices of %d names, want at most %d", n, maxRememberedNames)
--- a/state/fleet/removals_test.go
+++ b/state/fleet/removals_test.go
@@ -95,9 +95,9 @@
 			from, to := tables[random.Intn(2)], tables[random.Intn(len(tables))]
 			switch n := random.Intn(12); {
 			case n == 0: // the store no longer has the changes
-				from.Listed(store.list(), store.revision, manual.Now())
+				from.HandleList(store.list(), store.revision, manual.Now())
 			case n < 5 && from.Revision() > 0:
-				from.Changed(store.after(from.Revision()), store.revision, manual.Now())
+				from.HandleChanges(store.after(from.Revision()), store.revision, manual.Now())
 			case n < 11 && from != to:
 				from = tables[random.Intn(len(tables))]
 				update := from.UpdateSince(to.Revision())
@@ -123,9 +123,9 @@
 	manual := clock.NewManual()
 	manual.Advance(100 * spanrill.Second)
 	table := New(manual, decodeFakeStore)
-	table.Listed([]spanrill.Item{{Name: "stays", Revision: 1}}, 1, manual.Now())
+	table.HandleList([]spanrill.Item{{Name: "stays", Revision: 1}}, 1, manual.Now())
 	for i := range uint64(maxKeptRemovals + 1) {
-		table.Changed([]spanrill.Change{{Item: spanrill.Item{Name: fmt.Sprint("e", i), Revision: i + 2}, Deleted: true}}, i+2, manual.Now())
+		table.HandleChanges([]spanrill.Change{{Item: spanrill.Item{Name: fmt.Sprint("e", i), Revision: i + 2}, Deleted: true}}, i+2, manual.Now())
 	}
 	for _, c := range []struct{ after, want uint64 }{{0, 0}, {1, 0}, {maxKeptRemovals, 0}, {maxKeptRemovals + 2, maxKeptRemovals + 2}, {maxKeptRemovals + 9, 0}} {
 		if update := table.UpdateSince(c.after); update.Since != c.want || update.Since == 0 && len(update.Entries) != 1 {
--- a/state/fleet/removed.go
+++ b/state/fleet/removed.go
@@ -31,10 +31,10 @@
 // have expired: three missed heartbeats of 1.2 s.
 const storeFailureMemory spanrill.Millis = 3600
 
-// removeOrHold removes an upstream whose entry is no longer in the store, or holds the entry if it may
-// merely have expired. lastConfirmed is when the entry was last confirmed, and sent is when the read
-// that no longer has it was sent. The caller holds the lock.
-func (t *Table) removeOrHold(name string, lastConfirmed, sent spanrill.Millis) {
+// removeOrHold removes an upstream whose entry is no longer in the store, or holds the entry if it
+// may merely have expired. lastConfirmed is when the entry was last confirmed, and sentAt is when
+// the read that no longer has it was sent. The caller holds the lock.
+func (t *Table) removeOrHold(name string, lastConfirmed, sentAt spanrill.Millis) {
 	delete(t.unreadableNames, name)
 	delete(t.conflicts, name)
 	delete(t.restored.quarantined, name)
@@ -51,7 +51,7 @@
 	}
 	h := heldEntry{lastConfirmed: lastConfirmed, heldSince: lastConfirmed}
 	if t.storeAvailable.from > lastConfirmed {
-		h.heldSince = sent // no daemon had an answer for a while: the entry may have expired
+		h.heldSince = sentAt // no daemon had an answer for a while: the entry may have expired
 	}
 	t.holdEntry(name, h)
 	events.UpstreamEntryKept.Log(t.log, logrus.Fields{"upstream": name, "ms_since_outage": sinceFailure, "proof_age_ms": t.clock.Now() - lastConfirmed})
--- a/state/fleet/restored_test.go
+++ b/state/fleet/restored_test.go
@@ -48,10 +48,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, clock := newTable(t)
-			table.Listed(listItems(t, 1, c.before...), spanrill.RevisionOf(1, 100), clock.Now())
+			table.HandleList(listItems(t, 1, c.before...), spanrill.RevisionOf(1, 100), clock.Now())
 			clock.Advance(1000)
 			restarts := table.Restarts()
-			table.Listed(listItems(t, 2, c.after...), spanrill.RevisionOf(2, 60), clock.Now())
+			table.HandleList(listItems(t, 2, c.after...), spanrill.RevisionOf(2, 60), clock.Now())
 			if table.Revision() != spanrill.RevisionOf(2, 60) {
 				t.Fatalf("revision %d of the table", table.Revision())
 			}
@@ -87,20 +87,20 @@
 		{"just before the end of quarantine", 1000, nil, quarantineTime - 1, false, false},
 		{"still listed after quarantine", 1000, nil, quarantineTime, true, true},
 		{"removed by the platform", 1000, func(table *Table, now spanrill.Millis) {
-			table.Changed([]spanrill.Change{removal("a")}, spanrill.RevisionOf(2, 61), now)
+			table.HandleChanges([]spanrill.Change{removal("a")}, spanrill.RevisionOf(2, 61), now)
 		}, quarantineTime, false, false},
 		{"written again by the upstream", 1000, func(table *Table, now spanrill.Millis) {
-			table.Changed([]spanrill.Change{{Item: entry(2, 61, 9)[0]}}, spanrill.RevisionOf(2, 61), now)
+			table.HandleChanges([]spanrill.Change{{Item: entry(2, 61, 9)[0]}}, spanrill.RevisionOf(2, 61), now)
 		}, 0, true, true},
 		{"removed before the retention period", removalRetention + 1, nil, 0, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, clock := newTable(t)
 			clock.Advance(storeFailureMemory * 3)
-			table.Listed(entry(1, 90, 5), spanrill.RevisionOf(1, 100), clock.Now())
-			table.Changed([]spanrill.Change{removal("a")}, spanrill.RevisionOf(1, 101), clock.Now())
+			table.HandleList(entry(1, 90, 5), spanrill.RevisionOf(1, 100), clock.Now())
+			table.HandleChanges([]spanrill.Change{removal("a")}, spanrill.RevisionOf(1, 101), clock.Now())
 			clock.Advance(c.sinceRemoval)
-			table.Listed(entry(2, 40, 3), spanrill.RevisionOf(2, 60), clock.Now())
+			table.HandleList(entry(2, 40, 3), spanrill.RevisionOf(2, 60), clock.Now())
 			if c.then != nil {
 				c.then(table, clock.Now())
 			}
@@ -120,7 +120,7 @@
 // Guards against an update of an earlier era that replaces entries of a later one.
 func TestMergeFromEarlierEra(t *testing.T) {
 	table, clock := newTable(t)
-	table.Listed(listItems(t, 2, listedEntry{"a", "1:1", 10, 1, 0, false}), spanrill.RevisionOf(2, 10), clock.Now())
+	table.HandleList(listItems(t, 2, listedEntry{"a", "1:1", 10, 1, 0, false}), spanrill.RevisionOf(2, 10), clock.Now())
 	if table.Merge(Update{Revision: spanrill.RevisionOf(1, 900), LastChange: spanrill.RevisionOf(1, 900)}, clock.Now()) {
 		t.Error("an update of an earlier era was merged")
 	}
--- a/state/fleet/update.go
+++ b/state/fleet/update.go
@@ -10,9 +10,9 @@
 	"spanrill/events"
 )
 
-// Listed replaces all entries by a list of the whole collection as it stood at a revision. sent is
-// when the read was sent.
-func (t *Table) Listed(items []spanrill.Item, revision uint64, sent spanrill.Millis) {
+// HandleList replaces all entries by a list of the whole collection as it stood at a revision.
+// sentAt is when the read was sent.
+func (t *Table) HandleList(items []spanrill.Item, revision uint64, sentAt spanrill.Millis) {
 	update := Update{Entries: make([]spanrill.EngineEntry, 0, len(items)), Revision: revision, LastChange: revision}
 	for _, item := range items {
 		if entry, ok := t.decodeItem(item); ok {
@@ -21,7 +21,7 @@
 			update.Unreadable = append(update.Unreadable, item.Name)
 		}
 	}
-	if known := t.Revision(); !t.Merge(update, sent) {
+	if known := t.Revision(); !t.Merge(update, sentAt) {
 		events.ListOutdated.Log(t.log, logrus.Fields{"collection": "upstreams", "revision": revision, "known": known})
 	}
 }
@@ -41,9 +41,9 @@
 }
 
 // Merge applies an update from the store or from a peer unless it is older than the table or starts
-// at a revision that the table has not reached, and reports whether it was applied. sent is when the
-// read that confirmed the entries was sent.
-func (t *Table) Merge(update Update, sent spanrill.Millis) bool {
+// at a revision that the table has not reached, and reports whether it was applied. sentAt is when
+// the read that confirmed the entries was sent.
+func (t *Table) Merge(update Update, sentAt spanrill.Millis) bool {
 	defer t.notifyRestarts()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,12 +51,12 @@
 		return false
 	}
 	if update.Since > 0 {
-		t.mergeChanges(update, sent)
+		t.mergeChanges(update, sentAt)
 		return true
 	}
 	t.detectRestore(update.Revision)
 	present, lastConfirmed := make(map[string]bool, len(update.Entries)), t.confirmedAt
-	t.confirm(sent)
+	t.confirm(sentAt)
 	for _, entry := range update.Entries {
 		present[entry.ID] = true
 		t.applyEntry(entry)
@@ -67,7 +67,7 @@
 	}
 	for name := range t.byName {
 		if !present[name] {
-			t.removeOrHold(name, lastConfirmed, sent)
+			t.removeOrHold(name, lastConfirmed, sentAt)
 		}
 	}
 	if update.Revision > t.revision {
@@ -85,9 +85,9 @@
 
 // mergeChanges applies the changes since a revision that the table has reached. The caller holds
 // the lock.
-func (t *Table) mergeChanges(update Update, sent spanrill.Millis) {
+func (t *Table) mergeChanges(update Update, sentAt spanrill.Millis) {
 	lastConfirmed := t.confirmedAt
-	t.confirm(sent)
+	t.confirm(sentAt)
 	for _, entry := range update.Entries {
 		t.applyEntry(entry)
 	}
@@ -95,7 +95,7 @@
 		t.setUnreadable(name)
 	}
 	for _, name := range update.Removed {
-		t.removeOrHold(name, lastConfirmed, sent)
+		t.removeOrHold(name, lastConfirmed, sentAt)
 		t.removals.add(name, update.Revision)
 	}
 	t.admitResolved()
@@ -156,22 +156,22 @@
 }
 
 // ConfirmUnchanged records that nothing in the store changed after lastChange, up to revision. It
-// reports whether the table has reached lastChange; if not, nothing is recorded. sent is when the read
-// that confirmed this was sent.
-func (t *Table) ConfirmUnchanged(revision, lastChange uint64, sent spanrill.Millis) bool {
+// reports whether the table has reached lastChange; if not, nothing is recorded. sentAt is when the
+// read that confirmed this was sent.
+func (t *Table) ConfirmUnchanged(revision, lastChange uint64, sentAt spanrill.Millis) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if lastChange > t.revision {
 		return false
 	}
 	t.revision = max(t.revision, revision)
-	t.confirm(sent)
+	t.confirm(sentAt)
 	return true
 }
 
-// Changed applies the changes up to a revision, of which there may be none. sent is when the read was
-// sent.
-func (t *Table) Changed(changes []spanrill.Change, revision uint64, sent spanrill.Millis) {
+// HandleChanges applies the changes up to a revision, of which there may be none. sentAt is when
+// the read was sent.
+func (t *Table) HandleChanges(changes []spanrill.Change, revision uint64, sentAt spanrill.Millis) {
 	defer t.notifyRestarts()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,11 +179,11 @@
 		return
 	}
 	lastConfirmed, remaining := t.confirmedAt, remainingNames(changes)
-	t.confirm(sent)
+	t.confirm(sentAt)
 	for _, c := range changes {
 		switch {
 		case c.Deleted && !remaining[c.Name]:
-			t.removeOrHold(c.Name, lastConfirmed, sent)
+			t.removeOrHold(c.Name, lastConfirmed, sentAt)
 			t.removals.add(c.Name, revision)
 		case c.Deleted || c.Revision <= t.revision: // the entry exists again, or the change is known from a peer
 		default:
--- a/state/fleet/upstream.go
+++ b/state/fleet/upstream.go
@@ -57,8 +57,8 @@
 	return u
 }
 
-// end marks the upstream's process as ended.
-func (u *Upstream) end() {
+// markReplaced records that the upstream's process has ended and another has replaced it.
+func (u *Upstream) markReplaced() {
 	u.removed.Store(true)
 	u.replaced.Store(true)
 }
--- a/state/follow/follow.go
+++ b/state/follow/follow.go
@@ -23,10 +23,10 @@
 
 // Sink receives the data that a follower reads. Its methods are called from one goroutine.
 type Sink interface {
-	// Listed receives the whole collection as of a revision of the store.
-	Listed(items []spanrill.Item, revision uint64, sentAt spanrill.Millis)
-	// Changed receives the changes up to a revision of the store. There may be none.
-	Changed(changes []spanrill.Change, revision uint64, sentAt spanrill.Millis)
+	// HandleList applies the whole collection as of a revision of the store.
+	HandleList(items []spanrill.Item, revision uint64, sentAt spanrill.Millis)
+	// HandleChanges applies the changes up to a revision of the store. There may be none.
+	HandleChanges(changes []spanrill.Change, revision uint64, sentAt spanrill.Millis)
 }
 
 // Follower tracks the changes of one collection.
@@ -59,9 +59,9 @@
 // answered is the value of unansweredSince if the store has answered the last call.
 const answered = -1
 
-// UnresponsiveFor returns the time since the first call that the store has not answered, or 0 if it
+// StoreSilentFor returns the time since the first call that the store has not answered, or 0 if it
 // has answered the last one. It is safe for concurrent use.
-func (f *Follower) UnresponsiveFor() spanrill.Millis {
+func (f *Follower) StoreSilentFor() spanrill.Millis {
 	since := f.unansweredSince.Load()
 	if since == answered {
 		return 0
@@ -252,7 +252,7 @@
 		return err
 	}
 	f.revision, f.listed = revision, true
-	f.sink.Listed(items, revision, sentAt)
+	f.sink.HandleList(items, revision, sentAt)
 	return nil
 }
 
@@ -263,7 +263,7 @@
 		return false, err
 	}
 	f.revision = max(f.revision, revision)
-	f.sink.Changed(changes, revision, sentAt)
+	f.sink.HandleChanges(changes, revision, sentAt)
 	return len(changes) > 0, nil
 }
 
--- a/state/follow/follow_test.go
+++ b/state/follow/follow_test.go
@@ -42,11 +42,11 @@
 	sentAt          spanrill.Millis
 }
 
-func (s *sink) Listed(_ []spanrill.Item, _ uint64, sentAt spanrill.Millis) {
+func (s *sink) HandleList(_ []spanrill.Item, _ uint64, sentAt spanrill.Millis) {
 	s.listed, s.sentAt = s.listed+1, sentAt
 }
 
-func (s *sink) Changed(_ []spanrill.Change, _ uint64, sentAt spanrill.Millis) {
+func (s *sink) HandleChanges(_ []spanrill.Change, _ uint64, sentAt spanrill.Millis) {
 	s.changed, s.sentAt = s.changed+1, sentAt
 }
 
@@ -123,24 +123,25 @@
 	}
 }
 
-// The unresponsive time counts from when the first failed call was sent, and is 0 after an answer.
+// The time without an answer counts from when the first failed call was sent, and is 0 after an
+// answer.
 func TestUnresponsiveFor(t *testing.T) {
 	c := clock.NewManual()
 	src := &source{clock: c, revision: 5, callTime: 4}
 	f := New(src, c, &sink{}, WithLogger(discardLogger(), "test"))
 	f.Step(context.Background())
-	if d := f.UnresponsiveFor(); d != 0 {
+	if d := f.StoreSilentFor(); d != 0 {
 		t.Fatalf("%d ms after an answer, want 0", d)
 	}
 	src.err, src.callTime = spanrill.ErrUnavailable, 1000
 	f.Step(context.Background())
 	f.Step(context.Background())
-	if d := f.UnresponsiveFor(); d != 2000 {
+	if d := f.StoreSilentFor(); d != 2000 {
 		t.Fatalf("%d ms after two failed calls of 1000 ms, want 2000", d)
 	}
 	src.err = nil
 	f.Step(context.Background())
-	if d := f.UnresponsiveFor(); d != 0 {
+	if d := f.StoreSilentFor(); d != 0 {
 		t.Fatalf("%d ms after the store has answered again, want 0", d)
 	}
 }
--- a/state/load/table.go
+++ b/state/load/table.go
@@ -149,13 +149,13 @@
 	Age    spanrill.Millis // time since the report was made
 }
 
-// Report applies an upstream's report, which was made age ago.
-func (t *Table) Report(name string, s spanrill.UpstreamStatus, age spanrill.Millis) {
-	t.ReportAll([]Report{{Name: name, Status: s, Age: age}})
+// RecordReport applies an upstream's report, which was made age ago.
+func (t *Table) RecordReport(name string, s spanrill.UpstreamStatus, age spanrill.Millis) {
+	t.RecordReports([]Report{{Name: name, Status: s, Age: age}})
 }
 
-// ReportAll applies several reports and makes at most one new view.
-func (t *Table) ReportAll(reports []Report) {
+// RecordReports applies several reports and makes at most one new view.
+func (t *Table) RecordReports(reports []Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
