--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -25,10 +25,10 @@
 
 // waiter is a waiting request.
 type waiter struct {
-	finish  float64
-	seq     uint64
-	started chan struct{}
-	index   int // in the heap, or -1 when removed
+	finish  float64       // virtual finish time
+	seq     uint64        // order of arrival
+	started chan struct{} // closed when the request starts
+	index   int           // in the heap, or -1 when removed
 }
 
 // waiters is a heap of requests. The first one starts next.
@@ -99,8 +99,8 @@
 	return w, nil
 }
 
-// minRetryAfter is the minimum time after which a caller refused because of the expected wait
-// retries.
+// minRetryAfter is added to the time by which the expected wait is too long, so that a request
+// refused for its expected wait is not repeated too soon.
 const minRetryAfter = 100 * spanrill.Millis(1)
 
 func (q *queue) newWaiter(account string, weight float64) *waiter {
