--- a/coordination/chain/best.go
+++ b/coordination/chain/best.go
@@ -20,8 +20,8 @@
 	return h.Layers.Len() * (layerValue - int(paceWeight*h.Pace))
 }
 
-// bestChain returns the series of the highest value among sorted holders, and its value. It
-// returns nil if there is no holder.
+// bestChain returns the series of the highest value among holders in the order of compareHolders,
+// and its value. It returns nil if there is no holder.
 func bestChain(layers int, holders []*Holder) (c *Chain, value int) {
 	previous := make([]int, len(holders))
 	series := seriesByZone{layers: layers}
@@ -94,8 +94,8 @@
 }
 
 // bestEndingWith returns the value of the best series that ends with a holder, and the index of
-// the holder before it, or -1 if there is none. Of series of equal value, it takes the one whose
-// previous holder has the lowest index.
+// the holder before it, or -1 if there is none. zone is the index of the holder's availability
+// zone. Of series of equal value, it takes the one whose previous holder has the lowest index.
 func (s *seriesByZone) bestEndingWith(h *Holder, zone int) (value, previous int) {
 	added := holderValue(h)
 	value, previous = added, -1
