--- a/coordination/chainrouting/flow.go
+++ b/coordination/chainrouting/flow.go
@@ -23,23 +23,23 @@
 type option struct {
 	parts    []Part
 	estimate float64 // milliseconds; the lowest is preferred
-	flow     float64 // requests a second that the path can serve at the planned fill
-	room     float64 // requests that the path can hold beside those running, at the planned fill
+	flow     float64 // requests a second that the path can serve at the planned fill; fewer if it is fuller
+	room     float64 // requests that the path can hold at the planned fill; fewer if it is fuller
 	full     bool    // the path has no room for this request
 }
 
 const (
-	// plannedFill is the fraction of a chain's room that flows are planned for. With 40 to 80
+	// plannedFill is the fraction of a chain's capacity that flows are planned for. With 40 to 80
 	// requests on a chain, random (Poisson) variation reaches 0.4 above the mean one time in a
 	// hundred, which fits into the rest.
 	plannedFill = 0.7
-	// stopFill is the fraction of its room at which a chain gets no more requests.
+	// stopFill is the fraction of its capacity at which a chain gets no more requests.
 	stopFill = 1.0
 	// demandGrowth is the factor by which demand may have grown since it was counted. It is counted
 	// over two seconds that ended one to three seconds ago.
 	demandGrowth = 1.3
 	// maxOvercommit is the highest ratio of the demand to the sum of the flows at which requests
-	// are chosen by flow. Chains are then filled to 0.88 of their room.
+	// are chosen by flow. Chains are then filled to 0.88 of their capacity.
 	maxOvercommit = 1.25
 	// minFilledShare is the least share of the sum of all flows that is used: when daemons or
 	// traffic have just started, the counted demand is too low.
@@ -77,9 +77,9 @@
 // the demand.
 //
 // Where the flows do not serve the demand, the load figures have to decide, stale as they are:
-// the cost model is not accurate enough to divide chains that are nearly full. On a fleet of 59
-// daemons whose chains ran at 0.7 to 0.9 of their room, callers got 0.843 of the value of a
-// simulated day when flows decided there too, and 0.972 when they did not.
+// the cost model is not accurate enough to divide requests among chains that are nearly full. On a
+// fleet of 59 daemons whose chains ran at 0.7 to 0.9 of their capacity, callers got 0.843 of the
+// value of a simulated day when flows decided there too, and 0.972 when they did not.
 func chooseByFlow(options []option, demand, draw float64) (index int, ok bool) {
 	sort.SliceStable(options, func(i, j int) bool { return options[i].estimate < options[j].estimate })
 	total := 0.0
@@ -104,7 +104,7 @@
 // scarce before flow does: each option gets requests in proportion to its room.
 //
 // In a simulation of 73 daemons that know nothing of one another, with callers that fill 0.3 and
-// 0.6 of all room within 250 ms (TestCallersReturningAtOnceAreServed), engines refused 0.279 and
+// 0.6 of all capacity within 250 ms (TestCallersReturningAtOnceAreServed), engines refused 0.279 and
 // 0.480 of what was sent when the faster half of the flows was filled, as for an unknown demand;
 // 0.035 and 0.244 when each option got requests in proportion to its flow; and 0.000 of both when
 // each got them in proportion to its room.
--- a/coordination/chainrouting/load_test.go
+++ b/coordination/chainrouting/load_test.go
@@ -282,9 +282,9 @@
 	}
 }
 
-// roomRequests returns how many requests of mean size fill all chains: a chain is full when one of
-// its engines has no memory left or its first engine has no free slot.
-func (sim *simulation) roomRequests() (requests float64) {
+// capacityRequests returns how many requests of mean size fill all chains: a chain is full when one
+// of its engines has no memory left or its first engine has no free slot.
+func (sim *simulation) capacityRequests() (requests float64) {
 	for _, c := range sim.chains {
 		least := float64(loadModel.Slots)
 		for _, e := range c {
@@ -301,7 +301,7 @@
 func TestCallersReturningAtOnceAreServed(t *testing.T) {
 	const window spanrill.Millis = 250
 	for _, c := range []struct {
-		share                                      float64 // of the room of all chains that the requests need
+		share                                      float64 // of the capacity of all chains that the requests need
 		minServed, maxRefusedSends, maxHighestFill float64
 	}{{0.3, 1, 0, 0.5}, {0.6, 1, 0, 0.9}} {
 		t.Run(fmt.Sprint(c.share), func(t *testing.T) {
@@ -310,7 +310,7 @@
 				d.SetFleet(1, 1, false)
 				d.SetStarting(true)
 			}
-			sim.rate = c.share * sim.roomRequests() * float64(spanrill.Second) / float64(window)
+			sim.rate = c.share * sim.capacityRequests() * float64(spanrill.Second) / float64(window)
 			sim.isolated = true
 			sim.advance(window)
 			r := sim.result
--- a/coordination/chainrouting/router.go
+++ b/coordination/chainrouting/router.go
@@ -73,7 +73,8 @@
 	// staleFillReduction lowers maxFill where the load figures of other daemons are stale: a
 	// third of a chain's requests change in two seconds.
 	staleFillReduction = 0.15
-	// staleRounds is the number of exchange rounds at which load figures count as fully stale.
+	// staleRounds is the number of exchange rounds beyond the first at which load figures count as
+	// fully stale.
 	staleRounds = 8
 	// fullnessWeight is the weight of the square of a path's fill in its estimate: the estimate of
 	// a half-full path is half as long again.
@@ -87,8 +88,8 @@
 	// spreadJitter is the range of the random factor for choices that many daemons make at the same
 	// moment. Without it, they would all take the same path.
 	spreadJitter = 1.0
-	// bridgeFlowShare is the fraction of the flow of a path with bridges that counts: the engines
-	// of a bridge mostly serve chains of their own, whose flows are counted already.
+	// bridgeFlowShare is the fraction of the flow and room of a path with bridges that counts: the
+	// engines of a bridge mostly serve chains of their own, where both are counted already.
 	bridgeFlowShare = 0.25
 	// bridgeFactor lengthens the estimate of a path with bridges, so that complete chains are
 	// preferred.
@@ -310,7 +311,7 @@
 const stalenessUnit = 1000
 
 // Staleness returns how stale the load figures of other daemons are, from 0 (one exchange round)
-// to 1 (staleRounds and more).
+// to 1 (at least staleRounds more).
 func (r *Router) Staleness() float64 { return float64(r.staleness.Load()) / stalenessUnit }
 
 // Replace returns a path that keeps the first engine and every other engine of p that can be
--- a/coordination/chainrouting/search.go
+++ b/coordination/chainrouting/search.go
@@ -141,7 +141,7 @@
 // random source, the one with more free tokens is. With one, each engine is chosen with a
 // probability in proportion to its free tokens: requests that move at the same moment would
 // otherwise all queue at the emptiest engine, which reads their tokens one after the other.
-// TotalFree is the sum of the free tokens of the engines compared so far.
+// totalFree is the sum of the free tokens of the engines compared so far.
 func (s *search) preferred(u, other *fleet.Upstream, totalFree *float64) bool {
 	if s.random == nil {
 		return s.freeTokens(u) > s.freeTokens(other)
