--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -66,8 +66,9 @@
 const (
 	requestTimeout = 1500 * spanrill.Millis(1) // for the answer of the slot's owner
 	claimTimeout   = 3 * spanrill.Second       // for the whole claim
-	// maxGrantAge is the maximum age of a grant when the call is sent to an upstream. It is far
-	// below record.Lifetime, so that a daemon that was frozen does not use an expired grant.
+	// maxGrantAge is the longest time from the start of a claim until its call may still be sent to
+	// an upstream. It is far below record.Lifetime, so that a daemon that was frozen does not send
+	// a call whose claim has expired.
 	maxGrantAge        = 10 * spanrill.Second
 	platformRetryAfter = 2 * spanrill.Second
 	pendingRetryAfter  = spanrill.Second
@@ -118,7 +119,8 @@
 }
 
 // claim asks the slot's owner, and writes the claim directly if the owner does not answer. Both
-// claim the key for the same attempt, so that both may succeed.
+// claim the key for the same attempt, so that both may succeed. It reports whether the key was
+// granted, and returns the record that holds the key.
 func (c *Claims) claim(ctx context.Context, r record.Record) (bool, record.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout.Duration())
 	defer cancel()
