--- a/coordination/cost/cost.go
+++ b/coordination/cost/cost.go
@@ -127,8 +127,8 @@
 	return total + HopMillis(m, zone, stages[0].Zone) + handOverMillis*float64(len(stages))
 }
 
-// handOverMillis is the time that a token takes from one engine to the next inside an
-// availability zone.
+// handOverMillis is the time to hand a token from one engine to the next, without the delay
+// between availability zones.
 const handOverMillis = 0.2
 
 // PromptMillis returns the time that a chain takes to process a prompt of that many tokens,
