--- a/coordination/exchange/zones.go
+++ b/coordination/exchange/zones.go
@@ -17,8 +17,9 @@
 // which is 16 KB/s at four rounds a second, the budget for control traffic.
 const maxNamedUses = 400
 
-// briefMaxAge is the age of the sum of the tree in use up to which the other tree is asked only for
-// a sum without upstreams. It leaves time for two requests before the sum expires.
+// briefMaxAge is the maximum age of the sum in use at which the other tree is asked only for a brief
+// sum, one that names no upstreams. It leaves time for two requests for a full sum before the sum in
+// use expires.
 const briefMaxAge = newsTTL - 2*roundInterval
 
 // unnamedUses is what requests hold at the upstreams that a sum does not name.
@@ -86,8 +87,8 @@
 	}
 }
 
-// briefTrees returns which of the given trees are asked for a sum without upstreams: when sums are
-// large, one tree suffices while its sum is fresh. The caller must hold e.mu.
+// briefTrees returns which of the given trees are asked for a brief sum: when sums are large, a full
+// sum from one tree suffices while it is fresh. The caller must hold e.mu.
 func (e *Exchange) briefTrees(trees []int) []int {
 	now := e.clock.Now()
 	used := e.fullestTree(now)
@@ -126,7 +127,8 @@
 }
 
 // zoneShares returns the share of a single upstream in the total of its zone and service, for all
-// zones but the given one.
+// zones but the given one. Engines that hold no layers are not counted, because no request runs
+// there.
 func zoneShares(view *fleet.View, unnamed *unnamedUses, zone string) map[zoneService]use {
 	if unnamed == nil {
 		return nil
