--- a/coordination/layout/copies.go
+++ b/coordination/layout/copies.go
@@ -6,15 +6,15 @@
 )
 
 // planSpares returns moves that give engines outside all chains a copy of layers that
-// other engines hold, so that requests can continue on the copy at once when such an
-// engine is lost. free lists the engines that may be assigned, all lists every engine,
-// and held says what each engine will hold after the moves so far.
+// other engines hold, so that when one of these others is lost, its requests can continue
+// on the copy at once. free lists the engines that may be assigned, all lists every engine,
+// and held has a move for each range that an engine will hold before these moves.
 func planSpares(m *spanrill.EngineModel, free, all []candidate, held []Move) []Move {
 	var moves []Move
 	planned := newHoldings(all, held)
 	for i, e := range free {
 		if e.Changing || e.Layers.Len() > 0 || e.JustJoined {
-			continue // kept for a hole: a new engine often replaces one that is about to leave
+			continue // a new engine is kept for a hole: it often replaces one that is about to leave
 		}
 		r, ok := bestSpareRange(m, e, planned, maxSpareLayers(m, exclude(free[i:], free[i:i+1])))
 		if !ok {
@@ -105,7 +105,7 @@
 	return score
 }
 
-// Weights of coverScore: covering an engine without a copy outweighs covering several
+// Weights of holdingScore: covering an engine without a copy outweighs covering several
 // that have one, and engines of the same zone outweigh those of others. On a tie the
 // smallest range wins, as it loads sooner and leaves more memory.
 const (
--- a/coordination/layout/layout.go
+++ b/coordination/layout/layout.go
@@ -81,7 +81,8 @@
 // Plan lays out engines that hold nothing: first chains within one availability
 // zone, then chains over several zones, and spares from the remaining engines. It
 // tries several amounts of memory to leave beside the layers and returns the layout that
-// serves the most usual requests per second.
+// serves the most usual requests per second, less a discount for engines that no spare can
+// replace.
 func Plan(m *spanrill.EngineModel, engines []Engine) []Move {
 	all := candidates(m, engines)
 	var best [][]candidate
@@ -312,7 +313,8 @@
 	return divide(m, c, spanrill.LayerRange{From: 0, To: m.Layers})
 }
 
-// divideIterations of bisection find the memory to within a thousandth.
+// divideIterations is the number of bisection steps of divide. They find the memory to within
+// a thousandth of a usual request.
 const divideIterations = 24
 
 // divide divides a range among engines so that the engine with the least free memory
--- a/coordination/layout/relieve.go
+++ b/coordination/layout/relieve.go
@@ -65,8 +65,8 @@
 	return whole, false
 }
 
-// minReliefGain is the least factor by which the memory of the tight engine must grow to
-// justify loading layers elsewhere.
+// minReliefGain is the least factor by which the number of tokens that fit must grow to
+// justify loading a part of the tight engine's layers elsewhere.
 const minReliefGain = 1.25
 
 // loadSpareFor has a free engine of the zone load the upper part of the tight engine's
