--- a/coordination/lease/restore.go
+++ b/coordination/lease/restore.go
@@ -6,7 +6,7 @@
 // writes: a lease that another daemon holds may be missing, free, or recorded for a previous
 // holder.
 type restoreState struct {
-	era         uint64
+	era         uint64          // last era seen; each restore of the store increases it
 	detectedAt  spanrill.Millis // when the last restore was detected, or 0
 	highestTerm uint64          // highest term seen
 }
