--- a/coordination/suspect/ledger.go
+++ b/coordination/suspect/ledger.go
@@ -109,7 +109,7 @@
 }
 
 // insert adds a loss to its content and reports whether it was new. Unlike record, it leaves the
-// digest and lastNewsAt alone. The caller must hold l.mu.
+// digest and lastRecordedAt alone. The caller must hold l.mu.
 func (l *Ledger) insert(c Content, lost Loss, now spanrill.Millis) bool {
 	s := l.suspects[c]
 	if s != nil && s.isExpired(now) {
