--- a/state/fleet/unreadable.go
+++ b/state/fleet/unreadable.go
@@ -21,7 +21,8 @@
 	count     atomic.Uint64     // logged entries, counted once per name and revision
 }
 
-// maxLoggedNames is the maximum number of names whose logged revisions are remembered.
+// maxLoggedNames is the maximum number of names whose logged revisions are remembered. When it
+// is reached, the next entry to log clears them all.
 const maxLoggedNames = 1024
 
 // logUnreadable logs an entry that cannot be decoded, once for each revision.
