--- a/soak/check.go
+++ b/soak/check.go
@@ -24,13 +24,13 @@
 const (
 	ruleComplete      = "whole answers in order"
 	ruleOnce          = "at most one run"
-	ruleNotRun        = "not-run is true"
+	ruleNotRun        = "a refused request did not run"
 	ruleLayers        = "every layer once and in order"
 	ruleWithdrawnKey  = "no run under a withdrawn key"
-	ruleTerminates    = "every request has an end"
-	ruleUnexpectedEnd = "daemons end only when told"
+	ruleTerminates    = "every request ends in time"
+	ruleUnexpectedEnd = "daemons exit only when stopped" // also broken by a daemon that does not exit when stopped
 	ruleRecovers      = "service after the last fault"
-	ruleConfigApplied = "a configuration in force in time"
+	ruleConfigApplied = "configuration applied in time"
 )
 
 // runCounter returns the number of times that upstreams ran a request.
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -12,27 +12,27 @@
 
 // The kinds of faults.
 const (
-	DaemonKilled         Kind = "daemon killed"        // SIGKILL, then restart
-	DaemonStopped        Kind = "daemon stopped"       // SIGTERM, then restart
-	DaemonFrozen         Kind = "daemon frozen"        // SIGSTOP, later SIGCONT
-	DaemonReloaded       Kind = "daemon told"          // SIGHUP: reloads its settings
-	AllDaemonsKilled     Kind = "all daemons killed"   // one after another, each restarted
-	StoreDown            Kind = "store down"           // answers 503
-	StoreSilent          Kind = "store silent"         // accepts calls but does not answer
-	StoreHistoryDropped  Kind = "store forgets"        // drops its history
-	StoreAnswersLost     Kind = "store loses answers"  // of writes that took effect
-	StoreRestored        Kind = "store restored"       // restored from an older copy
-	StoreLinkCut         Kind = "link to store cut"    // the link of one daemon
-	StoreLinkSilent      Kind = "link to store mute"   // open connections transfer nothing
-	UpstreamLinkFaulty   Kind = "link to upstream bad" // slow, cut, frozen or silent
-	UpstreamCrashes      Kind = "upstream ends"        // crashes; another one starts later
-	UpstreamRestarts     Kind = "upstream restarts"    // under the same name, holding nothing
-	UpstreamRefuses      Kind = "upstream refuses"     // refuses requests and asks for a rest
-	UpstreamLeaves       Kind = "upstream leaves"      // announces it in answers, in half of the variants also in its entry
-	UpstreamFails        Kind = "upstream fails"       // answers 500
-	UpstreamCutsStreams  Kind = "upstream breaks off"  // cuts streams in the middle
-	UpstreamReportsMuted Kind = "upstream mute"        // leaves report calls unanswered but serves requests
-	UpstreamLimits       Kind = "upstream sets limit"  // sets a limit on its request rate, changes and removes it
+	DaemonKilled         Kind = "daemon killed"           // SIGKILL, then restart
+	DaemonStopped        Kind = "daemon stopped"          // SIGTERM, then restart
+	DaemonFrozen         Kind = "daemon frozen"           // SIGSTOP, later SIGCONT
+	DaemonReloaded       Kind = "daemon reloaded"         // SIGHUP: reloads its settings
+	AllDaemonsKilled     Kind = "all daemons killed"      // one after another, each restarted
+	StoreDown            Kind = "store down"              // answers 503
+	StoreSilent          Kind = "store silent"            // accepts calls but does not answer
+	StoreHistoryDropped  Kind = "store drops history"     // drops its history
+	StoreAnswersLost     Kind = "store loses answers"     // of writes that took effect
+	StoreRestored        Kind = "store restored"          // restored from an older copy
+	StoreLinkCut         Kind = "link to store cut"       // the link of one daemon
+	StoreLinkSilent      Kind = "link to store silent"    // open connections transfer nothing
+	UpstreamLinkFaulty   Kind = "link to upstream faulty" // slow, cut, frozen or silent
+	UpstreamCrashes      Kind = "upstream ends"           // crashes; another one starts later
+	UpstreamRestarts     Kind = "upstream restarts"       // under the same name, holding nothing
+	UpstreamRefuses      Kind = "upstream refuses"        // refuses requests and asks for a rest
+	UpstreamLeaves       Kind = "upstream leaves"         // announces it in answers, in half of the variants also in its entry
+	UpstreamFails        Kind = "upstream fails"          // answers 500
+	UpstreamCutsStreams  Kind = "upstream breaks off"     // cuts streams in the middle
+	UpstreamReportsMuted Kind = "upstream reports muted"  // leaves report calls unanswered but serves requests
+	UpstreamLimits       Kind = "upstream sets limit"     // sets a limit on its request rate, changes and removes it
 	ConfigChanges        Kind = "configuration changes"
 	KeyWithdrawn         Kind = "key withdrawn" // and a new one issued
 )
--- a/soak/run.go
+++ b/soak/run.go
@@ -243,7 +243,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		r.logProgress("%6.1f s  %-22s target %d, variant %d, %v", s.At.Seconds(), s.Kind, s.Target, s.Variant, s.Duration.Round(time.Millisecond))
+		r.logProgress("%6.1f s  %-23s target %d, variant %d, %v", s.At.Seconds(), s.Kind, s.Target, s.Variant, s.Duration.Round(time.Millisecond))
 		faults.Start(ctx, string(s.Kind), func(ctx context.Context) error { return r.apply(ctx, s) })
 	}
 	if err := faults.Wait(); err != nil {
