--- a/transport/peernet/silence_test.go
+++ b/transport/peernet/silence_test.go
@@ -15,12 +15,12 @@
 )
 
 // startBehindProxy starts a peer behind a fault proxy. It returns the proxy with its address, and a
-// channel with the one-way messages that the peer receives.
+// channel with the messages of kind otherKind that the peer receives.
 func startBehindProxy(t *testing.T, name string) (p *faultproxy.Proxy, addr string, received <-chan string) {
 	t.Helper()
 	got := make(chan string, 16)
 	_, peer := start(t, name, "secret-of-the-fleet", func(from string, kind Kind, payload []byte) []byte {
-		if kind == oneWay {
+		if kind == otherKind {
 			got <- string(payload)
 		}
 		return echo(from, kind, payload)
@@ -35,7 +35,8 @@
 }
 
 const (
-	oneWay Kind = 10
+	// otherKind is a kind that the handlers of these tests treat differently from testKind.
+	otherKind Kind = 10
 	// requestTimeout is how long the requests of these tests wait for their replies.
 	requestTimeout = 150 * time.Millisecond
 )
@@ -56,6 +57,8 @@
 	return n, hook
 }
 
+// wantSilences checks how many silent connections were counted and logged. Links that are closed
+// together with a silent one are not counted.
 func wantSilences(t *testing.T, n *Net, hook *logtest.Hook, want int) {
 	t.Helper()
 	if got := n.meters.SilentConnections.Get(); got != uint64(want) {
@@ -102,7 +105,7 @@
 func TestSlowReplyKeepsLink(t *testing.T) {
 	release := make(chan struct{})
 	_, addr := start(t, "b", "secret-of-the-fleet", func(_ string, kind Kind, _ []byte) []byte {
-		if kind == oneWay {
+		if kind == otherKind {
 			<-release
 		}
 		return nil
@@ -114,7 +117,7 @@
 	slow := make(chan error, 2*silentTimeouts)
 	for range cap(slow) {
 		go func() {
-			_, err := a.Request(ctx, addr, oneWay, nil)
+			_, err := a.Request(ctx, addr, otherKind, nil)
 			slow <- err
 		}()
 	}
@@ -143,7 +146,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := a.Send(addrs[2], oneWay, []byte("before")); err != nil {
+	if err := a.Send(addrs[2], otherKind, []byte("before")); err != nil {
 		t.Fatal(err)
 	}
 	<-received
@@ -153,7 +156,7 @@
 	for range silentTimeouts {
 		_, _ = ask(a, addrs[0]), ask(a, addrs[1])
 	}
-	if err := a.Send(addrs[2], oneWay, []byte("after")); err != nil {
+	if err := a.Send(addrs[2], otherKind, []byte("after")); err != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -167,7 +170,8 @@
 	wantSilences(t, a, hook, 1)
 }
 
-// A connection whose close never reaches this side is closed after the idle limit.
+// A connection that was idle for longer than the limit, such as one whose close never arrived, is
+// closed when another one is accepted.
 func TestIdleConnectionsOfPeersAreClosed(t *testing.T) {
 	_, addr := start(t, "b", "secret-of-the-fleet", echo, WithIdleLimit(time.Millisecond))
 	idle, err := net.Dial("tcp", addr)
