--- a/pool/pool.go
+++ b/pool/pool.go
@@ -42,8 +42,8 @@
 
 // WithMaxIdleFunc sets a function that returns how many values are kept for a key. Each Put calls
 // it.
-func WithMaxIdleFunc[K comparable, V any](n func(K) int) Option[K, V] {
-	return func(p *Pool[K, V]) { p.maxIdle = n }
+func WithMaxIdleFunc[K comparable, V any](maxIdle func(K) int) Option[K, V] {
+	return func(p *Pool[K, V]) { p.maxIdle = maxIdle }
 }
 
 // WithMaxTotal sets how many values are kept over all keys. Beyond that, the oldest are
