--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -20,7 +20,7 @@
 const (
 	FaultKill       Fault = "kill"        // a tenth of the engines is killed
 	FaultStage      Fault = "stage"       // one engine is killed
-	FaultSlowEngine Fault = "slow-engine" // the fastest engine runs at a tenth of its speed
+	FaultSlowEngine Fault = "slow-engine" // one of the fastest engines runs at a tenth of its speed
 	FaultSlowLink   Fault = "slow-link"   // the links into one engine are a hundred times slower
 	FaultDaemon     Fault = "daemon"      // one daemon shuts down, and callers use the others
 	FaultZone       Fault = "zone"        // the engines of one availability zone are killed
