--- a/e2e/control_test.go
+++ b/e2e/control_test.go
@@ -17,8 +17,8 @@
 	"spanrill/state/config"
 )
 
-// envControl enables the measurements of control costs. They take minutes and
-// check nothing.
+// envControl enables the measurements in this file. They take minutes and check
+// nothing.
 const envControl = "SPANRILL_CONTROL"
 
 // fleetSize is the size of the fleet in one measurement.
@@ -27,8 +27,8 @@
 	editsPerSecond             float64
 }
 
-// controlCost is the average cost of control traffic for one daemon, where not
-// stated otherwise.
+// controlCost is the cost of control traffic, as an average over the daemons unless
+// a field says otherwise.
 type controlCost struct {
 	cpu      float64 // percent of a core
 	rss      float64 // MB
@@ -44,8 +44,8 @@
 	measureTime = 8 * time.Second
 )
 
-// TestControlCost measures the cost of an idle daemon while the number of
-// daemons, engines, accounts or edits varies.
+// TestControlCost measures the cost of a daemon without callers for different numbers
+// of daemons, engines, accounts and edits.
 func TestControlCost(t *testing.T) {
 	if os.Getenv(envControl) == "" {
 		t.Skipf("a measurement; set %s=1", envControl)
@@ -91,8 +91,8 @@
 	return c
 }
 
-// listStubs adds engines to the box list that serve only their status report.
-// All engines of one layer range share a server.
+// listStubs adds n stub engines, which serve only their status report, to the box
+// list. All stubs of one layer range share a server.
 func (f *fleet) listStubs(n int) {
 	var addrs []string
 	for _, layers := range testLayers {
@@ -148,7 +148,7 @@
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		f.check(err)
 		fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
-		for _, i := range []int{11, 12} { // user and system time
+		for _, i := range []int{11, 12} { // user and system time, counted from the field after the process name
 			n, err := strconv.ParseFloat(fields[i], 64)
 			f.check(err)
 			u.ticks += n
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -380,6 +380,8 @@
 	return text, complete, a
 }
 
+// parseChat returns the text of an answer and whether the answer is complete: a stream
+// must end with [DONE], any other answer must have a text.
 func parseChat(body []byte, stream bool) (text string, complete bool) {
 	for _, line := range bytes.Split(body, []byte("\n")) {
 		line = bytes.TrimPrefix(line, []byte("data: "))
--- a/e2e/idempotency_test.go
+++ b/e2e/idempotency_test.go
@@ -35,7 +35,7 @@
 		name        string
 		proxy       faultproxy.Faults
 		faults      service.Faults
-		wantOutcome string // or "" for any outcome that is true
+		wantOutcome string // "" accepts any outcome that agrees with the number of runs
 	}{
 		{"healthy", faultproxy.Faults{}, service.Faults{}, "ran"},
 		{"refused connection", faultproxy.Faults{Refuse: true}, service.Faults{}, ""},
@@ -212,7 +212,7 @@
 }
 
 // When a daemon is stopped while calls run, each call that is answered has a true
-// outcome.
+// outcome. A second SIGTERM does not end the daemon before it has drained.
 func TestStopDuringCallsReportsTrueOutcomes(t *testing.T) {
 	f := newFleet(t, shape{daemons: 2, services: 2})
 	for name := range f.services {
